--- a/crates/agent/src/ask.rs
+++ b/crates/agent/src/ask.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use doorgrade_fleet::order::Progress;
-use doorgrade_fleet::{Line, Order, Phase, Process, Refused, Tenths, Want};
+use doorgrade_fleet::{Line, Order, Phase, Process, Refused, Ticks, Want};
 use doorgrade_stream::wire::{Reader, Writer};
 use serde::{Deserialize, Serialize};
 use tokio::net::UnixStream;
@@ -41,7 +41,7 @@
 pub struct Status {
     pub agent: Box<str>,
     pub term: u64,
-    pub at: Tenths,
+    pub at: Ticks,
     pub rows: Vec<Row>,
 }
 
@@ -52,7 +52,7 @@
     pub station: Box<str>,
     pub labels: Vec<Box<str>>,
     pub phase: Phase,
-    pub since: Tenths,
+    pub since: Ticks,
     pub want: Want,
     pub revision: u64,
     pub by: Box<str>,
--- a/crates/benchlink/src/line.rs
+++ b/crates/benchlink/src/line.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-use doorgrade::Tenths;
+use doorgrade::Ticks;
 
 /// What is wrong with the input, in plain words.
 #[derive(Debug)]
@@ -90,11 +90,11 @@
         Ok(total)
     }
 
-    pub fn time_down(&self, name: &str) -> Result<Tenths, Bad> {
+    pub fn time_down(&self, name: &str) -> Result<Ticks, Bad> {
         Ok(self.thousandths(name)? / 100)
     }
 
-    pub fn time_up(&self, name: &str) -> Result<Tenths, Bad> {
+    pub fn time_up(&self, name: &str) -> Result<Ticks, Bad> {
         Ok(self.thousandths(name)?.div_ceil(100))
     }
 }
--- a/crates/benchlink/src/main.rs
+++ b/crates/benchlink/src/main.rs
@@ -8,7 +8,7 @@
 use std::process::ExitCode;
 use std::sync::Arc;
 
-use doorgrade::{Access, Ended, Front, Member, Standing, Tenths};
+use doorgrade::{Access, Front, Member, MemberStatus, PushResult, Ticks};
 use rustc_hash::FxHashMap;
 
 use line::{Bad, Line};
@@ -107,21 +107,21 @@
         zone: line.whole_or("rackZone", 0)? as usize,
         kind: line.whole_or("type", 0)? as usize,
         cell: line.whole_or("cluster", 0)?,
-        standing: match line.text("availability")? {
-            "healthy" => Standing::Listed,
-            "cordoned" => Standing::Draining,
-            "deregistered" => Standing::Gone,
+        status: match line.text("availability")? {
+            "healthy" => MemberStatus::Listed,
+            "cordoned" => MemberStatus::Draining,
+            "deregistered" => MemberStatus::Gone,
             other => return Err(Bad(format!("field 'availability': unknown value '{other}'"))),
         },
         weight: line.number_or("units", 1.0)?,
-        started: match line.get("startedAt") {
+        started_at: match line.get("startedAt") {
             Some(_) => Some(line.time_up("startedAt")?).filter(|&t| t > 0),
             None => None,
         },
     })
 }
 
-fn event(link: &mut Link, line: &Line<'_>, now: Tenths) -> Result<(), Bad> {
+fn event(link: &mut Link, line: &Line<'_>, now: Ticks) -> Result<(), Bad> {
     let tag = line.tag();
     let who = line.text("i")?;
     if tag == "power_on" {
@@ -147,9 +147,9 @@
                 part: line.whole_or("segment", 0)? as u32,
                 group: line.whole_or("tag", 0)?,
                 kb: line.number_or("kb", 0.0)?,
-                until: line.time_down("notAfter")?,
+                deadline: line.time_down("notAfter")?,
                 // This wire has no field for it: the simulator's caches know a repeat by its id.
-                marked: true,
+                has_repeat_id: true,
             };
             if access.offering >= *classes {
                 return Err(Bad(format!("field 'band': no class {}", access.offering)));
@@ -157,29 +157,29 @@
             front.access(now, &access, out);
         }
         "ended" => {
-            let ended = Ended {
+            let ended = PushResult {
                 push: line.whole_or("sendNo", 0)? as usize,
                 outcome: words::outcome(line.text("rc")?)?,
-                settled: line.flag("settled")?,
-                lag: line.time_down("lag")?,
-                note: words::note(line.whole_or("info", 0)?)?,
-                made: None, // this wire does not tell it
+                access_done: line.flag("settled")?,
+                latency: line.time_down("lag")?,
+                cache_status: words::note(line.whole_or("info", 0)?)?,
+                origin_sent_at: None, // this wire does not tell it
             };
-            front.ended(now, line.whole("requestId")?, &ended, out);
+            front.push_ended(now, line.whole("requestId")?, &ended, out);
         }
-        "due" => front.due(now, line.whole("keyBack")?, out),
-        "hangup" => front.left(line.whole("requestId")?, out),
-        "accepted" => front.begun(line.whole("requestId")?),
+        "due" => front.timer_fired(now, line.whole("keyBack")?, out),
+        "hangup" => front.client_left(line.whole("requestId")?, out),
+        "accepted" => front.stream_started(line.whole("requestId")?),
         "expired_now" => {
             let object = line.get("asset").map(|_| line.whole("asset")).transpose()?;
-            front.purged(now, object, line.whole_or("setNo", 0)?, line.time_down("age")?);
+            front.purge_received(now, object, line.whole_or("setNo", 0)?, line.time_down("age")?);
         }
         "peers_known" => {
             let full = match line.text("form")? {
                 "changes" => false,
                 "all" | "remembered" => true,
                 "refused" => {
-                    front.list_refused(now, out);
+                    front.member_list_rejected(now, out);
                     return Ok(());
                 }
                 other => return Err(Bad(format!("field 'form': unknown value '{other}'"))),
@@ -187,7 +187,7 @@
             let sheet = line.whole("sheet")?;
             let census =
                 link.censuses.get(&sheet).ok_or_else(|| Bad(format!("field 'sheet': no census {sheet}")))?;
-            front.listed(now, census, full, out);
+            front.member_list_received(now, census, full, out);
         }
         // Never asked for: the front neither probes nor talks to its peers.
         "health" | "note_from" => {}
--- a/crates/benchlink/src/words.rs
+++ b/crates/benchlink/src/words.rs
@@ -1,6 +1,6 @@
 //! The wire's words for outcomes and notes.
 
-use doorgrade::{Note, Outcome};
+use doorgrade::{CacheStatus, Outcome};
 
 use crate::line::Bad;
 
@@ -19,19 +19,19 @@
     })
 }
 
-pub fn note(info: u64) -> Result<Note, Bad> {
+pub fn note(info: u64) -> Result<CacheStatus, Bad> {
     Ok(match info {
-        0 => Note::Untold,
-        1 => Note::Hit,
-        2 => Note::Filled,
-        3 => Note::FilledByOrigin,
-        4 => Note::Joined,
-        5 => Note::Stale,
-        6 => Note::SourceRefused,
-        7 => Note::SourceLost,
-        8 => Note::SourceLacks,
-        9 => Note::NoFillPlace,
-        10 => Note::OriginFailed,
+        0 => CacheStatus::Untold,
+        1 => CacheStatus::Hit,
+        2 => CacheStatus::Filled,
+        3 => CacheStatus::FilledByOrigin,
+        4 => CacheStatus::Joined,
+        5 => CacheStatus::Stale,
+        6 => CacheStatus::SourceRefused,
+        7 => CacheStatus::SourceLost,
+        8 => CacheStatus::SourceLacks,
+        9 => CacheStatus::NoFillPlace,
+        10 => CacheStatus::OriginFailed,
         other => return Err(Bad(format!("field 'info': unknown note {other}"))),
     })
 }
--- a/crates/benchlink/src/writer.rs
+++ b/crates/benchlink/src/writer.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 use std::io::Write;
 
-use doorgrade::{AccessId, Outlet, Push, Tenths, Unserved};
+use doorgrade::{AccessId, EffectSink, Push, Ticks, UnservedReason};
 
 #[derive(Default)]
 pub struct Writer {
@@ -12,7 +12,7 @@
 }
 
 /// Tenths of a millisecond as the wire's milliseconds.
-struct Ms(Tenths);
+struct Ms(Ticks);
 
 impl fmt::Display for Ms {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -43,9 +43,9 @@
     }
 }
 
-impl Outlet for Writer {
+impl EffectSink for Writer {
     fn push(&mut self, p: &Push<'_>) {
-        let how = u8::from(p.join) | u8::from(p.kept_only) << 1 | u8::from(p.renew) << 3;
+        let how = u8::from(p.join_fill) | u8::from(p.only_if_cached) << 1 | u8::from(p.refresh) << 3;
         let who = std::mem::take(&mut self.who);
         self.put(format_args!(
             "serve_via i={who} requestId={} how={how} fromWhere={} storeAs={} cache={} maxWait={}",
@@ -53,40 +53,40 @@
             p.source,
             p.rank,
             p.cache,
-            Ms(p.wait)
+            Ms(p.timeout)
         ));
-        if p.age > 0 {
-            self.put(format_args!(" age={}", Ms(p.age)));
+        if p.max_age > 0 {
+            self.put(format_args!(" age={}", Ms(p.max_age)));
         }
         self.buffer.push(b'\n');
         self.who = who;
     }
 
-    fn withdraw(&mut self, access: AccessId, push: usize) {
+    fn cancel_push(&mut self, access: AccessId, push: usize) {
         let who = std::mem::take(&mut self.who);
         self.put(format_args!("abort_attempt i={who} requestId={access} sendNo={push}\n"));
         self.who = who;
     }
 
-    fn decline(&mut self, access: AccessId, _: Unserved) {
+    fn decline(&mut self, access: AccessId, _: UnservedReason) {
         let who = std::mem::take(&mut self.who);
         self.put(format_args!("say_no i={who} requestId={access}\n"));
         self.who = who;
     }
 
-    fn give_up(&mut self, access: AccessId, _: Unserved) {
+    fn give_up(&mut self, access: AccessId, _: UnservedReason) {
         let who = std::mem::take(&mut self.who);
         self.put(format_args!("report_failure i={who} requestId={access}\n"));
         self.who = who;
     }
 
-    fn wake(&mut self, at: Tenths, key: u64) {
+    fn set_timer(&mut self, at: Ticks, key: u64) {
         let who = std::mem::take(&mut self.who);
         self.put(format_args!("defer i={who} time={} keyBack={key}\n", Ms(at)));
         self.who = who;
     }
 
-    fn follow_list(&mut self) {
+    fn request_member_list(&mut self) {
         let who = std::mem::take(&mut self.who);
         self.put(format_args!("subscribe i={who} active=1\n"));
         self.who = who;
--- a/crates/cli/src/keys.rs
+++ b/crates/cli/src/keys.rs
@@ -98,7 +98,7 @@
     for Dated { file, of, span } in &all {
         let word = span.word(now());
         wrong |= word.is_some();
-        let days = span.to.saturating_sub(now()) / doorgrade_trust::DAY;
+        let days = span.to.saturating_sub(now()) / doorgrade_trust::TICKS_PER_DAY;
         let stands = word.map_or(format!("good for {days} days"), |word| word.to_string());
         list.push(json!({"file": file.display().to_string(), "for": of, "from_ms": span.from / 10,
             "to_ms": span.to / 10, "stands": stands, "due": word.is_some()}));
--- a/crates/control-client/src/memory.rs
+++ b/crates/control-client/src/memory.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddrV4;
 use std::path::Path;
 
-use doorgrade::{Offering, Tenths};
+use doorgrade::{Offering, Ticks};
 use doorgrade_hierarchy::homes::Kept;
 use doorgrade_operator::files;
 use doorgrade_operator::neighbours::Recall;
@@ -25,15 +25,15 @@
     /// Of what follows. A later one reads earlier ones.
     format: u16,
     front: Box<str>,
-    taken: Tenths,
+    taken: Ticks,
     lists: Vec<Kept>,
 }
 
 const HOMES_FORMAT: u16 = 1;
 
 /// The rules that a deployment's offerings make.
-pub fn rules(offerings: &[Offering], purge_done: Tenths, most: usize) -> Rules {
-    Rules { fresh: offerings.iter().map(|o| o.fresh).collect(), purge_done, most }
+pub fn rules(offerings: &[Offering], purge_done: Ticks, most: usize) -> Rules {
+    Rules { fresh: offerings.iter().map(|o| o.fresh_time).collect(), purge_done, most }
 }
 
 /// For people: what is remembered and from whom, and what came of asking and giving.
@@ -67,7 +67,7 @@
     store: Option<Records>,
     /// The incarnation of the start before, if its snapshot says.
     pub last_incarnation: u64,
-    written: Tenths,
+    written: Ticks,
     /// Something has come since.
     changed: bool,
     asking: Option<Asking>,
@@ -75,7 +75,7 @@
     tally: Tally,
     /// What was found at the start, for the instance to hear before it serves.
     found: (Vec<Fill>, Vec<Purge>),
-    found_homes: Option<(Tenths, Vec<Kept>)>,
+    found_homes: Option<(Ticks, Vec<Kept>)>,
     homes: Vec<Kept>,
     failed: Option<String>,
 }
@@ -116,7 +116,7 @@
         remember
     }
 
-    fn load(&mut self, now: Tenths) {
+    fn load(&mut self, now: Ticks) {
         self.found_homes = self.load_homes();
         let read = self.store.as_ref().map_or(Ok(None), read);
         let snapshot = match read {
@@ -137,7 +137,7 @@
         self.found = (fills, purges);
     }
 
-    fn load_homes(&self) -> Option<(Tenths, Vec<Kept>)> {
+    fn load_homes(&self) -> Option<(Ticks, Vec<Kept>)> {
         let bytes = match self.store.as_ref()?.read(HOMES) {
             Ok(bytes) => bytes?,
             Err(trouble) => {
@@ -158,7 +158,7 @@
     }
 
     /// Homes of objects as they were before, and when that was written.
-    pub fn homes(&self) -> Option<(Tenths, Vec<Kept>)> {
+    pub fn homes(&self) -> Option<(Ticks, Vec<Kept>)> {
         self.found_homes.clone()
     }
 
@@ -180,12 +180,12 @@
     }
 
     /// When a snapshot is due.
-    pub fn due(&self) -> Tenths {
+    pub fn due(&self) -> Ticks {
         self.written + self.own.write_ms * 10
     }
 
     /// Writes a snapshot, if there is anything new.
-    pub fn write(&mut self, now: Tenths, incarnation: u64) {
+    pub fn write(&mut self, now: Ticks, incarnation: u64) {
         self.written = now;
         let Some(store) = self.store.as_ref().filter(|_| self.changed) else { return };
         let taken = clock::now();
@@ -216,19 +216,19 @@
     // ---- neighbours
 
     /// It has just come back, or woken: those that lived are asked.
-    pub fn ask(&mut self, now: Tenths) {
+    pub fn ask(&mut self, now: Ticks) {
         self.asking = Some(Asking::new(&self.name, now));
         self.tally = Tally::default();
     }
 
     /// What it has seen before a stall is no first-hand knowledge any more.
-    pub fn slept(&mut self, now: Tenths) {
+    pub fn slept(&mut self, now: Ticks) {
         self.memory.slept();
         self.ask(now);
     }
 
     /// A neighbour is there that was not.
-    pub fn met(&mut self, now: Tenths) {
+    pub fn met(&mut self, now: Ticks) {
         let true_for = self.memory.rules().longest();
         self.asking.iter_mut().for_each(|a| a.met(now, true_for));
     }
@@ -239,12 +239,12 @@
     }
 
     /// When the next question to a neighbour is due.
-    pub fn late(&self) -> Option<Tenths> {
+    pub fn late(&self) -> Option<Ticks> {
         self.asking.as_ref().and_then(Asking::due)
     }
 
     /// Whom to ask for which page now.
-    pub fn step(&mut self, now: Tenths, givers: &[Giver]) -> Vec<Asked> {
+    pub fn step(&mut self, now: Ticks, givers: &[Giver]) -> Vec<Asked> {
         let Some(asking) = self.asking.as_mut().filter(|a| !a.done) else { return Vec::new() };
         let asks = asking.step(now, givers);
         if asking.done {
@@ -254,7 +254,7 @@
     }
 
     /// What a neighbour that asks for a page is given.
-    pub fn page(&mut self, now: Tenths, to: SocketAddrV4, page: u16) -> Gave {
+    pub fn page(&mut self, now: Ticks, to: SocketAddrV4, page: u16) -> Gave {
         let remembers = !self.found.0.is_empty();
         if self.asking.as_ref().is_some_and(|a| !a.gives(remembers)) {
             return Gave::Nothing;
@@ -280,12 +280,12 @@
     }
 
     /// The neighbour gives no more at the moment.
-    pub fn busy(&mut self, now: Tenths, from: SocketAddrV4, page: u16) {
+    pub fn busy(&mut self, now: Ticks, from: SocketAddrV4, page: u16) {
         self.asking.iter_mut().for_each(|a| a.busy(now, from, page));
     }
 
     /// The neighbour has nothing to give.
-    pub fn nothing(&mut self, now: Tenths, from: SocketAddrV4, page: u16) {
+    pub fn nothing(&mut self, now: Ticks, from: SocketAddrV4, page: u16) {
         self.asking.iter_mut().for_each(|a| a.nothing(now, from, page));
     }
 
--- a/crates/control-client/src/neighbours/exchange.rs
+++ b/crates/control-client/src/neighbours/exchange.rs
@@ -3,7 +3,7 @@
 use std::net::{SocketAddr, SocketAddrV4};
 use std::time::Duration;
 
-use doorgrade::Tenths;
+use doorgrade::Ticks;
 use doorgrade_members::{self as members, Effect, Words};
 use doorgrade_recall::Gave;
 use tokio::sync::mpsc as queue;
@@ -35,7 +35,7 @@
     pub(super) recalled: Recalled,
     pub(super) incarnation: u64,
     /// When it was bound.
-    pub(super) now: Tenths,
+    pub(super) now: Ticks,
 }
 
 impl Exchange {
--- a/crates/control-client/src/neighbours/message.rs
+++ b/crates/control-client/src/neighbours/message.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddrV4;
 
-use doorgrade::Tenths;
+use doorgrade::Ticks;
 use doorgrade_members::seal::Keys;
 use doorgrade_members::{Id, Seen, State};
 use doorgrade_recall::{Fill, Purge};
@@ -86,8 +86,8 @@
 }
 
 impl Row {
-    pub(super) fn of(seen: Seen, now: Tenths) -> Row {
-        let ago = |at: Tenths| now.saturating_sub(at) / 10;
+    pub(super) fn of(seen: Seen, now: Ticks) -> Row {
+        let ago = |at: Ticks| now.saturating_sub(at) / 10;
         let state = match seen.state {
             State::Up => MemberState::Up,
             State::Doubted => MemberState::Doubted,
--- a/crates/control-client/src/neighbours/mod.rs
+++ b/crates/control-client/src/neighbours/mod.rs
@@ -14,7 +14,7 @@
 use std::net::UdpSocket;
 use std::path::{Path, PathBuf};
 
-use doorgrade::{Offering, Tenths};
+use doorgrade::{Offering, Ticks};
 use doorgrade_hierarchy::homes::Kept;
 use doorgrade_operator::files;
 use doorgrade_operator::neighbours::{Neighbours, Recall};
@@ -46,7 +46,7 @@
     pub settings: &'a Path,
     /// The offerings that it serves, and how long a purge takes to be done, for what may be recalled.
     pub offerings: &'a [Offering],
-    pub purge_done: Tenths,
+    pub purge_done: Ticks,
 }
 
 /// Hears what was recalled from neighbours and still holds.
@@ -123,7 +123,7 @@
     }
 
     /// Homes of objects as they were before, and when that was written.
-    pub fn homes(&self) -> Option<(Tenths, Vec<Kept>)> {
+    pub fn homes(&self) -> Option<(Ticks, Vec<Kept>)> {
         self.remember.as_ref().and_then(Remember::homes)
     }
 
--- a/crates/control-client/src/neighbours/socket.rs
+++ b/crates/control-client/src/neighbours/socket.rs
@@ -2,7 +2,7 @@
 
 use std::net::{SocketAddr, SocketAddrV4};
 
-use doorgrade::Tenths;
+use doorgrade::Ticks;
 use doorgrade_members::seal::Keys;
 use doorgrade_members::{Id, Members, Settings};
 use doorgrade_recall::Giver;
@@ -25,7 +25,7 @@
         membership: Membership,
         socket: std::net::UdpSocket,
         incarnation: u64,
-        now: Tenths,
+        now: Ticks,
     ) -> std::io::Result<Peers> {
         let socket = UdpSocket::from_std(socket)?;
         let own = &membership.own;
--- a/crates/control-client/tests/exchange.rs
+++ b/crates/control-client/tests/exchange.rs
@@ -5,7 +5,7 @@
 use std::sync::mpsc::{Receiver, channel};
 use std::time::{Duration, Instant};
 
-use doorgrade::{Effect, Offering};
+use doorgrade::{Offering, RepeatPolicy};
 use doorgrade_control_client::Learned;
 use doorgrade_control_client::clock::unix;
 use doorgrade_control_client::neighbours::{Learning, Neighbourhood, Own, Standing, Status, status};
@@ -53,11 +53,11 @@
 fn start(folder: &Path, name: &str, listen: SocketAddrV4, seed: SocketAddrV4) -> Running {
     let fresh = 36_000_000;
     let offering = Offering {
-        soft: 5_000,
-        stretch: 0.0,
+        soft_limit: 5_000,
+        transfer_factor: 0.0,
         benefit: 1.0,
-        effect: Effect::Idempotent,
-        fresh,
+        repeat_policy: RepeatPolicy::Idempotent,
+        fresh_time: fresh,
         uncacheable: false,
     };
     let settings = folder.join("doorgrade.hcl");
--- a/crates/custody/src/birth.rs
+++ b/crates/custody/src/birth.rs
@@ -11,7 +11,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use doorgrade::Tenths;
+use doorgrade::Ticks;
 use serde::{Deserialize, Serialize};
 
 use crate::Front;
@@ -55,7 +55,7 @@
     lives: BTreeMap<Front, (u64, Option<u64>)>,
     knew: BTreeSet<Front>,
     /// Until when it may have forgotten what is still open.
-    forgot: Option<Tenths>,
+    forgot: Option<Ticks>,
 }
 
 impl Birth {
@@ -65,8 +65,8 @@
         roster: &[Front],
         life: u64,
         found: Option<Lives>,
-        now: Tenths,
-        keep: Tenths,
+        now: Ticks,
+        keep: Ticks,
     ) -> Birth {
         let forgot = found.as_ref().is_none_or(|f| !f.whole).then_some(now + keep);
         let last = found.as_ref().map(|f| f.last);
@@ -76,7 +76,7 @@
     }
 
     /// What is to be on the disk.
-    pub fn store(&self, now: Tenths) -> Lives {
+    pub fn store(&self, now: Ticks) -> Lives {
         Lives { last: self.life, whole: self.whole(now), others: self.lives.clone() }
     }
 
@@ -86,12 +86,12 @@
     }
 
     /// Nothing that it may have forgotten is open.
-    fn whole(&self, now: Tenths) -> bool {
+    fn whole(&self, now: Ticks) -> bool {
         self.forgot.is_none_or(|until| until <= now)
     }
 
     /// Another has begun a life. To be on the disk before the answer is given.
-    pub fn heard(&mut self, now: Tenths, from: Front, born: Born) -> Knew {
+    pub fn heard(&mut self, now: Ticks, from: Front, born: Born) -> Knew {
         if !self.roster.contains(&from) {
             return Knew { life: born.life, before: None, whole: false };
         }
@@ -112,7 +112,7 @@
         Knew { life: born.life, before, whole: self.whole(now) }
     }
 
-    pub fn answered(&mut self, now: Tenths, keep: Tenths, from: Front, knew: Knew) {
+    pub fn answered(&mut self, now: Ticks, keep: Ticks, from: Front, knew: Knew) {
         if knew.life != self.life || !self.roster.contains(&from) {
             return;
         }
@@ -131,7 +131,7 @@
         }
     }
 
-    pub fn votes(&self, now: Tenths) -> bool {
+    pub fn votes(&self, now: Ticks) -> bool {
         let others = self.roster.iter().filter(|f| **f != self.own).count();
         self.whole(now) && 2 * self.knew.len() > others
     }
--- a/crates/custody/src/hands.rs
+++ b/crates/custody/src/hands.rs
@@ -4,20 +4,20 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use doorgrade::{Tenths, hash};
+use doorgrade::{Ticks, hash};
 
 use crate::{Ask, Effect, Front, MOST_PUSHES, Name, Outcome, Push, Roster, Said, Seats, Term, Told, Work};
 
 /// A word that was not answered is said again: some round trips on a slow link, fewer on a quick one.
-const AGAIN: Tenths = 1_000;
+const AGAIN: Ticks = 1_000;
 /// How often the seats are asked how a work stands that another has in hand: what its client waits longer at the most.
-const LOOK: Tenths = 500;
+const LOOK: Ticks = 500;
 /// Between those that may take a work over: the next has heard of the first by then, or else both try and one is refused.
-const RANK: Tenths = 2_000;
+const RANK: Ticks = 2_000;
 /// Works that are being taken over at once by one front; the others wait, so that their seats are not asked for all at once.
 const AT_ONCE: usize = 64;
 /// For how long a work's end is still told to its seats after its client's time is up.
-const TOLD_FOR: Tenths = 100_000;
+const TOLD_FOR: Ticks = 100_000;
 
 /// What came of a push.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -39,8 +39,8 @@
     Go {
         name: Name,
         pushes: Vec<Push>,
-        age: Tenths,
-        left: Tenths,
+        age: Ticks,
+        left: Ticks,
     },
     /// This push is known to be meant: now, or never.
     Push {
@@ -94,13 +94,13 @@
     version: u32,
     phase: Phase,
     then: Then,
-    until: Tenths,
+    until: Ticks,
     /// When the first push was meant, or earlier.
-    meant_at: Tenths,
-    begun: Tenths,
-    due: Tenths,
+    meant_at: Ticks,
+    begun: Ticks,
+    due: Ticks,
     /// When the claim in hand was first said.
-    asked_at: Tenths,
+    asked_at: Ticks,
     agreed: BTreeSet<Front>,
     against: BTreeMap<Front, Told>,
     /// Clients here wait for it.
@@ -115,9 +115,9 @@
     life: u64,
     roster: Roster,
     /// For how long a work may stay unkept before its access is told so.
-    patience: Tenths,
+    patience: Ticks,
     works: BTreeMap<Name, Mine>,
-    dues: BTreeSet<(Tenths, Name)>,
+    dues: BTreeSet<(Ticks, Name)>,
     /// Whom it takes for gone.
     down: BTreeSet<Front>,
     waiting: VecDeque<Name>,
@@ -126,7 +126,7 @@
 }
 
 impl Hands {
-    pub fn new(own: Front, life: u64, roster: Roster, patience: Tenths) -> Hands {
+    pub fn new(own: Front, life: u64, roster: Roster, patience: Ticks) -> Hands {
         Hands {
             own,
             life,
@@ -159,11 +159,11 @@
     }
 
     /// When `due` is to be called.
-    pub fn next(&self) -> Option<Tenths> {
+    pub fn next(&self) -> Option<Ticks> {
         self.dues.first().map(|d| d.0)
     }
 
-    fn set_due(&mut self, name: Name, at: Tenths) {
+    fn set_due(&mut self, name: Name, at: Ticks) {
         if let Some(mine) = self.works.get_mut(&name) {
             self.dues.remove(&(mine.due, name));
             mine.due = at;
@@ -177,7 +177,7 @@
         Some(mine)
     }
 
-    fn to(&mut self, now: Tenths, name: Name, phase: Phase, then: Then) {
+    fn to(&mut self, now: Ticks, name: Name, phase: Phase, then: Then) {
         let Some(mine) = self.works.get_mut(&name) else { return };
         if mine.phase == Phase::Claiming {
             self.claims -= 1;
@@ -197,12 +197,12 @@
     #[allow(clippy::too_many_arguments)]
     pub fn take(
         &mut self,
-        now: Tenths,
+        now: Ticks,
         name: Name,
         print: u64,
         effect: Effect,
         first: u64,
-        until: Tenths,
+        until: Ticks,
         out: &mut Vec<Do>,
     ) -> bool {
         if let Some(mine) = self.works.get_mut(&name) {
@@ -248,7 +248,7 @@
     }
 
     /// The module wants to push it to a cache. False: it may not, or not now.
-    pub fn intend(&mut self, now: Tenths, name: Name, to: u64, out: &mut Vec<Do>) -> bool {
+    pub fn intend(&mut self, now: Ticks, name: Name, to: u64, out: &mut Vec<Do>) -> bool {
         let Some(mine) = self.works.get_mut(&name).filter(|m| m.phase == Phase::Idle) else { return false };
         let again = mine.work.may_have_run() && mine.work.effect == Effect::Unrepeatable;
         if again || mine.work.pushes.len() >= MOST_PUSHES || now >= mine.until {
@@ -264,7 +264,7 @@
     }
 
     /// A push of it has ended.
-    pub fn ended(&mut self, now: Tenths, name: Name, push: usize, fate: Fate, out: &mut Vec<Do>) {
+    pub fn ended(&mut self, now: Ticks, name: Name, push: usize, fate: Fate, out: &mut Vec<Do>) {
         let Some(mine) = self.works.get_mut(&name) else { return };
         // Whoever is not its owner any more passes nothing on: what came of it is told by the one who is, or nobody.
         if !matches!(mine.phase, Phase::Idle | Phase::Writing) || mine.then == Then::Settle {
@@ -285,14 +285,14 @@
     }
 
     /// The module goes no further.
-    pub fn finish(&mut self, now: Tenths, name: Name, out: &mut Vec<Do>) {
+    pub fn finish(&mut self, now: Ticks, name: Name, out: &mut Vec<Do>) {
         let Some(mine) = self.works.get_mut(&name).filter(|m| m.phase == Phase::Idle) else { return };
         mine.work.outcome =
             Some(if mine.work.may_have_run() { Outcome::MayHaveRun } else { Outcome::NotRun });
         self.write(now, name, Then::Settle, out);
     }
 
-    fn write(&mut self, now: Tenths, name: Name, then: Then, out: &mut Vec<Do>) {
+    fn write(&mut self, now: Ticks, name: Name, then: Then, out: &mut Vec<Do>) {
         if let Some(mine) = self.works.get_mut(&name) {
             mine.version = mine.version.saturating_add(1);
         }
@@ -305,7 +305,7 @@
     /// Taken for gone, or it says that it goes: what it has in hand is another's. `works`: what this front's seat keeps.
     pub fn down<'a>(
         &mut self,
-        now: Tenths,
+        now: Ticks,
         front: Front,
         works: impl Iterator<Item = (Name, &'a crate::Kept)>,
         out: &mut Vec<Do>,
@@ -356,14 +356,14 @@
         self.down.remove(&front);
     }
 
-    fn wait_for_turn(&mut self, now: Tenths, name: Name) {
+    fn wait_for_turn(&mut self, now: Ticks, name: Name) {
         let Some(rank) = self.works.get(&name).map(|m| m.seats.rank(self.own)) else { return };
         self.to(now, name, Phase::Waiting, Then::Go);
         self.set_due(name, now + RANK * rank);
     }
 
     /// A seat has answered.
-    pub fn heard(&mut self, now: Tenths, from: Front, name: Name, said: Said, out: &mut Vec<Do>) {
+    pub fn heard(&mut self, now: Ticks, from: Front, name: Name, said: Said, out: &mut Vec<Do>) {
         let Some(mine) = self.works.get_mut(&name).filter(|m| m.seats.all().any(|f| f == from)) else {
             return;
         };
@@ -390,7 +390,7 @@
     }
 
     /// What was to be known to a majority is.
-    fn known(&mut self, now: Tenths, name: Name, out: &mut Vec<Do>) {
+    fn known(&mut self, now: Ticks, name: Name, out: &mut Vec<Do>) {
         let Some(mine) = self.works.get(&name).filter(|m| m.seats.majority(|f| m.agreed.contains(&f))) else {
             return;
         };
@@ -414,7 +414,7 @@
         }
     }
 
-    fn go(&mut self, now: Tenths, name: Name, out: &mut Vec<Do>) {
+    fn go(&mut self, now: Ticks, name: Name, out: &mut Vec<Do>) {
         let Some(mine) = self.works.get(&name) else { return };
         let (age, left) = (now.saturating_sub(mine.meant_at), mine.until.saturating_sub(now));
         let may = match mine.work.effect {
@@ -431,7 +431,7 @@
         }
     }
 
-    fn settle(&mut self, now: Tenths, name: Name, out: &mut Vec<Do>) {
+    fn settle(&mut self, now: Ticks, name: Name, out: &mut Vec<Do>) {
         self.to(now, name, Phase::Settled, Then::Settle);
         let Some(mine) = self.works.get_mut(&name) else { return };
         if let Some(outcome) = mine.work.outcome.clone().filter(|_| mine.waited) {
@@ -444,7 +444,7 @@
 
     /// Two seats have promised: nothing of an earlier term will come to be known, and the latest of what may be is in their
     /// answers.
-    fn promised(&mut self, now: Tenths, name: Name, out: &mut Vec<Do>) {
+    fn promised(&mut self, now: Ticks, name: Name, out: &mut Vec<Do>) {
         let Some(mine) = self.works.get_mut(&name).filter(|m| m.seats.majority(|f| m.agreed.contains(&f)))
         else {
             return;
@@ -464,7 +464,7 @@
 
     fn refused(
         &mut self,
-        now: Tenths,
+        now: Ticks,
         from: Front,
         name: Name,
         promised: Term,
@@ -521,20 +521,12 @@
         out.extend(mine.seats.all().map(|to| Do::Say { to, name, ask: Ask::Drop { born } }));
     }
 
-    fn watch(&mut self, now: Tenths, name: Name) {
+    fn watch(&mut self, now: Ticks, name: Name) {
         self.to(now, name, Phase::Watching, Then::Go);
     }
 
     /// Of a work that another has in hand.
-    fn stands(
-        &mut self,
-        now: Tenths,
-        from: Front,
-        name: Name,
-        promised: Term,
-        told: Told,
-        out: &mut Vec<Do>,
-    ) {
+    fn stands(&mut self, now: Ticks, from: Front, name: Name, promised: Term, told: Told, out: &mut Vec<Do>) {
         let Some(mine) = self.works.get_mut(&name).filter(|m| m.phase == Phase::Watching) else { return };
         if told.work.print != mine.work.print {
             return;
--- a/crates/custody/src/hands/time.rs
+++ b/crates/custody/src/hands/time.rs
@@ -1,12 +1,12 @@
 //! What is due: words said again, claims, and what ends with its client's time.
 
-use doorgrade::Tenths;
+use doorgrade::Ticks;
 
 use super::{AGAIN, AT_ONCE, Do, Hands, LOOK, Phase, TOLD_FOR, Then};
 use crate::{Ask, Name, Term, Told};
 
 impl Hands {
-    pub fn due(&mut self, now: Tenths, out: &mut Vec<Do>) {
+    pub fn due(&mut self, now: Ticks, out: &mut Vec<Do>) {
         while let Some(&(at, name)) = self.dues.first().filter(|d| d.0 <= now) {
             self.dues.remove(&(at, name));
             self.one_due(now, name, out);
@@ -19,7 +19,7 @@
         }
     }
 
-    fn one_due(&mut self, now: Tenths, name: Name, out: &mut Vec<Do>) {
+    fn one_due(&mut self, now: Ticks, name: Name, out: &mut Vec<Do>) {
         let Some(mine) = self.works.get_mut(&name) else { return };
         let late = now >= mine.until;
         if late && mine.waited && !mine.told_late && mine.phase != Phase::Settled && mine.phase != Phase::Idle
@@ -59,7 +59,7 @@
         }
     }
 
-    fn claim(&mut self, now: Tenths, name: Name, out: &mut Vec<Do>) {
+    fn claim(&mut self, now: Ticks, name: Name, out: &mut Vec<Do>) {
         let (own, life) = (self.own, self.life);
         let Some(mine) = self.works.get_mut(&name) else { return };
         mine.asked_at = now;
@@ -70,7 +70,7 @@
     }
 
     /// To all seats that have not agreed, again and again.
-    fn say(&mut self, now: Tenths, name: Name, out: &mut Vec<Do>) {
+    fn say(&mut self, now: Ticks, name: Name, out: &mut Vec<Do>) {
         let Some(mine) = self.works.get(&name) else { return };
         let (term, version, left) = (mine.term, mine.version, mine.until.saturating_sub(now));
         let work = || mine.work.clone();
--- a/crates/custody/src/lib.rs
+++ b/crates/custody/src/lib.rs
@@ -21,7 +21,7 @@
 mod roster;
 mod seat;
 
-use doorgrade::Tenths;
+use doorgrade::Ticks;
 use serde::{Deserialize, Serialize};
 
 pub use birth::{Birth, Born, Knew, Lives};
@@ -49,7 +49,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Effect {
     Idempotent,
-    Deduplicated { window: Tenths },
+    Deduplicated { window: Ticks },
     Unrepeatable,
 }
 
@@ -125,9 +125,9 @@
     pub version: u32,
     pub work: Work,
     /// How long ago the seat heard of the first push that was meant: at least as long as it can have run.
-    pub age: Tenths,
+    pub age: Ticks,
     /// Of the client's time.
-    pub left: Tenths,
+    pub left: Ticks,
 }
 
 /// To a seat.
@@ -137,13 +137,13 @@
     Take {
         term: Term,
         work: Work,
-        left: Tenths,
+        left: Ticks,
     },
     Write {
         term: Term,
         version: u32,
         work: Work,
-        left: Tenths,
+        left: Ticks,
     },
     /// A later term; with what is known of it, for a seat that never heard.
     Claim {
--- a/crates/custody/src/seat.rs
+++ b/crates/custody/src/seat.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use doorgrade::Tenths;
+use doorgrade::Ticks;
 use serde::{Deserialize, Serialize};
 
 use crate::{Ask, Name, Said, Term, Told, Work};
@@ -16,14 +16,14 @@
     pub version: u32,
     pub work: Work,
     /// By this seat's clock: when it heard of the first push that was meant, and until when the client waits.
-    pub meant_at: Tenths,
-    pub until: Tenths,
+    pub meant_at: Ticks,
+    pub until: Ticks,
     /// When it was heard of last.
-    pub at: Tenths,
+    pub at: Ticks,
 }
 
 impl Kept {
-    fn told(&self, now: Tenths) -> Told {
+    fn told(&self, now: Ticks) -> Told {
         Told {
             written: self.written,
             version: self.version,
@@ -38,7 +38,7 @@
 pub struct Seat {
     works: BTreeMap<Name, Kept>,
     most: usize,
-    keep: Tenths,
+    keep: Ticks,
     /// It knows all that it has said yes to.
     pub votes: bool,
 }
@@ -46,7 +46,7 @@
 impl Seat {
     /// `found`: what its store has. `keep`: for how long a work is known after it was heard of last, longer than any client
     /// waits.
-    pub fn new(most: usize, keep: Tenths, found: BTreeMap<Name, Kept>, votes: bool) -> Seat {
+    pub fn new(most: usize, keep: Ticks, found: BTreeMap<Name, Kept>, votes: bool) -> Seat {
         Seat { works: found, most, keep, votes }
     }
 
@@ -59,7 +59,7 @@
     }
 
     /// Works whose time is over; to be removed from the store, too.
-    pub fn tidy(&mut self, now: Tenths) -> Vec<Name> {
+    pub fn tidy(&mut self, now: Ticks) -> Vec<Name> {
         let over: Vec<Name> = self
             .works
             .iter()
@@ -71,7 +71,7 @@
     }
 
     /// An answer, and whether the work has to be on the disk before it is given.
-    pub fn hear(&mut self, now: Tenths, name: Name, ask: Ask) -> (Said, bool) {
+    pub fn hear(&mut self, now: Ticks, name: Name, ask: Ask) -> (Said, bool) {
         if !self.votes && ask != Ask::Look {
             return (Said::Abstains, false);
         }
--- a/crates/custody/tests/model.rs
+++ b/crates/custody/tests/model.rs
@@ -5,15 +5,15 @@
 
 use std::collections::BTreeMap;
 
-use doorgrade::Tenths;
+use doorgrade::Ticks;
 use doorgrade_custody::{
     Answer, Ask, Do, Effect, Fate, Front, Hands, Kept, Name, Outcome, Place, Roster, Said, Seat,
 };
 use stateright::{Checker, Model, Property};
 
-const S: Tenths = 10_000;
+const S: Ticks = 10_000;
 const NAME: Name = Name(7);
-const KEEP: Tenths = 1_000 * S;
+const KEEP: Ticks = 1_000 * S;
 
 /// Faults of a shell that the search is to find.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -52,7 +52,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
-    now: Tenths,
+    now: Ticks,
     all: Vec<Option<One>>,
     lives: [u64; 3],
     disks: [BTreeMap<Name, Kept>; 3],
@@ -168,7 +168,7 @@
         self.words.sort_by_key(|w| format!("{w:?}"));
     }
 
-    fn on(&mut self, n: usize, fault: Fault, act: impl FnOnce(&mut One, Tenths, &mut Vec<Do>)) {
+    fn on(&mut self, n: usize, fault: Fault, act: impl FnOnce(&mut One, Ticks, &mut Vec<Do>)) {
         let (now, mut out) = (self.now, Vec::new());
         if let Some(one) = &mut self.all[n] {
             act(one, now, &mut out);
--- a/crates/custody/tests/world.rs
+++ b/crates/custody/tests/world.rs
@@ -5,7 +5,7 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
-use doorgrade::Tenths;
+use doorgrade::Ticks;
 use doorgrade_custody::{
     Answer, Birth, Born, Do, Effect, Fate, Front, Hands, Kept, Knew, Lives, Name, Outcome, Place, Roster,
     Said, Seat,
@@ -14,9 +14,9 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-const S: Tenths = 10_000;
-const KEEP: Tenths = 60 * S;
-const PATIENCE: Tenths = S;
+const S: Ticks = 10_000;
+const KEEP: Ticks = 60 * S;
+const PATIENCE: Ticks = S;
 
 #[derive(Clone)]
 struct Disk {
@@ -40,7 +40,7 @@
     Up(Front),
 }
 
-struct Due(Tenths, u64, usize, u32, What);
+struct Due(Ticks, u64, usize, u32, What);
 
 impl PartialEq for Due {
     fn eq(&self, other: &Due) -> bool {
@@ -70,7 +70,7 @@
     disk: Option<Disk>,
     older: Option<Disk>,
     /// The next time that it is due, as it was put.
-    wakes: Option<Tenths>,
+    wakes: Option<Ticks>,
 }
 
 #[derive(Default, Debug)]
@@ -87,17 +87,17 @@
 }
 
 struct World {
-    now: Tenths,
+    now: Ticks,
     rng: Rng,
     all: Vec<One>,
     queue: BinaryHeap<Reverse<Due>>,
     number: u64,
     archive: BTreeMap<Name, (Effect, Archive)>,
     loss: f64,
-    delay: Tenths,
+    delay: Ticks,
     cut: Vec<(usize, usize)>,
     /// How long the archive works, and how many of its answers are lost.
-    work: Tenths,
+    work: Ticks,
     answers_lost: f64,
     /// The front that goes down before it does this effect, counted over all.
     dies_at: Option<u32>,
@@ -163,7 +163,7 @@
         One { run, up: true, stalled, kept: Vec::new(), hands, seat, birth, disk: Some(kept), older, wakes }
     }
 
-    fn put(&mut self, at: Tenths, n: usize, what: What) {
+    fn put(&mut self, at: Ticks, n: usize, what: What) {
         self.number += 1;
         let run = self.all[n].run;
         self.queue.push(Reverse(Due(at, self.number, n, run, what)));
@@ -329,7 +329,7 @@
         self.perform(n, out);
     }
 
-    fn pass(&mut self, time: Tenths) {
+    fn pass(&mut self, time: Ticks) {
         let end = self.now + time;
         while self.queue.peek().is_some_and(|d| d.0.0 <= end) {
             let Some(Reverse(Due(at, _, n, run, what))) = self.queue.pop() else { break };
--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -12,7 +12,7 @@
 use crate::instance::{Instance, Kept, Want};
 use crate::order::{Refused, What};
 use crate::pace::{Budget, Rules};
-use crate::{Process, Run, Tenths};
+use crate::{Process, Run, Ticks};
 
 pub use line::Line;
 
@@ -48,7 +48,7 @@
         kill: bool,
     },
     /// Call [`Fleet::due`] then; what was asked for before is not needed any more.
-    Wake(Tenths),
+    Wake(Ticks),
     Tell(Line),
 }
 
@@ -68,7 +68,7 @@
 struct Open {
     by: Box<str>,
     what: What,
-    at: Tenths,
+    at: Ticks,
     targets: Vec<usize>,
     halted: Option<Box<str>>,
     /// All of it is done, and that was told.
@@ -80,14 +80,14 @@
 pub struct Fleet {
     rules: Rules,
     rng: Rng,
-    now: Tenths,
+    now: Ticks,
     stations: Vec<Station>,
     instances: Vec<Instance>,
     by_name: BTreeMap<Box<str>, usize>,
     orders: BTreeMap<u64, Open>,
     next_order: u64,
-    wakes: BTreeSet<(Tenths, usize)>,
-    told_wake: Option<Tenths>,
+    wakes: BTreeSet<(Ticks, usize)>,
+    told_wake: Option<Ticks>,
     /// Stations in which somebody waits for its start.
     waiting: BTreeSet<usize>,
     /// Why the journal could not be written last.
@@ -97,12 +97,12 @@
 /// Orders remembered once they are over, for whoever asks how they went.
 const MOST_ORDERS: usize = 256;
 /// A look that was not answered is asked for again.
-const LOOK_AGAIN: Tenths = 10 * crate::SECOND;
+const LOOK_AGAIN: Ticks = 10 * crate::TICKS_PER_SECOND;
 
 impl Fleet {
     /// `places`: each instance with its station; `kept`: what an earlier agent left of them.
     pub fn start(
-        now: Tenths,
+        now: Ticks,
         rules: Rules,
         seed: u64,
         places: &[(Box<str>, Box<str>)],
@@ -155,12 +155,12 @@
         fleet
     }
 
-    fn clock(&mut self, now: Tenths) {
+    fn clock(&mut self, now: Ticks) {
         // A clock that was set back does not move what is due into the far future: time stands still until it is reached.
         self.now = self.now.max(now);
     }
 
-    fn wake(&mut self, place: usize, at: Tenths) {
+    fn wake(&mut self, place: usize, at: Ticks) {
         let own = &mut self.instances[place];
         if own.wakes > 0 {
             self.wakes.remove(&(own.wakes, place));
--- a/crates/fleet/src/fleet/line.rs
+++ b/crates/fleet/src/fleet/line.rs
@@ -6,7 +6,7 @@
 
 use crate::instance::{Exit, Phase};
 use crate::order::What;
-use crate::{Process, Run, Tenths};
+use crate::{Process, Run, Ticks};
 
 /// A line for the log, and for whoever watches.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -61,7 +61,7 @@
     },
     NoBudget {
         station: Box<str>,
-        until: Tenths,
+        until: Ticks,
     },
     NotKept {
         name: Box<str>,
--- a/crates/fleet/src/fleet/orders.rs
+++ b/crates/fleet/src/fleet/orders.rs
@@ -1,14 +1,14 @@
 //! Orders: taken whole or not at all, and followed until they are over.
 
 use super::{Do, Fleet, Line, MOST_ORDERS, Open};
-use crate::Tenths;
+use crate::Ticks;
 use crate::instance::{Phase, Want};
 use crate::order::{MOST_TARGETS, Order, Progress, Refused, What};
 use crate::pace::Budget;
 
 impl Fleet {
     /// The order's number; or why it is not taken, and then nothing of it is begun.
-    pub fn order(&mut self, now: Tenths, order: &Order, out: &mut Vec<Do>) -> Result<u64, Refused> {
+    pub fn order(&mut self, now: Ticks, order: &Order, out: &mut Vec<Do>) -> Result<u64, Refused> {
         self.clock(now);
         self.refuse_unkept()?;
         let places = self.may(order)?;
--- a/crates/fleet/src/fleet/reports.rs
+++ b/crates/fleet/src/fleet/reports.rs
@@ -2,11 +2,11 @@
 
 use super::{Do, Fleet, Line};
 use crate::instance::{Check, Exit, KILL_AFTER, Kept, Phase, Step, Want};
-use crate::{Process, Run, Tenths};
+use crate::{Process, Run, Ticks};
 
 impl Fleet {
     /// What the journal said when it could not be written.
-    pub fn not_kept(&mut self, now: Tenths, name: &str, why: &str, out: &mut Vec<Do>) {
+    pub fn not_kept(&mut self, now: Ticks, name: &str, why: &str, out: &mut Vec<Do>) {
         self.clock(now);
         if self.not_kept.replace(why.into()).is_none() {
             out.push(Do::Tell(Line::NotKept { name: name.into() }));
@@ -19,7 +19,7 @@
     }
 
     /// All processes that carry the instance's mark.
-    pub fn found(&mut self, now: Tenths, name: &str, processes: &[(Run, Process)], out: &mut Vec<Do>) {
+    pub fn found(&mut self, now: Ticks, name: &str, processes: &[(Run, Process)], out: &mut Vec<Do>) {
         self.clock(now);
         let Some(place) = self.place(name) else { return };
         let own = &mut self.instances[place];
@@ -80,7 +80,7 @@
     /// A start that was asked for has made a process, or has not: why.
     pub fn started(
         &mut self,
-        now: Tenths,
+        now: Ticks,
         name: &str,
         run: Run,
         made: Result<Process, Box<str>>,
@@ -105,7 +105,7 @@
     }
 
     /// A process has ended. Of one that is not the instance's it says nothing.
-    pub fn exited(&mut self, now: Tenths, name: &str, process: Process, exit: Exit, out: &mut Vec<Do>) {
+    pub fn exited(&mut self, now: Ticks, name: &str, process: Process, exit: Exit, out: &mut Vec<Do>) {
         self.clock(now);
         let Some(place) = self.place(name) else { return };
         if self.instances[place].kept.process != Some(process) {
@@ -117,7 +117,7 @@
     }
 
     /// What a check of a run has shown.
-    pub fn checked(&mut self, now: Tenths, name: &str, run: Run, check: Check, out: &mut Vec<Do>) {
+    pub fn checked(&mut self, now: Ticks, name: &str, run: Run, check: Check, out: &mut Vec<Do>) {
         self.clock(now);
         let Some(place) = self.of_run(name, run) else { return };
         let own = &mut self.instances[place];
@@ -155,7 +155,7 @@
     }
 
     /// To be called when [`Do::Wake`] says.
-    pub fn due(&mut self, now: Tenths, out: &mut Vec<Do>) {
+    pub fn due(&mut self, now: Ticks, out: &mut Vec<Do>) {
         self.clock(now);
         // One timer counts, the earliest; each that was asked for before it would otherwise ask for one more.
         if self.told_wake.is_some_and(|at| at > self.now) {
--- a/crates/fleet/src/fleet/steps.rs
+++ b/crates/fleet/src/fleet/steps.rs
@@ -1,7 +1,7 @@
 //! The next step of each instance, and who may start now.
 
 use super::{Do, Fleet, LOOK_AGAIN, Line};
-use crate::Tenths;
+use crate::Ticks;
 use crate::instance::{CHECK_EACH, CHECK_START_EACH, KILL_AFTER, Phase, START_WITHIN, Step, Want};
 use crate::pace::most_down;
 
@@ -127,7 +127,7 @@
             own.next_check = now + if own.phase == Phase::Starting { CHECK_START_EACH } else { CHECK_EACH };
             out.push(Do::Check { name: name.into(), run });
         }
-        let at: Tenths = match own.phase {
+        let at: Ticks = match own.phase {
             Phase::Stopping => own.kill_at,
             Phase::Draining => own.next_check.min(own.since + drain_for).max(now + 1),
             _ => own.next_check,
--- a/crates/fleet/src/instance.rs
+++ b/crates/fleet/src/instance.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::{Process, Run, SECOND, Tenths};
+use crate::{Process, Run, TICKS_PER_SECOND, Ticks};
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Want {
@@ -147,19 +147,19 @@
     pub kept: Kept,
     pub phase: Phase,
     /// Since when it is in this phase.
-    pub since: Tenths,
+    pub since: Ticks,
     /// When it was last seen ready, and when it last answered at all.
-    pub ready_at: Option<Tenths>,
-    pub answered_at: Tenths,
+    pub ready_at: Option<Ticks>,
+    pub answered_at: Ticks,
     /// It has said that it takes no more clients since it was told to drain.
     pub drained: bool,
     /// When it may be started again.
-    pub start_at: Tenths,
+    pub start_at: Ticks,
     /// When SIGKILL follows.
-    pub kill_at: Tenths,
+    pub kill_at: Ticks,
     /// A look at its processes has been asked for and not answered; until then nothing is done to it.
     pub looking: bool,
-    pub next_check: Tenths,
+    pub next_check: Ticks,
     /// It was ready in this run.
     pub was_ready: bool,
     /// It is being stopped since it did not do what it should.
@@ -167,25 +167,25 @@
     /// Found running where the journal knew nothing of it: how it is wanted is taken from how it is.
     pub inherited: bool,
     /// When to ask about it next.
-    pub wakes: Tenths,
+    pub wakes: Ticks,
 }
 
 /// A start that has not come to ready in this time has failed; reading a large shape takes seconds.
-pub const START_WITHIN: Tenths = 30 * SECOND;
+pub const START_WITHIN: Ticks = 30 * TICKS_PER_SECOND;
 /// An instance that answers nothing for so long while its process lives is lost: twice what its clients wait.
-pub const SILENT_FOR: Tenths = 6 * SECOND;
+pub const SILENT_FOR: Ticks = 6 * TICKS_PER_SECOND;
 /// From SIGTERM to SIGKILL: the front's own end takes its clients' longest wait and a second.
-pub const KILL_AFTER: Tenths = 15 * SECOND;
+pub const KILL_AFTER: Ticks = 15 * TICKS_PER_SECOND;
 /// One found running that says for so long that it takes no clients was told so.
-pub const INHERITED: Tenths = 2 * SECOND;
+pub const INHERITED: Ticks = 2 * TICKS_PER_SECOND;
 /// Ready for so long, a start has come to something.
-pub const PROVEN: Tenths = 30 * SECOND;
+pub const PROVEN: Ticks = 30 * TICKS_PER_SECOND;
 /// How often the door is looked at; and of one that starts, since whoever waits for it waits for that.
-pub const CHECK_EACH: Tenths = SECOND;
-pub const CHECK_START_EACH: Tenths = SECOND / 5;
+pub const CHECK_EACH: Ticks = TICKS_PER_SECOND;
+pub const CHECK_START_EACH: Ticks = TICKS_PER_SECOND / 5;
 
 impl Instance {
-    pub fn new(name: &str, station: usize, now: Tenths, kept: Kept) -> Instance {
+    pub fn new(name: &str, station: usize, now: Ticks, kept: Kept) -> Instance {
         let phase = match (kept.run, kept.ended, kept.want) {
             (0, ..) => Phase::Absent,
             (_, Some(_), Want::Stopped) => Phase::Stopped,
@@ -213,7 +213,7 @@
         }
     }
 
-    pub fn to(&mut self, now: Tenths, phase: Phase) {
+    pub fn to(&mut self, now: Ticks, phase: Phase) {
         if self.phase != phase {
             (self.phase, self.since) = (phase, now);
         }
@@ -234,7 +234,7 @@
     }
 
     /// What a check of this run's door tells.
-    pub fn checked(&mut self, now: Tenths, check: Check) {
+    pub fn checked(&mut self, now: Ticks, check: Check) {
         if check != Check::Silent {
             self.answered_at = now;
         }
@@ -270,7 +270,7 @@
     }
 
     /// The run has ended; whether it counts as a failure.
-    pub fn ended(&mut self, now: Tenths, exit: Exit) -> bool {
+    pub fn ended(&mut self, now: Ticks, exit: Exit) -> bool {
         let wanted = self.phase == Phase::Stopping && !std::mem::take(&mut self.at_fault);
         let proven = self.was_ready && self.ready_at.is_some_and(|at| at >= self.since + PROVEN);
         self.kept.ended = Some(exit);
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -32,9 +32,9 @@
 #[doc(hidden)]
 pub use instance as life;
 
-/// In whole tenths of a millisecond.
-pub type Tenths = u64;
-pub const SECOND: Tenths = 10_000;
+/// A time or a span in units of 0.1 ms.
+pub type Ticks = u64;
+pub const TICKS_PER_SECOND: Ticks = 10_000;
 
 /// Which start of an instance; grows with each.
 pub type Run = u64;
--- a/crates/fleet/tests/world.rs
+++ b/crates/fleet/tests/world.rs
@@ -6,7 +6,9 @@
 
 use doorgrade_fleet::instance::{Check, Exit, Kept};
 use doorgrade_fleet::order::Progress;
-use doorgrade_fleet::{Do, Fleet, Line, Order, Phase, Process, Refused, Rules, Run, SECOND, Want, What};
+use doorgrade_fleet::{
+    Do, Fleet, Line, Order, Phase, Process, Refused, Rules, Run, TICKS_PER_SECOND, Want, What,
+};
 use fastrand::Rng;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -321,7 +323,7 @@
                 "{what}: {:?}",
                 self.lines.iter().rev().take(12).collect::<Vec<_>>()
             );
-            self.pass(SECOND / 10);
+            self.pass(TICKS_PER_SECOND / 10);
         }
         self.now - begun
     }
@@ -329,10 +331,10 @@
 
 fn up(stations: usize, each: usize) -> World {
     let mut w = World::new(1, stations, each, Rules::default());
-    w.pass(SECOND);
+    w.pass(TICKS_PER_SECOND);
     w.order_all(What::Start);
     let all = stations * each;
-    w.until("all run", 120 * SECOND, |w| w.phases(Phase::Ready) == all);
+    w.until("all run", 120 * TICKS_PER_SECOND, |w| w.phases(Phase::Ready) == all);
     w
 }
 
@@ -341,17 +343,17 @@
     let mut w = up(2, 10);
     assert!(w.most_cold <= 4);
     let drain = w.order(What::Drain, &["i0", "i2", "i4"]).unwrap();
-    w.until("they drain", 60 * SECOND, |w| w.progress(drain).done == 3);
+    w.until("they drain", 60 * TICKS_PER_SECOND, |w| w.progress(drain).done == 3);
     assert_eq!((w.phases(Phase::Draining), w.most_down), (3, 1), "one of ten at a time is on its way");
     // Taken back for one of them.
     let back = w.order(What::Start, &["i2"]).unwrap();
-    w.until("it serves again", 20 * SECOND, |w| w.progress(back).done == 1);
+    w.until("it serves again", 20 * TICKS_PER_SECOND, |w| w.progress(back).done == 1);
     assert_eq!(w.progress(drain).overtaken, 1);
     w.order(What::Stop, &["i0", "i4"]).unwrap();
-    w.until("they have ended", 60 * SECOND, |w| w.phases(Phase::Stopped) == 2);
+    w.until("they have ended", 60 * TICKS_PER_SECOND, |w| w.phases(Phase::Stopped) == 2);
     let before: BTreeSet<Process> = w.procs.iter().map(|p| p.process).collect();
     let renew = w.order_all(What::Restart);
-    w.until("all were restarted", 600 * SECOND, |w| w.progress(renew).over());
+    w.until("all were restarted", 600 * TICKS_PER_SECOND, |w| w.progress(renew).over());
     assert_eq!(w.progress(renew).done, 20);
     assert!(w.procs.iter().all(|p| !before.contains(&p.process)));
     assert!(w.terms.values().all(|&times| times == 1), "nothing is stopped twice");
@@ -365,29 +367,29 @@
     for n in 0..9 {
         w.kill(&format!("i{n}"));
     }
-    w.pass(SECOND / 10);
+    w.pass(TICKS_PER_SECOND / 10);
     let first = w.order_all(What::Restore);
     let second = w.order_all(What::Restore);
     assert_eq!(second, first + 1);
     // Some die again while they start.
-    w.pass(SECOND);
+    w.pass(TICKS_PER_SECOND);
     w.kill("i1");
     w.kill("i5");
     w.most_cold = 0;
-    let took = w.until("all but one are back", 60 * SECOND, |w| w.phases(Phase::Ready) == 19);
-    assert!(took < 20 * SECOND, "{took}");
+    let took = w.until("all but one are back", 60 * TICKS_PER_SECOND, |w| w.phases(Phase::Ready) == 19);
+    assert!(took < 20 * TICKS_PER_SECOND, "{took}");
     assert!(w.most_cold <= 4, "{} cold at once in a station", w.most_cold);
-    w.until("that one is set aside", 300 * SECOND, |w| {
+    w.until("that one is set aside", 300 * TICKS_PER_SECOND, |w| {
         w.lines.iter().any(|l| matches!(l, Line::SetAside { name, failures: 5 } if &**name == "i3"))
     });
     let runs = w.fleet.as_ref().unwrap().instance("i3").unwrap().kept.run;
-    w.pass(600 * SECOND);
+    w.pass(600 * TICKS_PER_SECOND);
     assert_eq!(w.fleet.as_ref().unwrap().instance("i3").unwrap().kept.run, runs, "nobody tries it any more");
     assert_eq!(w.progress(second).failed, ["i3".into()]);
     // Mended, and ordered.
     w.kinds.remove("i3");
     w.order(What::Start, &["i3"]).unwrap();
-    w.until("it is back, too", 30 * SECOND, |w| w.phases(Phase::Ready) == 20);
+    w.until("it is back, too", 30 * TICKS_PER_SECOND, |w| w.phases(Phase::Ready) == 20);
 }
 
 #[test]
@@ -408,15 +410,15 @@
     let targets = ["i0", "i2", "i3"].map(|n| (n.into(), None)).into();
     let order = Order { by: "anna".into(), what: What::Stop, targets, force: ["s0".into()].into() };
     w.on(|f, now, out| assert!(f.order(now, &order, out).is_ok()));
-    w.until("all have gone", 200 * SECOND, |w| w.phases(Phase::Stopped) == 3);
+    w.until("all have gone", 200 * TICKS_PER_SECOND, |w| w.phases(Phase::Stopped) == 3);
     // A stop after its SIGTERM is not taken back: it ends, and then it is started.
     w.order(What::Start, &["i0"]).unwrap();
-    w.until("it is back", 60 * SECOND, |w| w.phases(Phase::Ready) == 1);
+    w.until("it is back", 60 * TICKS_PER_SECOND, |w| w.phases(Phase::Ready) == 1);
     w.kinds.insert("i0".into(), Kind::Good);
     w.order(What::Start, &["i2"]).unwrap();
-    w.until("two", 60 * SECOND, |w| w.phases(Phase::Ready) == 2);
+    w.until("two", 60 * TICKS_PER_SECOND, |w| w.phases(Phase::Ready) == 2);
     w.order(What::Stop, &["i0"]).unwrap();
-    w.until("it has had its signal", 60 * SECOND, |w| w.phases(Phase::Stopping) == 1);
+    w.until("it has had its signal", 60 * TICKS_PER_SECOND, |w| w.phases(Phase::Stopping) == 1);
     assert_eq!(w.order(What::Drain, &["i0"]), Err(Refused::Ends("i0".into())));
 }
 
@@ -428,13 +430,13 @@
     w.kinds.insert("i1".into(), Kind::Hollow);
     w.kill("i0");
     w.kill("i1");
-    w.until("the deaf one runs", 60 * SECOND, |w| w.phases(Phase::Ready) == 2);
-    w.until("the hollow one is given up", 400 * SECOND, |w| {
+    w.until("the deaf one runs", 60 * TICKS_PER_SECOND, |w| w.phases(Phase::Ready) == 2);
+    w.until("the hollow one is given up", 400 * TICKS_PER_SECOND, |w| {
         w.lines.iter().any(|l| matches!(l, Line::SetAside { name, .. } if &**name == "i1"))
     });
     w.order(What::Stop, &["i0"]).unwrap();
-    let took = w.until("it is gone", 60 * SECOND, |w| w.phases(Phase::Stopped) == 1);
-    assert!(took >= 15 * SECOND, "it had its time");
+    let took = w.until("it is gone", 60 * TICKS_PER_SECOND, |w| w.phases(Phase::Stopped) == 1);
+    assert!(took >= 15 * TICKS_PER_SECOND, "it had its time");
 }
 
 #[test]
@@ -442,8 +444,8 @@
     let mut w = up(1, 6);
     w.kinds.insert("i2".into(), Kind::Dies);
     let renew = w.order_all(What::Restart);
-    w.until("it stops", 300 * SECOND, |w| w.progress(renew).halted);
-    w.pass(120 * SECOND);
+    w.until("it stops", 300 * TICKS_PER_SECOND, |w| w.progress(renew).halted);
+    w.pass(120 * TICKS_PER_SECOND);
     let progress = w.progress(renew);
     assert_eq!(progress.failed, ["i2".into()]);
     assert_eq!(w.phases(Phase::Ready), 5, "what was not begun stays as it is");
@@ -458,20 +460,20 @@
         w.done = 0;
         w.dies_at = Some(dies_at);
         let _ = w.order(What::Drain, &["i0"]);
-        w.pass(8 * SECOND);
+        w.pass(8 * TICKS_PER_SECOND);
         let _ = w.order(What::Stop, &["i0"]);
-        w.pass(10 * SECOND);
+        w.pass(10 * TICKS_PER_SECOND);
         let _ = w.order(What::Restart, &["i1"]);
-        w.pass(10 * SECOND);
+        w.pass(10 * TICKS_PER_SECOND);
         // Another takes its place, if it died; what was ordered of it goes on, what was not is ordered again.
         w.dies_at = None;
         if w.fleet.is_none() {
-            w.pass(SECOND);
+            w.pass(TICKS_PER_SECOND);
             w.agent();
-            w.pass(SECOND);
+            w.pass(TICKS_PER_SECOND);
         }
         let _ = w.order(What::Stop, &["i0"]);
-        w.until("the stop is done", 90 * SECOND, |w| {
+        w.until("the stop is done", 90 * TICKS_PER_SECOND, |w| {
             w.phases(Phase::Stopped) == 1 && w.phases(Phase::Ready) == 2
         });
         assert_eq!(w.procs.len(), 2, "dies before effect {dies_at}: an orphan");
@@ -482,14 +484,14 @@
 fn another_agent_goes_on_with_a_drain_and_a_restart_and_takes_back_what_was_taken_back() {
     let mut w = up(1, 3);
     w.order(What::Drain, &["i0"]).unwrap();
-    w.until("it drains", 60 * SECOND, |w| w.phases(Phase::Draining) == 1);
+    w.until("it drains", 60 * TICKS_PER_SECOND, |w| w.phases(Phase::Draining) == 1);
     // The next agent finds it draining; nobody told it to go on serving.
     w.fleet = None;
     w.agent();
-    w.until("it is known to drain", 20 * SECOND, |w| {
+    w.until("it is known to drain", 20 * TICKS_PER_SECOND, |w| {
         w.phases(Phase::Draining) == 1 && w.phases(Phase::Ready) == 2
     });
-    w.pass(60 * SECOND);
+    w.pass(60 * TICKS_PER_SECOND);
     assert_eq!(
         w.fleet.as_ref().unwrap().instance("i0").unwrap().kept.run,
         1,
@@ -501,13 +503,13 @@
     assert!(w.fleet.is_none());
     w.dies_at = None;
     w.agent();
-    w.until("it serves again", 30 * SECOND, |w| w.phases(Phase::Ready) == 3);
+    w.until("it serves again", 30 * TICKS_PER_SECOND, |w| w.phases(Phase::Ready) == 3);
     // A restart under way goes on, too.
     w.order_all(What::Restart);
-    w.until("the first goes", 60 * SECOND, |w| w.phases(Phase::Draining) == 1);
+    w.until("the first goes", 60 * TICKS_PER_SECOND, |w| w.phases(Phase::Draining) == 1);
     w.fleet = None;
     w.agent();
-    w.until("all were restarted", 200 * SECOND, |w| {
+    w.until("all were restarted", 200 * TICKS_PER_SECOND, |w| {
         w.fleet.as_ref().unwrap().instances().all(|i| i.1.kept.run == 2 && i.1.phase == Phase::Ready)
     });
 }
@@ -516,26 +518,28 @@
 fn an_agent_without_its_journal_stops_nothing_that_runs_and_takes_back_no_drain() {
     let mut w = up(2, 3);
     let drain = w.order(What::Drain, &["i0"]).unwrap();
-    w.until("it drains", 60 * SECOND, |w| w.progress(drain).over());
+    w.until("it drains", 60 * TICKS_PER_SECOND, |w| w.progress(drain).over());
     w.order(What::Stop, &["i1"]).unwrap();
-    w.until("it has ended", 60 * SECOND, |w| w.phases(Phase::Stopped) == 1);
+    w.until("it has ended", 60 * TICKS_PER_SECOND, |w| w.phases(Phase::Stopped) == 1);
     let before: BTreeSet<Process> = w.procs.iter().map(|p| p.process).collect();
     let terms = w.terms.len();
     w.fleet = None;
     w.journal.clear();
     w.agent();
-    w.until("all are known as they were", 20 * SECOND, |w| {
+    w.until("all are known as they were", 20 * TICKS_PER_SECOND, |w| {
         w.phases(Phase::Draining) == 1 && w.phases(Phase::Ready) == 4 && w.phases(Phase::Absent) == 1
     });
-    w.pass(60 * SECOND);
+    w.pass(60 * TICKS_PER_SECOND);
     assert_eq!(w.procs.iter().map(|p| p.process).collect::<BTreeSet<_>>(), before);
     assert_eq!(w.terms.len(), terms, "nobody was told to stop");
     // It was written down: the next agent knows it from its journal.
     w.fleet = None;
     w.agent();
-    w.until("and again", 20 * SECOND, |w| w.phases(Phase::Draining) == 1 && w.phases(Phase::Ready) == 4);
+    w.until("and again", 20 * TICKS_PER_SECOND, |w| {
+        w.phases(Phase::Draining) == 1 && w.phases(Phase::Ready) == 4
+    });
     let all = w.order_all(What::Start);
-    w.until("all run", 120 * SECOND, |w| w.progress(all).over());
+    w.until("all run", 120 * TICKS_PER_SECOND, |w| w.progress(all).over());
     assert_eq!(w.phases(Phase::Ready), 6);
     // Killed before it has seen how they are, an agent leaves nothing half known.
     for dies_at in 1..12 {
@@ -543,11 +547,11 @@
         w.journal.clear();
         w.dies_at = Some(w.done + dies_at);
         w.agent();
-        w.pass(SECOND);
+        w.pass(TICKS_PER_SECOND);
         w.dies_at = None;
         w.fleet = None;
         w.agent();
-        w.until("all are known", 20 * SECOND, |w| w.phases(Phase::Ready) == 6);
+        w.until("all are known", 20 * TICKS_PER_SECOND, |w| w.phases(Phase::Ready) == 6);
     }
     assert_eq!(w.terms.len(), terms);
 }
@@ -557,15 +561,15 @@
     let mut w = up(1, 3);
     w.full = true;
     w.kill("i1");
-    w.pass(SECOND / 5);
-    w.until("it is started again all the same", 60 * SECOND, |w| w.phases(Phase::Ready) == 3);
+    w.pass(TICKS_PER_SECOND / 5);
+    w.until("it is started again all the same", 60 * TICKS_PER_SECOND, |w| w.phases(Phase::Ready) == 3);
     let refused = w.order(What::Stop, &["i0"]);
     assert!(matches!(refused, Err(Refused::NotKept(_))), "{refused:?}");
     // The agent dies with a journal that is older than what runs: it takes over the later run.
     w.fleet = None;
     w.full = false;
     w.agent();
-    w.pass(2 * SECOND);
+    w.pass(2 * TICKS_PER_SECOND);
     assert_eq!((w.phases(Phase::Ready), w.procs.len()), (3, 3));
     assert_eq!(w.fleet.as_ref().unwrap().instance("i1").unwrap().kept.run, 2);
     assert!(w.order(What::Stop, &["i0"]).is_ok());
@@ -575,20 +579,20 @@
 fn a_clock_that_is_set_back_holds_nothing_up_for_long() {
     let mut w = up(1, 3);
     // An hour back: for the agent time stands still; what happens is heeded.
-    let (back, mut out) = (w.now - 3_600 * SECOND, Vec::new());
+    let (back, mut out) = (w.now - 3_600 * TICKS_PER_SECOND, Vec::new());
     let process = w.procs.iter().find(|p| &*p.name == "i1").unwrap().process;
     w.fleet.as_mut().unwrap().exited(back, "i1", process, Exit::Signal(9), &mut out);
     assert_eq!(w.fleet.as_ref().unwrap().instance("i1").unwrap().phase, Phase::Failed);
     w.procs.retain(|p| p.process != process);
     w.perform(out);
-    w.until("it is started again", 60 * SECOND, |w| w.phases(Phase::Ready) == 3);
+    w.until("it is started again", 60 * TICKS_PER_SECOND, |w| w.phases(Phase::Ready) == 3);
 }
 
 /// Anything at any time; in the end all is as wanted.
 fn random_run(seed: u64) {
     let mut rng = Rng::with_seed(seed);
     let mut w = World::new(seed, 2, 4, Rules::default());
-    w.pass(SECOND);
+    w.pass(TICKS_PER_SECOND);
     w.order_all(What::Start);
     let names = w.all();
     for _ in 0..30 {
@@ -610,7 +614,7 @@
             }
             _ => {}
         }
-        w.pass(rng.u64(0..6 * SECOND));
+        w.pass(rng.u64(0..6 * TICKS_PER_SECOND));
         if w.fleet.is_none() {
             w.dies_at = None;
             w.agent();
@@ -625,10 +629,12 @@
             w.kill(name);
         }
     }
-    w.pass(30 * SECOND);
+    w.pass(30 * TICKS_PER_SECOND);
     w.fleet.iter_mut().for_each(Fleet::kept);
     w.order_all(What::Start);
-    w.until("all run in the end", 300 * SECOND, |w| w.phases(Phase::Ready) == 8 && w.procs.len() == 8);
+    w.until("all run in the end", 300 * TICKS_PER_SECOND, |w| {
+        w.phases(Phase::Ready) == 8 && w.procs.len() == 8
+    });
 }
 
 proptest! {
--- a/crates/front/src/awaiting.rs
+++ b/crates/front/src/awaiting.rs
@@ -3,7 +3,7 @@
 use std::sync::Weak;
 use std::sync::atomic::Ordering;
 
-use doorgrade::Tenths;
+use doorgrade::Ticks;
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 use rustix::io::retry_on_intr;
 
@@ -16,7 +16,7 @@
 pub struct Awaits {
     pub client: ConnId,
     /// From then on it is to be made anew: time has passed, and word may have come that it has to heed.
-    pub made_until: Tenths,
+    pub made_until: Ticks,
     /// What the client has said since may give the request up: it is to be heard first.
     pub hear_first: bool,
 }
--- a/crates/front/src/clock.rs
+++ b/crates/front/src/clock.rs
@@ -3,13 +3,13 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-use doorgrade::Tenths;
+use doorgrade::Ticks;
 
 pub use doorgrade_control_client::clock::{heed_tests, now, unix};
 
 /// Things to do later, the earliest first, in the order asked where times are equal.
 pub struct Timers<T> {
-    heap: BinaryHeap<Reverse<(Tenths, u64, T)>>,
+    heap: BinaryHeap<Reverse<(Ticks, u64, T)>>,
     asked: u64,
 }
 
@@ -20,16 +20,16 @@
 }
 
 impl<T: Ord> Timers<T> {
-    pub fn set(&mut self, at: Tenths, what: T) {
+    pub fn set(&mut self, at: Ticks, what: T) {
         self.asked += 1;
         self.heap.push(Reverse((at, self.asked, what)));
     }
 
-    pub fn next(&self) -> Option<Tenths> {
+    pub fn next(&self) -> Option<Ticks> {
         self.heap.peek().map(|Reverse((at, ..))| *at)
     }
 
-    pub fn due(&mut self, now: Tenths) -> Option<T> {
+    pub fn due(&mut self, now: Ticks) -> Option<T> {
         if self.next()? > now {
             return None;
         }
--- a/crates/front/src/conn.rs
+++ b/crates/front/src/conn.rs
@@ -7,7 +7,7 @@
 use std::sync::{Arc, Weak};
 use std::time::Duration;
 
-use doorgrade::Tenths;
+use doorgrade::Ticks;
 use may::io::{WaitIo, WaitIoWaker};
 use may::net::TcpStream;
 
@@ -27,7 +27,7 @@
     /// One that was asked for is up, or can't be made.
     Connected(ConnId, io::Result<Port>),
     /// Some bytes were read, or none will come any more.
-    Read { conn: ConnId, ring: Ring, ended: Option<Cut>, at: Tenths },
+    Read { conn: ConnId, ring: Ring, ended: Option<Cut>, at: Ticks },
     /// All of the ring was written, or no more can be.
     Wrote { conn: ConnId, ring: Ring, failed: Option<Cut> },
     /// The end of writing was sent to a client; nothing of what still comes is told.
--- a/crates/front/src/feed.rs
+++ b/crates/front/src/feed.rs
@@ -2,7 +2,7 @@
 
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 
-use doorgrade::{Member, Standing, Tenths};
+use doorgrade::{Member, MemberStatus, Ticks};
 use serde::Deserialize;
 
 use crate::ring::Ring;
@@ -31,15 +31,15 @@
     Purge {
         object: Option<u64>,
         group: u64,
-        at: Tenths,
+        at: Ticks,
     },
 }
 
 impl Event {
     /// The latest time that it tells.
-    pub fn latest(&self) -> Option<Tenths> {
+    pub fn latest(&self) -> Option<Ticks> {
         match self {
-            Event::List { members, .. } => members.iter().filter_map(|l| l.member.started).max(),
+            Event::List { members, .. } => members.iter().filter_map(|l| l.member.started_at).max(),
             Event::Purge { at, .. } => Some(*at),
         }
     }
@@ -123,14 +123,14 @@
         zone: place(&names.zones, "locality", &row.locality)?,
         kind: place(&names.kinds, "flavor", &row.flavor)?,
         cell: row.cell,
-        standing: match row.phase.as_str() {
-            "in_service" => Standing::Listed,
-            "terminating" => Standing::Draining,
-            "terminated" => Standing::Gone,
+        status: match row.phase.as_str() {
+            "in_service" => MemberStatus::Listed,
+            "terminating" => MemberStatus::Draining,
+            "terminated" => MemberStatus::Gone,
             other => return Err(format!("'phase': unknown value '{other}'")),
         },
         weight: row.size,
-        started,
+        started_at: started,
         id: row.id.into(),
     };
     let at = row.host_port.parse().map_err(|e| format!("'host_port': {e}"))?;
@@ -228,9 +228,9 @@
     let address = Ipv4Addr::from_bits(fields.number(4)? as u32);
     let at = SocketAddrV4::new(address, fields.number(2)? as u16).into();
     let standing = match fields.number(1)? {
-        0 => Standing::Listed,
-        1 => Standing::Draining,
-        2 => Standing::Gone,
+        0 => MemberStatus::Listed,
+        1 => MemberStatus::Draining,
+        2 => MemberStatus::Gone,
         _ => return Err(Malformed("a member's state")),
     };
     let (zone, kind) = (fields.number(1)? as usize, fields.number(1)? as usize);
@@ -239,5 +239,5 @@
     }
     let (cell, weight) = (fields.number(2)?, fields.number(4)? as f64 / 1000.0);
     let started = Some(fields.number(8)?.min(MOST_TIME) * 10).filter(|&t| t > 0);
-    Ok(Listed { member: Member { id, zone, kind, cell, standing, weight, started }, at })
+    Ok(Listed { member: Member { id, zone, kind, cell, status: standing, weight, started_at: started }, at })
 }
--- a/crates/front/src/follow.rs
+++ b/crates/front/src/follow.rs
@@ -1,6 +1,6 @@
 //! The state of the connection to the control feed. No I/O.
 
-use doorgrade::Tenths;
+use doorgrade::Ticks;
 
 use crate::conn::ConnId;
 use crate::feed::{Event, Frames, Malformed, Names};
@@ -13,22 +13,22 @@
     pub up: bool,
     /// The last event that was taken.
     pub number: u64,
-    pub heard: Tenths,
+    pub heard: Ticks,
     /// It has told all that was missed since the last connection.
     caught_up: bool,
     /// Until then it is known what has happened.
-    known_until: Tenths,
+    known_until: Ticks,
     frames: Frames,
-    delay: Tenths,
+    delay: Ticks,
 }
 
 impl Feed {
     /// An empty frame is due each second; after as long again and a half, the connection is taken for lost.
-    pub const SILENCE: Tenths = 25_000;
+    pub const SILENCE: Ticks = 25_000;
     /// A connection that ends at once is not made again at once: from 0.1 s, doubling up to 1 s.
-    const DELAYS: [Tenths; 2] = [1_000, 10_000];
+    const DELAYS: [Ticks; 2] = [1_000, 10_000];
 
-    pub fn new(number: u64, now: Tenths) -> Self {
+    pub fn new(number: u64, now: Ticks) -> Self {
         let (conn, up, heard, caught_up) = (None, false, 0, false);
         let (frames, delay) = (Frames::default(), Self::DELAYS[0]);
         Feed { conn, up, number, heard, caught_up, known_until: now, frames, delay }
@@ -43,14 +43,14 @@
     }
 
     /// The connection is up: what to write on it.
-    pub fn begin(&mut self, now: Tenths) -> [u8; 8] {
+    pub fn begin(&mut self, now: Ticks) -> [u8; 8] {
         (self.up, self.heard, self.frames) = (true, now, Frames::default());
         self.caught_up = false;
         self.number.to_be_bytes()
     }
 
     /// The next event that is new. One that goes on counts as a connection that works.
-    pub fn take(&mut self, ring: &mut Ring, names: &Names, now: Tenths) -> Result<Option<Event>, Malformed> {
+    pub fn take(&mut self, ring: &mut Ring, names: &Names, now: Ticks) -> Result<Option<Event>, Malformed> {
         while let Some((number, event)) = self.frames.next(ring, names)? {
             (self.heard, self.delay) = (now, Self::DELAYS[0]);
             // It says that there is nothing new only once all else is told.
@@ -72,7 +72,7 @@
     }
 
     /// The connection is lost: how long to wait before the next.
-    pub fn lost(&mut self) -> Tenths {
+    pub fn lost(&mut self) -> Ticks {
         (self.conn, self.up) = (None, false);
         let delay = self.delay;
         self.delay = (2 * delay).min(Self::DELAYS[1]);
--- a/crates/front/src/http.rs
+++ b/crates/front/src/http.rs
@@ -2,7 +2,7 @@
 
 use std::io::Write;
 
-use doorgrade::Note;
+use doorgrade::CacheStatus;
 
 /// Longer heads are not read.
 pub const MOST_HEAD: usize = 8 * 1024;
@@ -85,7 +85,7 @@
     pub not_begun: bool,
     pub tag: Option<String>,
     pub made_at: Option<u64>,
-    pub note: Note,
+    pub note: CacheStatus,
     /// The members of a ring that a fill has come round in.
     pub ring: Option<String>,
 }
@@ -98,19 +98,19 @@
     (1..=128).contains(&text.len()) && text.bytes().all(|b| b.is_ascii_graphic())
 }
 
-fn note(word: &str) -> Note {
+fn note(word: &str) -> CacheStatus {
     match word {
-        "h" => Note::Hit,
-        "f" => Note::Filled,
-        "o" => Note::FilledByOrigin,
-        "j" => Note::Joined,
-        "s" => Note::Stale,
-        "r" => Note::SourceRefused,
-        "b" => Note::SourceLost,
-        "l" => Note::SourceLacks,
-        "n" => Note::NoFillPlace,
-        "x" => Note::OriginFailed,
-        _ => Note::Untold,
+        "h" => CacheStatus::Hit,
+        "f" => CacheStatus::Filled,
+        "o" => CacheStatus::FilledByOrigin,
+        "j" => CacheStatus::Joined,
+        "s" => CacheStatus::Stale,
+        "r" => CacheStatus::SourceRefused,
+        "b" => CacheStatus::SourceLost,
+        "l" => CacheStatus::SourceLacks,
+        "n" => CacheStatus::NoFillPlace,
+        "x" => CacheStatus::OriginFailed,
+        _ => CacheStatus::Untold,
     }
 }
 
@@ -133,7 +133,7 @@
         not_begun: false,
         tag: None,
         made_at: None,
-        note: Note::Untold,
+        note: CacheStatus::Untold,
         ring: None,
     };
     let mut length = None;
--- a/crates/front/src/intake.rs
+++ b/crates/front/src/intake.rs
@@ -1,6 +1,6 @@
 //! A client's connection as it is read: records become requests. No I/O.
 
-use doorgrade::Tenths;
+use doorgrade::Ticks;
 use rustc_hash::FxHashMap;
 
 use crate::fastcgi::{self, Decoder};
@@ -21,7 +21,7 @@
     /// The same as a number.
     pub call: u64,
     /// How long the client waits, in tenths of a millisecond.
-    pub wait: Tenths,
+    pub wait: Ticks,
     pub key: String,
     pub object: u64,
     pub part: u32,
@@ -281,7 +281,7 @@
         offering: offering.into(),
         id: id.into(),
         call,
-        wait: (wait.ok_or("Req-Wait-Ms is missing or unusable")? * 10.0) as Tenths,
+        wait: (wait.ok_or("Req-Wait-Ms is missing or unusable")? * 10.0) as Ticks,
         object: hex(key).ok_or("Req-Key is unusable")?,
         key: key.into(),
         part: number(part).and_then(|p| u32::try_from(p).ok()).ok_or("X-Seg is unusable")?,
--- a/crates/front/src/phase.rs
+++ b/crates/front/src/phase.rs
@@ -1,6 +1,6 @@
 //! The program's phases, from start to exit.
 
-use doorgrade::Tenths;
+use doorgrade::Ticks;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
@@ -9,12 +9,12 @@
     Serving,
     /// Told to stop: new accesses are still taken until the first time, all are ended by the second.
     Leaving {
-        take_until: Tenths,
-        end_by: Tenths,
+        take_until: Ticks,
+        end_by: Ticks,
     },
     /// Nothing is open any more; answers are still being written, and clients' connections ended in order.
     Closing {
-        end_by: Tenths,
+        end_by: Ticks,
     },
     Gone,
 }
@@ -25,11 +25,11 @@
 impl Phase {
     /// After the word to stop, connections come for up to 0.4 s and accesses on open ones for 0.2 s more;
     /// half as long again, since an access that comes late would be lost.
-    const TAKEN_FOR: Tenths = 9_000;
+    const TAKEN_FOR: Ticks = 9_000;
     /// The hard stop comes this much after the longest hard limit (or [`Phase::LONGEST`]); 0.3 s are kept to
     /// write the last answers.
-    const GRACE: Tenths = 4_000;
-    const LONGEST: Tenths = 30_000;
+    const GRACE: Ticks = 4_000;
+    const LONGEST: Ticks = 30_000;
 
     pub fn new() -> Self {
         Phase(State::Starting)
@@ -42,7 +42,7 @@
     }
 
     /// The word to stop has come: when to look at [`Phase::advance`] again.
-    pub fn leave(&mut self, now: Tenths, longest: Tenths) -> Option<[Tenths; 2]> {
+    pub fn leave(&mut self, now: Ticks, longest: Ticks) -> Option<[Ticks; 2]> {
         if !matches!(self.0, State::Starting | State::Serving) {
             return None;
         }
@@ -53,7 +53,7 @@
 
     /// Moves on as time and open accesses allow. `connected`: clients' connections are not all ended yet, or more
     /// may come.
-    pub fn advance(&mut self, now: Tenths, open: bool, connected: bool) {
+    pub fn advance(&mut self, now: Ticks, open: bool, connected: bool) {
         match self.0 {
             State::Leaving { take_until, end_by } if now >= take_until && (!open || now >= end_by) => {
                 self.0 = State::Closing { end_by };
@@ -67,7 +67,7 @@
     }
 
     /// What comes whole from then on is declined, and clients' connections are ended as they come to rest.
-    pub fn takes(&self, now: Tenths) -> bool {
+    pub fn takes(&self, now: Ticks) -> bool {
         match self.0 {
             State::Serving => true,
             State::Leaving { take_until, .. } => now < take_until,
@@ -80,7 +80,7 @@
     }
 
     /// From this time on no access may be left open.
-    pub fn end_by(&self) -> Option<Tenths> {
+    pub fn end_by(&self) -> Option<Ticks> {
         match self.0 {
             State::Leaving { end_by, .. } | State::Closing { end_by } => Some(end_by),
             _ => None,
--- a/crates/front/src/push.rs
+++ b/crates/front/src/push.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
 
-use doorgrade::{AccessId, Note, Outcome, Tenths};
+use doorgrade::{AccessId, CacheStatus, Outcome, Ticks};
 use rustc_hash::FxHashMap;
 
 use crate::conn::ConnId;
@@ -14,7 +14,7 @@
 #[derive(Debug)]
 pub struct Got {
     pub outcome: Outcome,
-    pub note: Note,
+    pub note: CacheStatus,
     pub status: u16,
     pub tag: Option<String>,
     pub body: Vec<u8>,
@@ -27,7 +27,7 @@
     /// An end that no answer tells of.
     pub fn bare(outcome: Outcome) -> Self {
         let (tag, body, ring, made_at) = (None, Vec::new(), None, None);
-        Got { outcome, note: Note::Untold, status: 0, tag, body, ring, made_at }
+        Got { outcome, note: CacheStatus::Untold, status: 0, tag, body, ring, made_at }
     }
 }
 
@@ -62,7 +62,7 @@
     pub state: State,
     /// The push it carries, or is made for.
     pub carries: Option<(AccessId, usize)>,
-    pub since: Tenths,
+    pub since: Ticks,
     /// The ring for writing, while the coroutine does not have it.
     pub out: Option<Ring>,
     request: Vec<u8>,
@@ -91,7 +91,7 @@
 }
 
 impl Line {
-    pub fn new(cache: u32, place: Place, carries: (AccessId, usize), now: Tenths) -> Self {
+    pub fn new(cache: u32, place: Place, carries: (AccessId, usize), now: Ticks) -> Self {
         Line {
             cache,
             place,
@@ -137,7 +137,7 @@
     }
 
     /// Nothing of the request was written, and none of it will be.
-    pub fn rest(&mut self, out: Ring, now: Tenths) {
+    pub fn rest(&mut self, out: Ring, now: Ticks) {
         (self.request, self.sent, self.beginning) = (Vec::new(), 0, false);
         (self.out, self.state, self.since) = (Some(out), State::Idle, now);
     }
@@ -204,13 +204,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Place {
     pub at: SocketAddr,
-    pub started: Option<Tenths>,
+    pub started: Option<Ticks>,
 }
 
 /// Idle connections, by cache id; of those that have rested the one used last is used first.
 #[derive(Default)]
 pub struct Pools {
-    idle: FxHashMap<u32, Vec<(ConnId, Tenths)>>,
+    idle: FxHashMap<u32, Vec<(ConnId, Ticks)>>,
 }
 
 impl Pools {
@@ -218,14 +218,14 @@
     /// what comes on a connection at rest breaks it, but behind a new request it would be taken for its answer. Two
     /// clock ticks of an ordinary kernel and some more; at a hundred requests a second to one cache it takes two further
     /// connections.
-    pub const REST: Tenths = 200;
+    pub const REST: Ticks = 200;
 
-    pub fn put(&mut self, cache: u32, conn: ConnId, now: Tenths) {
+    pub fn put(&mut self, cache: u32, conn: ConnId, now: Ticks) {
         self.idle.entry(cache).or_default().push((conn, now));
     }
 
     /// One that has been idle since then.
-    pub fn get(&mut self, cache: u32, since: RangeInclusive<Tenths>) -> Option<ConnId> {
+    pub fn get(&mut self, cache: u32, since: RangeInclusive<Ticks>) -> Option<ConnId> {
         let conns = self.idle.get_mut(&cache)?;
         let place = conns.iter().rposition(|(_, idle)| since.contains(idle))?;
         Some(conns.remove(place).0)
--- a/crates/front/src/reasons.rs
+++ b/crates/front/src/reasons.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-use doorgrade::Unserved;
+use doorgrade::UnservedReason;
 
 /// Why nothing more comes over a connection, or goes out on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -132,7 +132,7 @@
     /// Its fields can't be used.
     Unusable,
     /// Its decisions say so.
-    Decided(Unserved),
+    Decided(UnservedReason),
 }
 
 impl fmt::Display for Refusal {
--- a/crates/front/src/reducer.rs
+++ b/crates/front/src/reducer.rs
@@ -13,7 +13,7 @@
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
-use doorgrade::{Ended, Front, Outcome, Tenths};
+use doorgrade::{Front, Outcome, PushResult, Ticks};
 use doorgrade_recall::Fill;
 use rustc_hash::FxHashMap;
 
@@ -42,7 +42,7 @@
 }
 
 impl Reducer {
-    pub fn new(config: Config, now: Tenths) -> Self {
+    pub fn new(config: Config, now: Ticks) -> Self {
         let tiers = Tiers::new(&config, now);
         let learned = config.files.settings.recall.as_ref().map(|_| Vec::new());
         let Config { told, limits, known: (number, events), names, feed, seed, files, whole, .. } = config;
@@ -104,7 +104,7 @@
     }
 
     /// When time must be told even if nothing happens.
-    pub fn next_tick(&self) -> Option<Tenths> {
+    pub fn next_tick(&self) -> Option<Ticks> {
         self.work.timers.next()
     }
 
@@ -134,11 +134,11 @@
     }
 
     /// What the wall clock shows; times that others tell are read by it.
-    pub fn set_wall(&mut self, now: Tenths, unix: Tenths) {
+    pub fn set_wall(&mut self, now: Ticks, unix: Ticks) {
         self.work.stamps.set_wall(now, unix);
     }
 
-    pub fn input(&mut self, now: Tenths, input: Input) {
+    pub fn input(&mut self, now: Ticks, input: Input) {
         self.work.now = self.work.now.max(now);
         if let Input::Read { at, .. } = &input {
             let queued = self.work.now.saturating_sub(*at);
@@ -196,7 +196,7 @@
                     timers.set(at, Timer::Phase);
                 }
                 if let Some(at) = phase.end_by() {
-                    self.front.end_by(at);
+                    self.front.set_shutdown_deadline(at);
                 }
                 tracing::info!("told to stop");
             }
@@ -214,7 +214,7 @@
 
     fn timer(&mut self, timer: Timer) {
         match timer {
-            Timer::Module(key) => self.front.due(self.work.now, key, &mut self.work),
+            Timer::Module(key) => self.front.timer_fired(self.work.now, key, &mut self.work),
             Timer::PushOver(access, push) => self.work.stop_push(access, push, Outcome::TimedOut),
             Timer::FeedConnect => self.work.connect_feed(),
             Timer::Sweep => self.sweep(),
@@ -260,9 +260,16 @@
             // Bytes from outside: a number that no clock holds is no time.
             let made = got.made_at.and_then(|ms| ms.checked_mul(10));
             let made = made.map(|at| self.work.stamps.local(now, at));
-            let ended = Ended { push, outcome, settled, lag, note, made };
+            let ended = PushResult {
+                push,
+                outcome,
+                access_done: settled,
+                latency: lag,
+                cache_status: note,
+                origin_sent_at: made,
+            };
             self.work.tell_tiers(id, &ended, got.ring.as_deref());
-            self.front.ended(now, id, &ended, &mut self.work);
+            self.front.push_ended(now, id, &ended, &mut self.work);
             self.work.tidy(id);
         }
     }
@@ -347,7 +354,7 @@
 }
 
 /// An answer has told how old its copy is.
-fn fill(offerings: &[String], r: &Request, made_ms: u64, seen: Tenths) -> Fill {
+fn fill(offerings: &[String], r: &Request, made_ms: u64, seen: Ticks) -> Fill {
     let offering = offerings.iter().position(|o| *o == r.offering).unwrap_or(0) as u16;
     let (object, part, group, made) = (r.object, r.part, r.group as u16, made_ms.saturating_mul(10));
     Fill { offering, object, part, group, made, seen }
--- a/crates/front/src/reducer/clients.rs
+++ b/crates/front/src/reducer/clients.rs
@@ -1,6 +1,6 @@
 //! The reducer's dealings with clients: what they say, what they are owed.
 
-use doorgrade::{Access, AccessId, Tenths};
+use doorgrade::{Access, AccessId, Ticks};
 use rustc_hash::FxHashMap;
 
 use super::places::Ending;
@@ -18,10 +18,10 @@
     /// None while the coroutine writes.
     pub(super) out: Option<Ring>,
     /// When something last came, and when it was last handed something to write.
-    pub(super) heard: Tenths,
+    pub(super) heard: Ticks,
     /// Since when a request has been owed that has not come whole; the first is, from the start.
-    pub(super) began: Option<Tenths>,
-    pub(super) wrote: Tenths,
+    pub(super) began: Option<Ticks>,
+    pub(super) wrote: Ticks,
     pub(super) outbox: Outbox,
     pub(super) accesses: FxHashMap<u16, AccessId>,
     /// Its connection ends with what is open on it.
@@ -30,10 +30,10 @@
     pub(super) ending: Ending,
 }
 
-const COMPLAINTS: Tenths = 10_000;
+const COMPLAINTS: Ticks = 10_000;
 
 impl Client {
-    pub(super) fn new(now: Tenths) -> Client {
+    pub(super) fn new(now: Ticks) -> Client {
         Client {
             intake: Intake::default(),
             out: Some(Ring::new(bounds::CLIENT_OUT)),
@@ -52,13 +52,13 @@
         self.accesses.is_empty() && self.outbox.is_empty() && self.out.is_some()
     }
 
-    pub(super) fn idle_since(&self) -> Tenths {
+    pub(super) fn idle_since(&self) -> Ticks {
         self.heard.max(self.wrote)
     }
 }
 
 impl Reducer {
-    pub(super) fn client_read(&mut self, conn: ConnId, mut ring: Ring, ended: Option<Cut>, at: Tenths) {
+    pub(super) fn client_read(&mut self, conn: ConnId, mut ring: Ring, ended: Option<Cut>, at: Ticks) {
         // Nobody waits for an answer to what came with the end: no attempt is to begin for it. An end of writing alone
         // can't be told from a close; web servers of this protocol have no use for it (docs/races.md).
         if let Some(cut) = ended {
@@ -113,7 +113,7 @@
         self.work.half_close_last(conn);
     }
 
-    pub(super) fn said(&mut self, conn: ConnId, said: Said, at: Tenths) {
+    pub(super) fn said(&mut self, conn: ConnId, said: Said, at: Ticks) {
         let work = &mut self.work;
         match said {
             Said::Ask(id, request) => self.take(conn, id, request, at),
@@ -151,7 +151,7 @@
     }
 
     /// Takes an access, unless its fields can't be used.
-    pub(super) fn take(&mut self, conn: ConnId, id: u16, request: Box<Request>, at: Tenths) {
+    pub(super) fn take(&mut self, conn: ConnId, id: u16, request: Box<Request>, at: Ticks) {
         let work = &mut self.work;
         let Some(offering) = work.offerings.iter().position(|o| *o == request.offering) else {
             work.complain("a request's class is unknown");
@@ -187,14 +187,15 @@
             part: request.part,
             group: request.group,
             kb: request.kb,
-            until,
-            marked: request.mark.is_some(),
+            deadline: until,
+            has_repeat_id: request.mark.is_some(),
         };
-        let repeatable = self.front.effect(&asked) != doorgrade::Effect::Unrepeatable;
+        let repeatable = self.front.repeat_policy(&asked) != doorgrade::RepeatPolicy::Unrepeatable;
         work.by_id.insert(request.call, access);
         let of = &work.worths[offering];
-        let sending = of.stretch * 10_000.0 * request.kb / work.flow_kb_per_s.max(1e-6);
-        let (worth, aim) = (of.benefit, work.now.saturating_add(of.soft).saturating_add(sending as Tenths));
+        let sending = of.transfer_factor * 10_000.0 * request.kb / work.flow_kb_per_s.max(1e-6);
+        let (worth, aim) =
+            (of.benefit, work.now.saturating_add(of.soft_limit).saturating_add(sending as Ticks));
         work.served.asked += worth;
         let (done, sent, soft_at) = (false, Vec::new(), until);
         let taken = Taken { client: conn, id, request, repeatable, done, sent, soft_at, worth, aim };
@@ -212,7 +213,7 @@
             tracing::debug!(request = taken.call(), "given up by its client");
             self.work.served.ended += 1;
             self.work.stop_unsent(access);
-            self.front.left(access, &mut self.work);
+            self.front.client_left(access, &mut self.work);
             self.work.tidy(access);
         }
     }
--- a/crates/front/src/reducer/places.rs
+++ b/crates/front/src/reducer/places.rs
@@ -3,7 +3,7 @@
 //! A connection at rest is never closed from here on the reducer's word alone: what was read on it may wait in the
 //! queue. Its coroutine ends it in order if nothing has come, and says so; only then is it closed.
 
-use doorgrade::Tenths;
+use doorgrade::Ticks;
 
 use super::clients::Client;
 use super::{Effect, LINGER, Timer, Work, trace};
@@ -15,9 +15,9 @@
 /// So many of the places that clients may have are kept free for newcomers.
 const SPARE: usize = 2;
 /// Want of descriptors or memory that lasts for less passes by itself: nobody has to go for it.
-const WANT: Tenths = 200;
+const WANT: Ticks = 200;
 /// Two wants of descriptors that are further apart are two.
-const WANTS_APART: Tenths = 1_000;
+const WANTS_APART: Ticks = 1_000;
 
 /// How far the end of a client's connection has come.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -27,14 +27,14 @@
     /// Its coroutine is to end it, unless something has come before.
     Asked(ClientEnd),
     /// The end of writing was sent; nothing that still comes is read. Since when.
-    Sent(Tenths),
+    Sent(Ticks),
 }
 
 /// Want of descriptors or memory for connections: since when, and when it was met last.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Want {
-    since: Tenths,
-    last: Tenths,
+    since: Ticks,
+    last: Ticks,
 }
 
 impl Work {
--- a/crates/front/src/reducer/sent.rs
+++ b/crates/front/src/reducer/sent.rs
@@ -1,6 +1,6 @@
 //! One push of an access: what it asks of its cache, and how far it has come.
 
-use doorgrade::{Outcome, Push, Tenths};
+use doorgrade::{Outcome, Push, Ticks};
 
 use crate::conn::ConnId;
 use crate::http::{self, Ask};
@@ -8,21 +8,21 @@
 use crate::push;
 
 /// A request made longer ago is made anew: half of the shortest time by which anything may be late on sockets.
-const FRESH: Tenths = 250;
+const FRESH: Ticks = 250;
 
 pub(super) struct Sent {
     /// The cache and the source, by their numbers.
     pub(super) names: [Option<u32>; 2],
-    pub(super) at: Tenths,
+    pub(super) at: Ticks,
     pub(super) conn: Option<ConnId>,
     /// It was handed to a connection that is up. Until then nothing of it can have been read.
     pub(super) begun: bool,
     /// How often its beginning was put off.
     pub(super) put_off: u8,
     /// It is not begun from then on: caches would not know it for a repeat any more.
-    begin_by: Tenths,
+    begin_by: Ticks,
     /// From then on nobody waits for its answer.
-    until: Tenths,
+    until: Ticks,
     pub(super) live: bool,
     /// What came of it, for the log.
     pub(super) ended: Option<Outcome>,
@@ -44,7 +44,7 @@
 }
 
 impl Sent {
-    pub(super) fn new(p: &Push<'_>, now: Tenths) -> Sent {
+    pub(super) fn new(p: &Push<'_>, now: Ticks) -> Sent {
         let source = Some(p.source).filter(|s| *s != p.cache);
         Sent {
             names: [Some(push::number(p.cache).unwrap_or(u32::MAX)), source.and_then(push::number)],
@@ -52,34 +52,34 @@
             conn: None,
             begun: false,
             put_off: 0,
-            begin_by: p.begin_by,
-            until: now + p.wait,
+            begin_by: p.send_deadline,
+            until: now + p.timeout,
             live: true,
             ended: None,
             unlucky: false,
             crowded_out: false,
             outdated: false,
-            renews: p.renew,
+            renews: p.refresh,
             source: source.map(Into::into),
             rank: p.rank,
             // 0 would mean the fresh time.
-            age_ms: if p.age > 0 { (p.age / 10).max(1) } else { 0 },
-            join: p.join,
-            kept_only: p.kept_only,
+            age_ms: if p.max_age > 0 { (p.max_age / 10).max(1) } else { 0 },
+            join: p.join_fill,
+            kept_only: p.only_if_cached,
         }
     }
 
-    pub(super) fn may_begin(&self, now: Tenths) -> bool {
+    pub(super) fn may_begin(&self, now: Ticks) -> bool {
         now < self.begin_by && now < self.until
     }
 
     /// Until when a request made now may begin.
-    pub(super) fn made_until(&self, now: Tenths) -> Tenths {
+    pub(super) fn made_until(&self, now: Ticks) -> Ticks {
         (now + FRESH).min(self.begin_by).min(self.until)
     }
 
     /// The bytes for its cache. The time left is told as it is now: its connection may have taken long to come up.
-    pub(super) fn request(&self, now: Tenths, of: &Request, via: Option<&str>) -> Vec<u8> {
+    pub(super) fn request(&self, now: Ticks, of: &Request, via: Option<&str>) -> Vec<u8> {
         http::request(&Ask {
             offering: &of.offering,
             key: &of.key,
--- a/crates/front/src/reducer/tiers.rs
+++ b/crates/front/src/reducer/tiers.rs
@@ -1,6 +1,6 @@
 //! The reducer's dealings with a hierarchy of parents: what it is told, and what it says of an access.
 
-use doorgrade::{Access, AccessId, Ended, Member, Tenths, Ways};
+use doorgrade::{Access, AccessId, FillRoutes, Member, PushResult, Ticks};
 use doorgrade_hierarchy::aim::aim;
 use doorgrade_hierarchy::homes::Kept;
 use doorgrade_hierarchy::{Change, Guide, Heard, Rules, Shape, guide, via};
@@ -9,7 +9,7 @@
 use crate::config::Config;
 
 /// A ring is met by every fill that goes that way; the log has one line a second of it.
-const RINGS_TOLD: Tenths = 10_000;
+const RINGS_TOLD: Ticks = 10_000;
 
 pub(super) struct Tiers {
     pub(super) guide: Guide,
@@ -18,22 +18,22 @@
     name: String,
     loop_header: bool,
     /// When a ring was in the log last.
-    ring_told: Tenths,
+    ring_told: Ticks,
     /// Parents and the archive are members of these kinds.
     kinds: [Option<usize>; 2],
 }
 
 impl Tiers {
     /// None where the operators' settings have it off.
-    pub(super) fn new(config: &Config, now: Tenths) -> Option<Tiers> {
+    pub(super) fn new(config: &Config, now: Ticks) -> Option<Tiers> {
         let own = config.files.settings.hierarchy.as_ref()?;
         let told = &config.told.settings;
         let rules = Rules {
             tier: own.tier,
             spread: own.hand_over_ms * 10,
-            cold_from: told.parent_cold.from,
-            cold_lasts: told.parent_cold.lasts,
-            crew: told.crew,
+            cold_from: told.parent_cold.initial_share,
+            cold_lasts: told.parent_cold.duration,
+            crew: told.zone_fronts,
             shield: own.shield,
         };
         Some(Tiers {
@@ -99,7 +99,7 @@
     }
 
     /// Homes from before the start. The list after it has been told.
-    pub(super) fn recall_homes(&mut self, taken: Tenths, kept: Vec<Kept>) {
+    pub(super) fn recall_homes(&mut self, taken: Ticks, kept: Vec<Kept>) {
         let Some(tiers) = &mut self.tiers else { return };
         let since = kept.first().map_or(0, |k| self.now.saturating_sub(k.begun) / 10);
         let recalled = tiers.guide.recall(self.now, taken, &kept);
@@ -124,8 +124,8 @@
         }
     }
 
-    pub(super) fn ask_tiers(&mut self, access: &Access, until: Tenths) -> Ways {
-        let Some(tiers) = &mut self.tiers else { return Ways::default() };
+    pub(super) fn ask_tiers(&mut self, access: &Access, until: Ticks) -> FillRoutes {
+        let Some(tiers) = &mut self.tiers else { return FillRoutes::default() };
         if let Some(taken) = self.accesses.get_mut(&access.id) {
             taken.soft_at = until;
         }
@@ -133,7 +133,7 @@
     }
 
     /// A push has ended.
-    pub(super) fn tell_tiers(&mut self, access: AccessId, ended: &Ended, ring: Option<&str>) {
+    pub(super) fn tell_tiers(&mut self, access: AccessId, ended: &PushResult, ring: Option<&str>) {
         let Some(tiers) = &mut self.tiers else { return };
         let taken = self.accesses.get(&access);
         let late = taken.is_some_and(|t| self.now > t.soft_at);
--- a/crates/front/src/reducer/told.rs
+++ b/crates/front/src/reducer/told.rs
@@ -1,6 +1,6 @@
 //! What the control feed tells, and the connection to it.
 
-use doorgrade::{Member, Standing, Tenths};
+use doorgrade::{Member, MemberStatus, Ticks};
 use doorgrade_recall::{Fill, Purge};
 use rustc_hash::FxHashSet;
 
@@ -24,8 +24,8 @@
                 let members: Vec<_> =
                     members.into_iter().map(|l| self.work.started(l.member, told)).collect();
                 self.work.list_tiers(&members, whole);
-                self.front.listed(now, &members, whole, &mut self.work);
-                let stays = |m: &&Member| m.standing == Standing::Listed;
+                self.front.member_list_received(now, &members, whole, &mut self.work);
+                let stays = |m: &&Member| m.status == MemberStatus::Listed;
                 let stay: FxHashSet<_> = members.iter().filter(stays).map(|m| push::number(&m.id)).collect();
                 let told: FxHashSet<_> = members.iter().map(|m| push::number(&m.id)).collect();
                 let leaves =
@@ -44,9 +44,9 @@
     }
 
     /// At a time of this process.
-    fn purged(&mut self, object: Option<u64>, group: u64, at: Tenths) {
+    fn purged(&mut self, object: Option<u64>, group: u64, at: Ticks) {
         let now = self.work.now;
-        self.front.purged(now, object, group, now.saturating_sub(at));
+        self.front.purge_received(now, object, group, now.saturating_sub(at));
         let of = |r: &Request| object.map_or(r.group == group, |o| r.object == o);
         self.work.recall(|taken, _| of(&taken.request));
     }
@@ -59,7 +59,7 @@
             self.purged(p.object, u64::from(p.group), at);
         }
         for f in fills {
-            self.front.recall(now, (f.object, f.part), f.made, f.seen);
+            self.front.restore_fill(now, (f.object, f.part), f.made, f.seen);
         }
     }
 
@@ -141,11 +141,11 @@
         }
         for listed in members {
             let Some(cache) = push::number(&listed.member.id) else { continue };
-            let (member, standing) = (&*listed.member.id, listed.member.standing);
-            tracing::debug!(member, ?standing, started = listed.member.started, "listed");
-            let place = Place { at: listed.at, started: listed.member.started };
+            let (member, standing) = (&*listed.member.id, listed.member.status);
+            tracing::debug!(member, ?standing, started = listed.member.started_at, "listed");
+            let place = Place { at: listed.at, started: listed.member.started_at };
             let moved = self.places.get(&cache).is_some_and(|p| *p != place);
-            if listed.member.standing == Standing::Gone {
+            if listed.member.status == MemberStatus::Gone {
                 self.places.remove(&cache);
                 self.drop_idle(cache);
             } else {
@@ -164,8 +164,8 @@
     /// A member as it is told, its start as a time of this process.
     fn started(&mut self, member: Member, told: Told) -> Member {
         let number = push::number(&member.id).unwrap_or(u32::MAX);
-        let started = member.started.map(|at| self.stamps.started(self.now, number, at, told));
-        Member { started, ..member }
+        let started = member.started_at.map(|at| self.stamps.started(self.now, number, at, told));
+        Member { started_at: started, ..member }
     }
 
     pub(super) fn drop_idle(&mut self, cache: u32) {
--- a/crates/front/src/reducer/trace.rs
+++ b/crates/front/src/reducer/trace.rs
@@ -69,7 +69,7 @@
         tracing::debug!(request, status, "refused: {why}");
     }
 
-    pub(super) fn trace_decided(&mut self, access: AccessId, status: u16, why: doorgrade::Unserved) {
+    pub(super) fn trace_decided(&mut self, access: AccessId, status: u16, why: doorgrade::UnservedReason) {
         let Some(taken) = self.accesses.get(&access) else { return };
         let request = taken.call().to_owned();
         self.trace_refusal(&request, status, Refusal::Decided(why));
--- a/crates/front/src/reducer/types.rs
+++ b/crates/front/src/reducer/types.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
-use doorgrade::{AccessId, Offering, Tenths};
+use doorgrade::{AccessId, Offering, Ticks};
 use doorgrade_control_client::Learned;
 use doorgrade_hierarchy::homes::Kept;
 use doorgrade_recall::{Fill, Purge};
@@ -44,7 +44,7 @@
         conn: ConnId,
         ring: Ring,
         ended: Option<Cut>,
-        at: Tenths,
+        at: Ticks,
     },
     Wrote {
         conn: ConnId,
@@ -67,7 +67,7 @@
     /// What was known before the start, or is known to neighbours, and holds.
     Recall(Vec<Fill>, Vec<Purge>),
     /// Homes of objects as they were before the start, and when that was written.
-    Homes(Tenths, Vec<Kept>),
+    Homes(Ticks, Vec<Kept>),
 }
 
 /// One thing to do.
@@ -101,20 +101,20 @@
     Phase,
 }
 
-pub(super) const SWEEP: Tenths = 2_500;
+pub(super) const SWEEP: Ticks = 2_500;
 /// How often the log has the highest counts.
-pub(super) const TOLD: Tenths = 100_000;
+pub(super) const TOLD: Ticks = 100_000;
 /// A client that has not read a ring's worth in this time, the longest it may wait for an answer, never will.
-pub(super) const UNREAD: Tenths = 100_000;
+pub(super) const UNREAD: Ticks = 100_000;
 /// A client to which nothing is owed and that says nothing for so long has vanished, or holds on for good:
 /// protocol fact, clients close what is idle after 4 s.
-pub(super) const SILENT: Tenths = 60_000;
+pub(super) const SILENT: Ticks = 60_000;
 /// Whoever has not sent a whole request in this time never will. A client is owed an answer or a close within
 /// 3 s of connecting; two sweeps and some less.
-pub(super) const UNFINISHED: Tenths = 24_000;
+pub(super) const UNFINISHED: Ticks = 24_000;
 /// How long the other side may take to end a connection that was ended here: some round trips to a client, whose
 /// requests that cross the end come again within 50 ms.
-pub(super) const LINGER: Tenths = 2_000;
+pub(super) const LINGER: Ticks = 2_000;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Listener {
@@ -132,10 +132,10 @@
     pub(super) done: bool,
     pub(super) sent: Vec<Sent>,
     /// Its soft limit, as the module sees it.
-    pub(super) soft_at: Tenths,
+    pub(super) soft_at: Ticks,
     /// What it is worth, and until when it earns that.
     pub(super) worth: f64,
-    pub(super) aim: Tenths,
+    pub(super) aim: Ticks,
 }
 
 /// Benefit asked for, and had within the soft limit, in all; and accesses in numbers, for reports to the service of
@@ -158,8 +158,8 @@
     pub bodies: usize,
     pub accesses: usize,
     /// The longest a timer came late, and something read waited in the queue, in tenths of a millisecond.
-    pub late: Tenths,
-    pub queued: Tenths,
+    pub late: Ticks,
+    pub queued: Ticks,
 }
 
 pub(super) struct Work {
@@ -171,10 +171,10 @@
     pub(super) flow_kb_per_s: f64,
     pub(super) served: Served,
     pub(super) bounds: Bounds,
-    pub(super) idle: Tenths,
-    pub(super) longest: Tenths,
+    pub(super) idle: Ticks,
+    pub(super) longest: Ticks,
     pub(super) feed_at: SocketAddr,
-    pub(super) now: Tenths,
+    pub(super) now: Ticks,
     pub(super) phase: Phase,
     /// Clients' connections come, may still come though nobody is to be let in, or come no more.
     pub(super) listener: Listener,
@@ -205,10 +205,10 @@
     pub(super) parked: VecDeque<ConnId>,
     pub(super) most: Most,
     pub(super) counts: Counts,
-    pub(super) told_at: Tenths,
+    pub(super) told_at: Ticks,
     /// Not yet in the log, and when the last was.
     pub(super) complaints: usize,
-    pub(super) complained_at: Tenths,
+    pub(super) complained_at: Ticks,
     /// Readings of times that others tell.
     pub(super) stamps: Stamps,
     /// Parents in tiers, where operators have said so.
--- a/crates/front/src/serve.rs
+++ b/crates/front/src/serve.rs
@@ -18,7 +18,7 @@
 use signal_hook::consts::{SIGHUP, SIGTERM, SIGUSR1, SIGUSR2};
 use tokio::sync::oneshot;
 
-use doorgrade::Tenths;
+use doorgrade::Ticks;
 
 use crate::accept::{self, Acceptor};
 use crate::clock;
@@ -113,7 +113,7 @@
 fn neighbourhood(config: &Config, settings: &Path) -> Result<Option<Neighbourhood>, String> {
     let Settings { neighbours, recall, .. } = config.files.settings.clone();
     let told = &config.told.settings;
-    let (name, seed, purge_done) = (&config.name, config.seed, told.purge_done);
+    let (name, seed, purge_done) = (&config.name, config.seed, told.purge_propagation);
     let own = Own { name, seed, settings, offerings: &told.offerings, purge_done };
     Ok(Neighbourhood::read(neighbours, recall, &own)?)
 }
@@ -208,13 +208,13 @@
     served: Option<Arc<Served>>,
     /// Where to put what was seen, if anybody remembers it, and when it was put there last.
     learned: Option<Learning>,
-    handed: Tenths,
+    handed: Ticks,
 }
 
 /// What was seen is handed on together, so that whoever remembers it is not woken for each answer: so many, or as long.
 /// A snapshot is written a few times a second at the most, and what a crash loses of it is less than between two of them.
 const TOGETHER: usize = 256;
-const HANDED_EACH: Tenths = 2_500;
+const HANDED_EACH: Ticks = 2_500;
 
 impl Driver {
     fn run(&mut self, happened: &Receiver<Event>) {
@@ -246,7 +246,7 @@
     }
 
     /// What is handed on next. Whoever has left goes first, however much else has come: nothing is to begin for it.
-    fn next(&mut self, now: Tenths, happened: &Receiver<Event>) -> Option<Event> {
+    fn next(&mut self, now: Ticks, happened: &Receiver<Event>) -> Option<Event> {
         let more = Came::AHEAD.saturating_sub(self.came.others.len());
         happened.try_iter().take(more).for_each(|event| self.came.put(event));
         if self.stop.swap(false, Ordering::SeqCst) {
--- a/crates/front/tests/codecs.rs
+++ b/crates/front/tests/codecs.rs
@@ -214,7 +214,7 @@
     assert_eq!((head.status, head.length, size), (200, 5, sound.len() - 5));
     assert_eq!(
         (head.tag.as_deref(), head.made_at, head.note),
-        (Some("ab"), Some(17), doorgrade::Note::FilledByOrigin)
+        (Some("ab"), Some(17), doorgrade::CacheStatus::FilledByOrigin)
     );
     for bad in [
         "HTTP/1.1 200 OK\r\n\r\n",
@@ -324,8 +324,8 @@
     let read = Frames::default().next(&mut ring, &names).expect("sound");
     let Some((9, Some(Event::List { whole: false, members }))) = read else { panic!("not a list") };
     let m = &members[0].member;
-    assert_eq!((&*m.id, m.weight, m.started), ("s-0000002a", 1.0, Some(15_000)));
-    assert_eq!((m.standing, members[0].at.port()), (doorgrade::Standing::Draining, 8080));
+    assert_eq!((&*m.id, m.weight, m.started_at), ("s-0000002a", 1.0, Some(15_000)));
+    assert_eq!((m.status, members[0].at.port()), (doorgrade::MemberStatus::Draining, 8080));
 }
 
 #[test]
--- a/crates/front/tests/helper/acts.rs
+++ b/crates/front/tests/helper/acts.rs
@@ -1,6 +1,6 @@
 //! What clients, caches and time do to the front.
 
-use doorgrade::Tenths;
+use doorgrade::Ticks;
 use doorgrade_front::conn::ConnId;
 use doorgrade_front::fastcgi;
 use doorgrade_front::reducer::{Input, Made};
@@ -49,7 +49,7 @@
         self.strays.pop()
     }
 
-    pub fn set_back(&mut self, by: Tenths) {
+    pub fn set_back(&mut self, by: Ticks) {
         self.back += by;
         self.reducer.set_wall(self.now, self.now - self.back);
     }
@@ -168,7 +168,7 @@
     }
 
     /// Time passes; timers come due, connections come up, and no access may be overdue.
-    pub fn pass(&mut self, time: Tenths) {
+    pub fn pass(&mut self, time: Ticks) {
         let end = self.now + time;
         while self.now < end {
             let next = self.reducer.next_tick().unwrap_or(end).clamp(self.now + 1, end);
--- a/crates/front/tests/helper/mod.rs
+++ b/crates/front/tests/helper/mod.rs
@@ -7,7 +7,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use doorgrade::Tenths;
+use doorgrade::Ticks;
 use doorgrade_front::config::Config;
 use doorgrade_front::conn::ConnId;
 use doorgrade_front::fastcgi::{self, Decoder};
@@ -19,34 +19,34 @@
 
 pub use words::*;
 
-pub const MS: Tenths = 10;
+pub const MS: Ticks = 10;
 pub const CACHES: [&str; 3] = ["s-00000001", "s-00000002", "s-00000003"];
 pub const PARENT: &str = "s-00000010";
 pub const SECOND: &str = "s-00000011";
 pub const ORIGIN: &str = "s-00000020";
 pub const FEED: &str = "127.0.0.1:9092";
 /// The rules' figures, in tenths of a millisecond.
-const SLACK: Tenths = 580;
-const DRAIN_GRACE: Tenths = 20_000;
-const PURGE_GRACE: Tenths = 3_000;
-const PURGE_DONE: Tenths = 60_000;
-const COLD: Tenths = 170_000;
-const FALL: Tenths = 15_000;
+const SLACK: Ticks = 580;
+const DRAIN_GRACE: Ticks = 20_000;
+const PURGE_GRACE: Ticks = 3_000;
+const PURGE_DONE: Ticks = 60_000;
+const COLD: Ticks = 170_000;
+const FALL: Ticks = 15_000;
 /// What sending 100 KB takes at the settings' pace.
-const PUSH: Tenths = 110;
+const PUSH: Ticks = 110;
 
 struct Taken {
     client: ConnId,
     id: u16,
     class: usize,
     key: u64,
-    until: Tenths,
+    until: Ticks,
     aborted: bool,
     answer: Option<Answer>,
     /// Of each push that came whole to a cache: whether it is proved not to have run.
     pushes: Vec<bool>,
     /// When the first came that may have run.
-    first: Option<Tenths>,
+    first: Option<Ticks>,
 }
 
 #[derive(Default)]
@@ -68,17 +68,17 @@
 
 pub struct World {
     pub reducer: Reducer,
-    pub now: Tenths,
+    pub now: Ticks,
     pub rng: Rng,
     conns: BTreeMap<ConnId, Conn>,
     taken: BTreeMap<u64, Taken>,
     /// Ends told to have run, by port.
-    pub drained: BTreeMap<u16, Tenths>,
-    purges: Vec<(Option<u64>, u64, Tenths, Tenths)>,
+    pub drained: BTreeMap<u16, Ticks>,
+    purges: Vec<(Option<u64>, u64, Ticks, Ticks)>,
     pub ports: BTreeMap<String, u16>,
     /// When a cache started, as told, and when pushes came to it.
-    started: BTreeMap<u16, Tenths>,
-    came: BTreeMap<u16, Vec<Tenths>>,
+    started: BTreeMap<u16, Ticks>,
+    came: BTreeMap<u16, Vec<Ticks>>,
     /// The most pushes that came to one in the time in which a cold cache may fall.
     most_came: usize,
     /// Ports that refuse.
@@ -90,7 +90,7 @@
     inputs: VecDeque<Input>,
     running: bool,
     /// By how much the system's clock was set back.
-    back: Tenths,
+    back: Ticks,
     /// Clients that read nothing.
     pub stuck: BTreeSet<ConnId>,
     /// Clients that don't end a connection which the front has ended.
--- a/crates/front/tests/helper/words.rs
+++ b/crates/front/tests/helper/words.rs
@@ -1,6 +1,6 @@
 //! The words between clients, caches, feed and a front, and its configuration.
 
-use doorgrade::Tenths;
+use doorgrade::Ticks;
 use doorgrade_front::fastcgi;
 use doorgrade_operator::Files;
 use doorgrade_operator::settings::{Hierarchy, Settings};
@@ -55,7 +55,7 @@
 
 pub const CLASSES: [&str; 4] = ["images", "fonts", "orders", "votes"];
 /// How long a vote is known again.
-pub const WINDOW: Tenths = 10_000;
+pub const WINDOW: Ticks = 10_000;
 
 /// The mark of a vote; one in three has none.
 pub fn mark(class: usize, call: u64) -> Option<String> {
--- a/crates/front/tests/stamps.rs
+++ b/crates/front/tests/stamps.rs
@@ -1,12 +1,12 @@
 //! Times that others tell, read beside a wall clock that is stepped, rightly or wrongly, or stood wrong at the start.
 
-use doorgrade::Tenths;
+use doorgrade::Ticks;
 use doorgrade_front::stamps::{Stamps, Told};
 
-const S: Tenths = 10_000;
-const HOUR: Tenths = 3_600 * S;
+const S: Ticks = 10_000;
+const HOUR: Ticks = 3_600 * S;
 /// A time of the process.
-const NOW: Tenths = 17_000_000_000_000;
+const NOW: Ticks = 17_000_000_000_000;
 
 /// The wall clock shows `ahead` more than this process counts.
 fn stamps(ahead: i64) -> Stamps {
@@ -49,7 +49,7 @@
 #[test]
 fn purges_known_at_the_start_are_as_old_as_the_latest_word_says() {
     for wrong in [HOUR as i64, -(HOUR as i64), 5 * S as i64] {
-        let told = |ago: Tenths| (NOW - ago).saturating_add_signed(-wrong);
+        let told = |ago: Ticks| (NOW - ago).saturating_add_signed(-wrong);
         let latest = told(S / 2);
         let read = |ago| stamps(0).purged(NOW, told(ago), Told::AtStart { latest });
         assert_eq!([read(S / 2), read(4 * S)], [NOW, NOW - 7 * S / 2], "off by {wrong}");
--- a/crates/hierarchy/src/guide.rs
+++ b/crates/hierarchy/src/guide.rs
@@ -7,7 +7,8 @@
 
 use arrayvec::ArrayVec;
 use doorgrade::{
-    Access, AccessId, Ended, Member, Note, Outcome, Standing as Listed, Tenths, Way, Ways, hash,
+    Access, AccessId, CacheStatus, FillRoute, FillRoutes, Member, MemberStatus as Listed, Outcome,
+    PushResult, Ticks, hash,
 };
 use rustc_hash::{FxHashMap, FxHashSet};
 
@@ -20,10 +21,10 @@
     /// The tier whose members are named as sources.
     pub tier: u8,
     /// How long objects take to go to their new homes.
-    pub spread: Tenths,
+    pub spread: Ticks,
     /// The part of its capacity that a member starts with, and how long it takes to have all of it.
     pub cold_from: f64,
-    pub cold_lasts: Tenths,
+    pub cold_lasts: Ticks,
     /// Fronts of this station.
     pub crew: u32,
     pub shield: bool,
@@ -34,7 +35,7 @@
 
 struct Known {
     listed: bool,
-    started: Option<Tenths>,
+    started: Option<Ticks>,
     weight: f64,
 }
 
@@ -80,7 +81,7 @@
 }
 
 impl Guide {
-    pub fn new(rules: Rules, now: Tenths) -> Guide {
+    pub fn new(rules: Rules, now: Ticks) -> Guide {
         Guide {
             rules,
             shape: Shape::new(),
@@ -110,7 +111,7 @@
     }
 
     /// Changes of shape, from wherever they come.
-    pub fn hear(&mut self, now: Tenths, changes: &[Change]) -> (Vec<Heard>, Option<Moved>) {
+    pub fn hear(&mut self, now: Ticks, changes: &[Change]) -> (Vec<Heard>, Option<Moved>) {
         let heard = changes.iter().map(|c| self.shape.hear(c)).collect();
         self.cut_off = self.shape.cut_off().into_iter().map(hash::text).collect();
         let roots = self.shape.members().into_iter().filter(|m| m.root && m.standing == Standing::InService);
@@ -121,16 +122,16 @@
     }
 
     /// The list of members that can be reached, or what has changed of it.
-    pub fn listed(&mut self, now: Tenths, members: &[Member], whole: bool) -> Option<Moved> {
+    pub fn listed(&mut self, now: Ticks, members: &[Member], whole: bool) -> Option<Moved> {
         if whole {
             self.known.values_mut().for_each(|k| k.listed = false);
         }
         for m in members {
-            let listed = m.standing == Listed::Listed;
+            let listed = m.status == Listed::Listed;
             let weight = if m.weight > 0.0 { m.weight } else { 1.0 };
             let key = hash::text(&m.id);
-            let before = self.known.insert(key, Known { listed, started: m.started, weight });
-            if before.is_some_and(|b| b.started != m.started) {
+            let before = self.known.insert(key, Known { listed, started: m.started_at, weight });
+            if before.is_some_and(|b| b.started != m.started_at) {
                 // Back, and empty: what it had taken over it has lost.
                 self.handed.retain(|_, home| *home != key);
             }
@@ -141,7 +142,7 @@
         self.settle(now)
     }
 
-    fn settle(&mut self, now: Tenths) -> Option<Moved> {
+    fn settle(&mut self, now: Ticks) -> Option<Moved> {
         let cold = |k: &Known| k.started.is_some_and(|at| now < at + self.rules.cold_lasts);
         let (mut list, mut spread) = (Vec::new(), self.rules.spread);
         for m in self.shape.members() {
@@ -167,8 +168,8 @@
     /// From before the start, once shape and list have been told: how many lists of homes are known now.
     pub fn recall(
         &mut self,
-        now: Tenths,
-        taken: Tenths,
+        now: Ticks,
+        taken: Ticks,
         kept: &[homes::Kept],
     ) -> Result<usize, homes::NotRecalled> {
         self.homes.recall(now, taken, kept)
@@ -179,9 +180,9 @@
     }
 
     /// The sources that an access may be filled from now. `until`: its soft limit.
-    pub fn ways(&mut self, now: Tenths, a: &Access, until: Tenths) -> Ways {
+    pub fn ways(&mut self, now: Ticks, a: &Access, until: Ticks) -> FillRoutes {
         if self.shape.is_empty() {
-            return Ways::default();
+            return FillRoutes::default();
         }
         self.homes.tidy(now);
         if !self.homes.handing_over(now) {
@@ -192,9 +193,9 @@
             // It has taken the object over: it is a home like any other.
             (found.holders, found.fresh) = Default::default();
         }
-        let mut ways = Ways { given: true, ..Ways::default() };
+        let mut ways = FillRoutes { hierarchical: true, ..FillRoutes::default() };
         let mut put = |key, kept_only, through| {
-            let way = Way { key, kept_only, through };
+            let way = FillRoute { key, only_if_cached: kept_only, via_parent: through };
             if !ways.order.contains(&way) {
                 let _ = ways.order.try_push(way);
             }
@@ -234,21 +235,13 @@
         if let Verdict::Wait(at) = verdict {
             open.waits = likelihood;
             self.shield.waits(likelihood);
-            ways.again = Some(at);
+            ways.retry_at = Some(at);
         }
         ways
     }
 
     /// A push has gone out.
-    pub fn pushed(
-        &mut self,
-        now: Tenths,
-        access: AccessId,
-        push: usize,
-        cache: u64,
-        source: u64,
-        kept: bool,
-    ) {
+    pub fn pushed(&mut self, now: Ticks, access: AccessId, push: usize, cache: u64, source: u64, kept: bool) {
         let root = |key: &u64| self.roots.contains(key);
         let Some(open) = self.open.get_mut(&access) else { return };
         if kept && self.known.contains_key(&cache) {
@@ -267,7 +260,7 @@
     }
 
     /// A push has ended; `late`: after its access's soft limit, `renews`: it had the cache renew its copy behind.
-    pub fn ended(&mut self, now: Tenths, access: AccessId, e: &Ended, late: bool, renews: bool) {
+    pub fn ended(&mut self, now: Ticks, access: AccessId, e: &PushResult, late: bool, renews: bool) {
         let Some(open) = self.open.get_mut(&access) else { return };
         if let Some((_, home)) = open.hands.filter(|h| h.0 == e.push && e.outcome == Outcome::Handled) {
             if self.handed.len() >= MOST_HANDED {
@@ -277,15 +270,15 @@
         }
         let Some(at) = open.booked.iter().position(|b| b.0 == e.push) else { return };
         let (_, Booked { parent, likelihood }) = open.booked.swap_remove(at);
-        let came = match (e.outcome, e.note) {
-            (Outcome::Handled, Note::FilledByOrigin) if late => Came::Late,
-            (Outcome::Handled, Note::FilledByOrigin) => Came::FromArchive,
-            (Outcome::Handled, Note::Filled) if parent.is_none() && late => Came::Late,
-            (Outcome::Handled, Note::Filled) if parent.is_none() => Came::FromArchive,
-            (Outcome::Handled, Note::Filled | Note::Joined) => Came::FromElsewhere,
-            (Outcome::Handled, Note::Hit | Note::Stale) if !renews => Came::FromElsewhere,
-            (_, Note::OriginFailed) => Came::Refused,
-            (_, Note::SourceRefused) if parent.is_none() => Came::Refused,
+        let came = match (e.outcome, e.cache_status) {
+            (Outcome::Handled, CacheStatus::FilledByOrigin) if late => Came::Late,
+            (Outcome::Handled, CacheStatus::FilledByOrigin) => Came::FromArchive,
+            (Outcome::Handled, CacheStatus::Filled) if parent.is_none() && late => Came::Late,
+            (Outcome::Handled, CacheStatus::Filled) if parent.is_none() => Came::FromArchive,
+            (Outcome::Handled, CacheStatus::Filled | CacheStatus::Joined) => Came::FromElsewhere,
+            (Outcome::Handled, CacheStatus::Hit | CacheStatus::Stale) if !renews => Came::FromElsewhere,
+            (_, CacheStatus::OriginFailed) => Came::Refused,
+            (_, CacheStatus::SourceRefused) if parent.is_none() => Came::Refused,
             (Outcome::Full | Outcome::Unreachable | Outcome::NeverSent, _) => Came::FromElsewhere,
             _ => Came::Untold,
         };
@@ -293,7 +286,7 @@
     }
 
     /// An access is over, and so is whatever is still out for it.
-    pub fn done(&mut self, now: Tenths, access: AccessId) {
+    pub fn done(&mut self, now: Ticks, access: AccessId) {
         let Some(open) = self.open.remove(&access) else { return };
         self.shield.waited(open.waits);
         for (_, Booked { parent, likelihood }) in open.booked {
--- a/crates/hierarchy/src/homes.rs
+++ b/crates/hierarchy/src/homes.rs
@@ -16,7 +16,7 @@
 use std::fmt;
 
 use arrayvec::ArrayVec;
-use doorgrade::{Tenths, hash};
+use doorgrade::{Ticks, hash};
 use serde::{Deserialize, Serialize};
 
 /// Lists that may be in use at once: the newest, and what it and those before it took over from. With more the
@@ -96,21 +96,21 @@
 #[derive(Clone, Debug)]
 struct List {
     homes: Vec<Home>,
-    begun: Tenths,
+    begun: Ticks,
     /// How long objects take to go.
-    spread: Tenths,
+    spread: Ticks,
     /// Tells the moments of this hand-over from those of others; the same at all fronts.
     salt: u64,
 }
 
 impl List {
     /// The moment at which an object goes to its home in this list.
-    fn due(&self, object: u64, home: &Home) -> Tenths {
+    fn due(&self, object: u64, home: &Home) -> Ticks {
         let part = ripened(hash::unit(object, self.salt), home.from);
-        self.begun + (part * self.spread as f64) as Tenths
+        self.begun + (part * self.spread as f64) as Ticks
     }
 
-    fn over(&self, now: Tenths) -> bool {
+    fn over(&self, now: Ticks) -> bool {
         now >= self.begun + (1 + LINGER) * self.spread
     }
 }
@@ -138,8 +138,8 @@
 /// One list as it is written down. Times are whoever's who writes it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Kept {
-    pub begun: Tenths,
-    pub spread: Tenths,
+    pub begun: Ticks,
+    pub spread: Ticks,
     /// Key, weight, and the part of its capacity that it began with.
     pub homes: Vec<(u64, f64, f64)>,
 }
@@ -171,9 +171,9 @@
 }
 
 /// A week: no hand-over is told to take as long.
-const MOST_SPREAD: Tenths = 7 * 24 * 36_000_000;
+const MOST_SPREAD: Ticks = 7 * 24 * 36_000_000;
 /// Clocks of one machine are set right by less than this.
-const OFF: Tenths = 10_000;
+const OFF: Ticks = 10_000;
 
 /// Where an object's fill goes.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -191,7 +191,7 @@
     pub moved: f64,
     pub least: f64,
     /// The hand-over has ended by this time.
-    pub until: Tenths,
+    pub until: Ticks,
 }
 
 /// The homes of one tier.
@@ -203,7 +203,7 @@
 
 impl Homes {
     /// The tier's members are these from now on. The first list is taken as it is.
-    pub fn list(&mut self, now: Tenths, mut homes: Vec<Home>, spread: Tenths) -> Option<Change> {
+    pub fn list(&mut self, now: Ticks, mut homes: Vec<Home>, spread: Ticks) -> Option<Change> {
         homes.retain(|h| h.weight > 0.0 && h.weight.is_finite());
         homes.sort_by_key(|h| h.key);
         homes.dedup_by_key(|h| h.key);
@@ -243,7 +243,7 @@
     /// Known from before the start, written at `taken`: once the first list after it has been told. A hand-over that had
     /// begun goes on as it would have; where the list has changed while this front was away, one begins from what it knew.
     /// What it has seen itself stays.
-    pub fn recall(&mut self, now: Tenths, taken: Tenths, kept: &[Kept]) -> Result<usize, NotRecalled> {
+    pub fn recall(&mut self, now: Ticks, taken: Ticks, kept: &[Kept]) -> Result<usize, NotRecalled> {
         let [current] = &self.lists[..] else { return Err(NotRecalled::Known) };
         let Some(newest) = kept.first() else { return Err(NotRecalled::Nothing) };
         if taken > now + OFF || kept.iter().any(|k| k.begun > now + OFF) {
@@ -281,13 +281,13 @@
     }
 
     /// Drops what came before a hand-over that is over.
-    pub fn tidy(&mut self, now: Tenths) {
+    pub fn tidy(&mut self, now: Ticks) {
         if let Some(over) = self.lists.iter().position(|l| l.over(now)) {
             self.lists.truncate(over + 1);
         }
     }
 
-    pub fn handing_over(&self, now: Tenths) -> bool {
+    pub fn handing_over(&self, now: Ticks) -> bool {
         self.lists.len() > 1 && !self.lists[0].over(now)
     }
 
@@ -297,7 +297,7 @@
     }
 
     /// Where an object's fill goes; `alive` says of a member's key whether it may still be asked.
-    pub fn way(&self, now: Tenths, object: u64, alive: impl Fn(u64) -> bool) -> Way {
+    pub fn way(&self, now: Ticks, object: u64, alive: impl Fn(u64) -> bool) -> Way {
         let mut way = Way::default();
         // Until when an older list's home can have been the object's.
         let mut left = now;
--- a/crates/hierarchy/src/shield.rs
+++ b/crates/hierarchy/src/shield.rs
@@ -14,7 +14,7 @@
 //! **The rest** is asked for only of those who hold a copy. Where none does, an access waits for the account while
 //! that ends within its soft limit and the queue of those before it is short; else it is declined at once.
 
-use doorgrade::Tenths;
+use doorgrade::Ticks;
 use rustc_hash::FxHashMap;
 
 /// The account of one second, in terms of what is usual: a reshuffle is to raise the archive's busiest second by
@@ -45,7 +45,7 @@
 pub enum Verdict {
     Go,
     /// There will be room at this time.
-    Wait(Tenths),
+    Wait(Ticks),
     /// Nobody can say when, or it is too far off.
     No,
 }
@@ -71,11 +71,11 @@
     usual: f64,
     crest: f64,
     learned: f64,
-    counted_at: Tenths,
+    counted_at: Ticks,
     keeps: f64,
     /// What may be sent at once.
     room: f64,
-    at: Tenths,
+    at: Ticks,
     /// Accesses that wait, in fills.
     waiting: f64,
     likelihood: FxHashMap<u64, f64>,
@@ -86,7 +86,7 @@
 
 impl Shield {
     /// For one of a station's `crew` fronts.
-    pub fn new(crew: u32, now: Tenths) -> Shield {
+    pub fn new(crew: u32, now: Ticks) -> Shield {
         let crew = f64::from(crew.max(1));
         let mut shield = Shield {
             crew,
@@ -120,7 +120,7 @@
         (self.account() * BURST / SECOND).max(1.0)
     }
 
-    fn pass(&mut self, now: Tenths) {
+    fn pass(&mut self, now: Ticks) {
         let gone = now.saturating_sub(self.at) as f64;
         self.room = (self.room + gone * self.account() / SECOND).min(self.most());
         self.at = self.at.max(now);
@@ -141,7 +141,7 @@
 
     /// Whether a fill of this likelihood may go now, for an access that can wait until `until`. One whose turn
     /// has come (`queued`) goes before those that wait; another goes behind them.
-    pub fn ask(&mut self, now: Tenths, likelihood: f64, until: Tenths, queued: bool) -> Verdict {
+    pub fn ask(&mut self, now: Ticks, likelihood: f64, until: Ticks, queued: bool) -> Verdict {
         self.pass(now);
         let ahead = if queued { 0.0 } else { self.waiting };
         // A sum of parts may fall short by what floating point drops.
@@ -151,7 +151,7 @@
         self.held_back += 1;
         let per_tenth = self.account() / SECOND;
         let wait = (likelihood - self.room + ahead) / per_tenth;
-        let at = now + wait.clamp(1.0, 1e12) as Tenths;
+        let at = now + wait.clamp(1.0, 1e12) as Ticks;
         if at < until { Verdict::Wait(at) } else { Verdict::No }
     }
 
@@ -165,7 +165,7 @@
     }
 
     /// A push has gone out that reaches the archive with this likelihood.
-    pub fn book(&mut self, now: Tenths, likelihood: f64) {
+    pub fn book(&mut self, now: Ticks, likelihood: f64) {
         self.pass(now);
         self.sent += 1;
         // No deeper than a burst: what was sent all the same must not shut the account for long.
@@ -173,7 +173,7 @@
     }
 
     /// It has ended: what was booked is made good, and all is learned from it that it tells.
-    pub fn ended(&mut self, now: Tenths, parent: Option<u64>, booked: f64, came: Came) {
+    pub fn ended(&mut self, now: Ticks, parent: Option<u64>, booked: f64, came: Came) {
         self.pass(now);
         let reached = match came {
             Came::FromElsewhere => 0.0,
--- a/crates/hierarchy/tests/guide.rs
+++ b/crates/hierarchy/tests/guide.rs
@@ -11,8 +11,8 @@
 use proptest::test_runner::RngSeed;
 
 const ORIGIN: &str = "archive";
-const SPREAD: Tenths = 50_000;
-const PURGE_DONE: Tenths = 60_000;
+const SPREAD: Ticks = 50_000;
+const PURGE_DONE: Ticks = 60_000;
 
 struct Out {
     cache: String,
@@ -26,22 +26,22 @@
     access: Access,
     pushes: Vec<Out>,
     done: bool,
-    ways: Ways,
+    ways: FillRoutes,
 }
 
 struct World {
-    now: Tenths,
+    now: Ticks,
     rng: Rng,
     guide: Guide,
     list: BTreeMap<String, Member>,
     taken: BTreeMap<AccessId, Taken>,
-    timers: Vec<(Tenths, u64)>,
+    timers: Vec<(Ticks, u64)>,
     /// Ends of pushes to come.
-    coming: Vec<(Tenths, AccessId, usize, Option<Outcome>)>,
+    coming: Vec<(Ticks, AccessId, usize, Option<Outcome>)>,
     holds: BTreeSet<(String, u64)>,
-    purges: BTreeMap<u64, Tenths>,
+    purges: BTreeMap<u64, Ticks>,
     /// Times at which the archive was asked.
-    asked: Vec<Tenths>,
+    asked: Vec<Ticks>,
     old_homes_asked: u32,
     declined: u32,
     handled: u32,
@@ -56,40 +56,40 @@
 }
 
 fn member(id: &str, kind: usize) -> Member {
-    let standing = Standing::Listed;
-    Member { id: id.into(), zone: 0, kind, cell: 0, standing, weight: 1.0, started: None }
+    let standing = MemberStatus::Listed;
+    Member { id: id.into(), zone: 0, kind, cell: 0, status: standing, weight: 1.0, started_at: None }
 }
 
 fn settings() -> Settings {
     let offering = |effect, fresh, uncacheable| Offering {
-        soft: 4_000,
-        stretch: 0.0,
+        soft_limit: 4_000,
+        transfer_factor: 0.0,
         benefit: 1.0,
-        effect,
-        fresh,
+        repeat_policy: effect,
+        fresh_time: fresh,
         uncacheable,
     };
-    let cold = Cold { from: 0.2, lasts: 100_000, multiple: 3.0, window: 20_000 };
+    let cold = ColdLimits { initial_share: 0.2, duration: 100_000, load_multiple: 3.0, window: 20_000 };
     Settings {
         offerings: vec![
-            offering(Effect::Idempotent, 0, false),
-            offering(Effect::Idempotent, 80_000, false),
-            offering(Effect::Unrepeatable, 0, true),
+            offering(RepeatPolicy::Idempotent, 0, false),
+            offering(RepeatPolicy::Idempotent, 80_000, false),
+            offering(RepeatPolicy::Unrepeatable, 0, true),
         ],
         zone: 0,
-        crew: 1,
+        zone_fronts: 1,
         parent_kind: Some(1),
         origin_kind: Some(2),
-        notes: Notes::All,
-        may: Powers { joins: true, straight: true, cancels: true, second_copies: true },
+        status_reporting: StatusReporting::All,
+        features: Features { join_fills: true, cache_bypass: true, cancel_pushes: true, hedged_pushes: true },
         max_pushes: 6,
-        weights: true,
+        comparable_weights: true,
         list_on_request: false,
-        quantum: 20,
+        min_input_interval: 20,
         flow_kb_per_s: 0.0,
         cold,
-        parent_cold: Cold { from: 0.1, ..cold },
-        purge_done: PURGE_DONE,
+        parent_cold: ColdLimits { initial_share: 0.1, ..cold },
+        purge_propagation: PURGE_DONE,
     }
 }
 
@@ -98,8 +98,14 @@
         let set = settings();
         let now = 1_000_000;
         let cold = set.parent_cold;
-        let rules =
-            Rules { tier: 1, spread: SPREAD, cold_from: cold.from, cold_lasts: cold.lasts, crew: 1, shield };
+        let rules = Rules {
+            tier: 1,
+            spread: SPREAD,
+            cold_from: cold.initial_share,
+            cold_lasts: cold.duration,
+            crew: 1,
+            shield,
+        };
         let mut world = World {
             now,
             rng: Rng::with_seed(seed),
@@ -138,19 +144,20 @@
     fn tell(&mut self, front: &mut Front, members: &[Member]) {
         for m in members {
             self.list.insert(m.id.to_string(), m.clone());
-            if m.started.is_some() || m.standing == Standing::Gone {
+            if m.started_at.is_some() || m.status == MemberStatus::Gone {
                 self.holds.retain(|(holder, _)| *holder != *m.id);
             }
         }
         let parents: Vec<Member> = members.iter().filter(|m| m.kind > 0).cloned().collect();
         self.guide.listed(self.now, &parents, false);
-        front.listed(self.now, members, false, self);
+        front.member_list_received(self.now, members, false, self);
     }
 
     fn access(&mut self, front: &mut Front, id: AccessId, offering: usize, object: u64) {
         let until = self.now + 20_000;
-        let access = Access { id, offering, object, part: 0, group: 0, kb: 0.0, until, marked: true };
-        self.taken.insert(id, Taken { access, pushes: Vec::new(), done: false, ways: Ways::default() });
+        let access =
+            Access { id, offering, object, part: 0, group: 0, kb: 0.0, deadline: until, has_repeat_id: true };
+        self.taken.insert(id, Taken { access, pushes: Vec::new(), done: false, ways: FillRoutes::default() });
         front.access(self.now, &access, self);
         self.over(id);
     }
@@ -167,25 +174,25 @@
         let t = &self.taken[&id];
         let (access, Out { cache, source, kept, .. }) = (t.access, &t.pushes[push]);
         let (cache, source, kept) = (cache.clone(), source.clone(), *kept);
-        let late = self.now > access.until - 16_000;
+        let late = self.now > access.deadline - 16_000;
         let uncacheable = access.offering == 2;
-        let lives = |id: &str| self.list[id].standing != Standing::Gone && !self.silent.contains(id);
+        let lives = |id: &str| self.list[id].status != MemberStatus::Gone && !self.silent.contains(id);
         let held = |holder: &str| self.holds.contains(&(holder.to_owned(), access.object));
         let (outcome, note) = if !lives(&cache) {
-            (Outcome::Unreachable, Note::Untold)
+            (Outcome::Unreachable, CacheStatus::Untold)
         } else if held(&cache) && !uncacheable {
-            (Outcome::Handled, Note::Hit)
+            (Outcome::Handled, CacheStatus::Hit)
         } else if source == cache {
-            (Outcome::Miss, Note::Untold)
+            (Outcome::Miss, CacheStatus::Untold)
         } else if !lives(&source) {
-            (Outcome::Error, Note::SourceLost)
+            (Outcome::Error, CacheStatus::SourceLost)
         } else if source != ORIGIN && held(&source) {
-            (Outcome::Handled, Note::Filled)
+            (Outcome::Handled, CacheStatus::Filled)
         } else if kept {
-            (Outcome::Miss, Note::SourceLacks)
+            (Outcome::Miss, CacheStatus::SourceLacks)
         } else {
             self.asked.push(self.now);
-            (Outcome::Handled, Note::FilledByOrigin)
+            (Outcome::Handled, CacheStatus::FilledByOrigin)
         };
         if outcome == Outcome::Handled && !uncacheable {
             self.holds.insert((cache, access.object));
@@ -202,7 +209,7 @@
         id: AccessId,
         push: usize,
         outcome: Outcome,
-        note: Note,
+        note: CacheStatus,
         late: bool,
     ) {
         let Some(t) = self.taken.get_mut(&id).filter(|t| !t.pushes[push].ended) else { return };
@@ -210,13 +217,20 @@
         let settled = t.done || outcome == Outcome::Handled;
         self.handled += u32::from(outcome == Outcome::Handled && !t.done);
         t.done = settled;
-        let ended = Ended { push, outcome, settled, lag: 300, note, made: None };
+        let ended = PushResult {
+            push,
+            outcome,
+            access_done: settled,
+            latency: 300,
+            cache_status: note,
+            origin_sent_at: None,
+        };
         self.guide.ended(self.now, id, &ended, late, false);
-        front.ended(self.now, id, &ended, self);
+        front.push_ended(self.now, id, &ended, self);
         self.over(id);
     }
 
-    fn pass(&mut self, front: &mut Front, time: Tenths) {
+    fn pass(&mut self, front: &mut Front, time: Ticks) {
         let end = self.now + time;
         while self.now < end {
             self.now += 20;
@@ -224,16 +238,19 @@
             let due: Vec<_> = self.coming.extract_if(.., |c| c.0 <= now).collect();
             for (_, id, push, outcome) in due {
                 match outcome.filter(|_| self.taken.contains_key(&id)) {
-                    Some(outcome) => self.end(front, id, push, outcome, Note::Untold, true),
+                    Some(outcome) => self.end(front, id, push, outcome, CacheStatus::Untold, true),
                     None if self.taken.contains_key(&id) => self.resolve(front, id, push),
                     None => {}
                 }
             }
             let due: Vec<_> = self.timers.extract_if(.., |t| t.0 <= now).collect();
-            due.into_iter().for_each(|(_, key)| front.due(now, key, self));
+            due.into_iter().for_each(|(_, key)| front.timer_fired(now, key, self));
             let ids: Vec<_> = self.taken.keys().copied().collect();
             ids.into_iter().for_each(|id| self.over(id));
-            assert!(self.taken.values().all(|t| t.done || now <= t.access.until), "rule 1: no final answer");
+            assert!(
+                self.taken.values().all(|t| t.done || now <= t.access.deadline),
+                "rule 1: no final answer"
+            );
             assert!(self.guide.open() <= self.taken.len(), "something is kept of accesses that are over");
         }
     }
@@ -248,24 +265,24 @@
     }
 
     /// The archive's busiest second since a time, over the mean of the seconds between two times.
-    fn peak(&self, from: Tenths, to: Tenths) -> f64 {
-        let of = |at: Tenths| self.asked.iter().filter(|&&a| (at..at + 10_000).contains(&a)).count();
+    fn peak(&self, from: Ticks, to: Ticks) -> f64 {
+        let of = |at: Ticks| self.asked.iter().filter(|&&a| (at..at + 10_000).contains(&a)).count();
         (from..to).step_by(2_500).map(of).max().unwrap_or(0) as f64
     }
 
-    fn mean(&self, from: Tenths, to: Tenths) -> f64 {
+    fn mean(&self, from: Ticks, to: Ticks) -> f64 {
         let count = self.asked.iter().filter(|&&a| (from..to).contains(&a)).count();
         count as f64 * 10_000.0 / (to - from) as f64
     }
 }
 
-impl Outlet for World {
-    fn ways(&mut self, access: &Access, until: Tenths) -> Ways {
+impl EffectSink for World {
+    fn fill_routes(&mut self, access: &Access, until: Ticks) -> FillRoutes {
         let ways = self.guide.ways(self.now, access, until);
         let t = self.taken.get_mut(&access.id).expect("an access that was taken");
-        assert!(!t.done && until < access.until, "never until the hard limit");
-        self.waited += u32::from(ways.again.is_some());
-        assert!(ways.again.is_none_or(|at| at > self.now && at < until), "no longer than the soft limit");
+        assert!(!t.done && until < access.deadline, "never until the hard limit");
+        self.waited += u32::from(ways.retry_at.is_some());
+        assert!(ways.retry_at.is_none_or(|at| at > self.now && at < until), "no longer than the soft limit");
         t.ways = ways.clone();
         ways
     }
@@ -274,51 +291,52 @@
         let t = self.taken.get_mut(&p.access).expect("an access that was taken");
         assert!(!t.done, "rule 1: a push after the final answer");
         for id in [p.cache, p.source] {
-            assert_eq!(self.list[id].standing, Standing::Listed, "rule 3: {id}");
+            assert_eq!(self.list[id].status, MemberStatus::Listed, "rule 3: {id}");
         }
         let unrun = t.pushes.iter().all(|p| p.ended && p.proved_unrun);
         assert!(t.access.offering != 2 || unrun, "rule 2: pushed again");
         if let Some(&at) = self.purges.get(&t.access.object).filter(|_| t.access.offering != 2) {
-            let bound = self.now > at + PURGE_DONE || p.age > 0 && self.now - p.age >= at.min(self.now - 1);
+            let bound =
+                self.now > at + PURGE_DONE || p.max_age > 0 && self.now - p.max_age >= at.min(self.now - 1);
             assert!(bound, "rule 5: older than a purge, from {}", p.source);
         }
         let straight = p.cache.starts_with('t') || p.cache.starts_with('u');
         let named = hash::text(if straight { p.cache } else { p.source });
-        let through = Some(named).filter(|_| straight && p.kept_only);
+        let through = Some(named).filter(|_| straight && p.only_if_cached);
         let key = if through.is_some() { hash::text(p.source) } else { named };
-        let way = Way { key, kept_only: p.kept_only, through };
+        let way = FillRoute { key, only_if_cached: p.only_if_cached, via_parent: through };
         let allowed = t.access.offering == 2 || p.source == p.cache || t.ways.order.contains(&way);
         assert!(allowed, "{} named, which is none of {:?}", p.source, t.ways);
-        self.old_homes_asked += u32::from(p.kept_only);
+        self.old_homes_asked += u32::from(p.only_if_cached);
         let number = t.pushes.len();
         let (cache, source) = (p.cache.to_owned(), p.source.to_owned());
-        t.pushes.push(Out { cache, source, kept: p.kept_only, ended: false, proved_unrun: false });
+        t.pushes.push(Out { cache, source, kept: p.only_if_cached, ended: false, proved_unrun: false });
         let lag = if self.silent.contains(p.cache) { 30_000 } else { 100 + self.rng.u64(0..400) };
-        let outcome = Some(Outcome::TimedOut).filter(|_| lag >= p.wait);
-        self.coming.push((self.now + lag.min(p.wait), p.access, number, outcome));
+        let outcome = Some(Outcome::TimedOut).filter(|_| lag >= p.timeout);
+        self.coming.push((self.now + lag.min(p.timeout), p.access, number, outcome));
         let keys = [p.cache, p.source].map(hash::text);
-        self.guide.pushed(self.now, p.access, number, keys[0], keys[1], p.kept_only);
+        self.guide.pushed(self.now, p.access, number, keys[0], keys[1], p.only_if_cached);
     }
 
-    fn withdraw(&mut self, access: AccessId, push: usize) {
+    fn cancel_push(&mut self, access: AccessId, push: usize) {
         let at = self.now + 1;
         self.coming.retain(|c| (c.1, c.2) != (access, push));
         self.coming.push((at, access, push, Some(Outcome::Withdrawn)));
     }
 
-    fn decline(&mut self, access: AccessId, _: Unserved) {
+    fn decline(&mut self, access: AccessId, _: UnservedReason) {
         self.finish(access, true);
     }
 
-    fn give_up(&mut self, access: AccessId, _: Unserved) {
+    fn give_up(&mut self, access: AccessId, _: UnservedReason) {
         self.finish(access, false);
     }
 
-    fn wake(&mut self, at: Tenths, key: u64) {
+    fn set_timer(&mut self, at: Ticks, key: u64) {
         self.timers.push((at.max(self.now + 1), key));
     }
 
-    fn follow_list(&mut self) {}
+    fn request_member_list(&mut self) {}
 
     fn log(&mut self, _: Arguments<'_>) {}
 }
@@ -337,9 +355,10 @@
             0 | 1 => {
                 // A parent drains, goes, comes back cold; also in the middle of whatever goes on.
                 let id = tier[rng.usize(0..tier.len())];
-                let standing = [Standing::Draining, Standing::Gone, Standing::Listed][rng.usize(0..3)];
-                let started = Some(w.now).filter(|_| standing == Standing::Listed);
-                w.tell(&mut front, &[Member { standing, started, ..member(id, 1) }]);
+                let standing =
+                    [MemberStatus::Draining, MemberStatus::Gone, MemberStatus::Listed][rng.usize(0..3)];
+                let started = Some(w.now).filter(|_| standing == MemberStatus::Listed);
+                w.tell(&mut front, &[Member { status: standing, started_at: started, ..member(id, 1) }]);
             }
             2..=4 => {
                 // Hung elsewhere, also under one another: loops are offered.
@@ -350,7 +369,7 @@
                 let object = rng.u64(0..50);
                 w.purges.insert(object, w.now);
                 w.holds.retain(|h| h.1 != object);
-                front.purged(w.now, Some(object), 0, 0);
+                front.purge_received(w.now, Some(object), 0, 0);
             }
             6 => {
                 let id = ["c-0", "t-0", "u-1"][rng.usize(0..3)].to_owned();
@@ -377,7 +396,7 @@
 }
 
 /// Stations ask for 300 objects again and again; one in eight is new to all; their caches are small.
-fn traffic(w: &mut World, front: &mut Front, rng: &mut Rng, id: &mut u64, time: Tenths) {
+fn traffic(w: &mut World, front: &mut Front, rng: &mut Rng, id: &mut u64, time: Ticks) {
     let end = w.now + time;
     while w.now < end {
         *id += 1;
@@ -399,14 +418,14 @@
     let start = w.now;
     let before = w.mean(start - 300_000, start);
     if kill {
-        w.tell(&mut front, &[Member { standing: Standing::Gone, ..member("t-0", 1) }]);
+        w.tell(&mut front, &[Member { status: MemberStatus::Gone, ..member("t-0", 1) }]);
         for object in 0..300 {
             for cache in ["c-0", "c-1", "c-2"] {
                 w.holds.remove(&(cache.to_owned(), object));
             }
         }
     } else {
-        w.tell(&mut front, &[Member { started: Some(w.now), ..member("t-3", 1) }]);
+        w.tell(&mut front, &[Member { started_at: Some(w.now), ..member("t-3", 1) }]);
         w.shape(&[stands("t-3", 1, 1, &["u-0", "u-1"])]);
     }
     w.declined = 0;
@@ -442,16 +461,16 @@
     let (mut rng, mut id) = (Rng::with_seed(6), 0);
     traffic(&mut w, &mut front, &mut rng, &mut id, 600_000);
     let (start, before) = (w.now, w.mean(w.now - 300_000, w.now));
-    w.tell(&mut front, &[Member { started: Some(w.now), ..member("t-3", 1) }]);
+    w.tell(&mut front, &[Member { started_at: Some(w.now), ..member("t-3", 1) }]);
     w.shape(&[stands("t-3", 1, 1, &["u-0", "u-1"])]);
     for listed in [true, false] {
         traffic(&mut w, &mut front, &mut rng, &mut id, 60_000);
         if listed {
-            w.tell(&mut front, &[Member { standing: Standing::Gone, ..member("t-3", 1) }]);
+            w.tell(&mut front, &[Member { status: MemberStatus::Gone, ..member("t-3", 1) }]);
             traffic(&mut w, &mut front, &mut rng, &mut id, 5_000);
         }
         // The second time the list never said that it was gone: only that it has started anew.
-        w.tell(&mut front, &[Member { started: Some(w.now), ..member("t-3", 1) }]);
+        w.tell(&mut front, &[Member { started_at: Some(w.now), ..member("t-3", 1) }]);
     }
     let handed = w.old_homes_asked;
     traffic(&mut w, &mut front, &mut rng, &mut id, 250_000);
@@ -472,14 +491,16 @@
         let all = ["t-0", "t-1", "t-2", ORIGIN];
         let tell = |w: &mut World, front: &mut Front, ids: &[&str], standing, started| {
             let kind = |id: &str| 1 + usize::from(id == ORIGIN);
-            let members: Vec<_> =
-                ids.iter().map(|id| Member { standing, started, ..member(id, kind(id)) }).collect();
+            let members: Vec<_> = ids
+                .iter()
+                .map(|id| Member { status: standing, started_at: started, ..member(id, kind(id)) })
+                .collect();
             w.tell(front, &members);
         };
-        tell(&mut w, &mut front, &all[..3], Standing::Gone, None);
+        tell(&mut w, &mut front, &all[..3], MemberStatus::Gone, None);
         traffic(&mut w, &mut front, &mut rng, &mut id, 50_000);
         let without = w.asked.len();
-        tell(&mut w, &mut front, &all[3..], Standing::Gone, None);
+        tell(&mut w, &mut front, &all[3..], MemberStatus::Gone, None);
         let (declined, handled) = (w.declined, w.handled);
         traffic(&mut w, &mut front, &mut rng, &mut id, 20_000);
         assert_eq!(w.asked.len(), without, "nobody is left to ask");
@@ -488,7 +509,7 @@
             "what caches hold is served, the rest is declined"
         );
         let now = Some(w.now);
-        tell(&mut w, &mut front, &all, Standing::Listed, now);
+        tell(&mut w, &mut front, &all, MemberStatus::Listed, now);
         traffic(&mut w, &mut front, &mut rng, &mut id, 250_000);
         peaks.push(w.peak(start, w.now) / before);
         let (declined, handled) = (w.declined, w.handled);
--- a/crates/keys/src/papers.rs
+++ b/crates/keys/src/papers.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use doorgrade_operator::control::Papers;
-use doorgrade_trust::Tenths;
+use doorgrade_trust::Ticks;
 use doorgrade_trust::expiry::Span;
 use rustls::client::Resumption;
 use rustls::pki_types::pem::PemObject;
@@ -87,7 +87,7 @@
 }
 
 /// Times before 1970 count as 1970.
-fn tenths(seconds: i64) -> Tenths {
+fn tenths(seconds: i64) -> Ticks {
     u64::try_from(seconds).unwrap_or(0).saturating_mul(10_000)
 }
 
--- a/crates/keys/src/reload.rs
+++ b/crates/keys/src/reload.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, PoisonError, RwLock};
 use std::time::SystemTime;
 
-use doorgrade_trust::Tenths;
+use doorgrade_trust::Ticks;
 use doorgrade_trust::expiry::{Watched, Word};
 
 use crate::Trouble;
@@ -86,7 +86,7 @@
     }
 
     /// What there is to say now of what will end, once for each step.
-    pub fn due(&mut self, now: Tenths) -> Vec<(PathBuf, Box<str>, Word)> {
+    pub fn due(&mut self, now: Ticks) -> Vec<(PathBuf, Box<str>, Word)> {
         let words = self.watched.iter_mut().filter_map(|((file, of), watched)| {
             let word = watched.due(now)?;
             Some((file.clone(), of.clone(), word))
--- a/crates/lab/src/cold.rs
+++ b/crates/lab/src/cold.rs
@@ -7,9 +7,10 @@
 
 use doorgrade::*;
 
-const WARM_FOR: Tenths = 300_000;
+const WARM_FOR: Ticks = 300_000;
 /// The tightest that a deployment has: a multiple of 2, from a seventh or so.
-const COLD: Cold = Cold { from: 0.16, lasts: 170_000, multiple: 2.0, window: 15_000 };
+const COLD: ColdLimits =
+    ColdLimits { initial_share: 0.16, duration: 170_000, load_multiple: 2.0, window: 15_000 };
 /// A mean access, in tenths of a millisecond of sending.
 const WORK: f64 = 2_000.0;
 /// Of the accesses this share misses, and of the answers this share is an error.
@@ -56,7 +57,7 @@
 
     /// What a warm cache carries in the settings' time, in accesses: it is taken to do no more, which is the worst case.
     fn each(&self) -> f64 {
-        self.n / (COLD.multiple * COLD.from)
+        self.n / (COLD.load_multiple * COLD.initial_share)
     }
 }
 
@@ -83,59 +84,72 @@
     id.strip_prefix("m-").and_then(|n| n.parse().ok()).unwrap_or(usize::MAX)
 }
 
-impl Outlet for Out {
+impl EffectSink for Out {
     fn push(&mut self, p: &Push<'_>) {
-        self.pushed.push((p.access, place(p.cache), place(p.source), p.kept_only));
+        self.pushed.push((p.access, place(p.cache), place(p.source), p.only_if_cached));
     }
-    fn withdraw(&mut self, _: AccessId, _: usize) {}
-    fn decline(&mut self, _: AccessId, _: Unserved) {
+    fn cancel_push(&mut self, _: AccessId, _: usize) {}
+    fn decline(&mut self, _: AccessId, _: UnservedReason) {
         self.declined += 1;
     }
-    fn give_up(&mut self, _: AccessId, _: Unserved) {
+    fn give_up(&mut self, _: AccessId, _: UnservedReason) {
         self.declined += 1;
     }
     /// Every answer is in time here, so none is overdue.
-    fn wake(&mut self, _: Tenths, _: u64) {}
-    fn follow_list(&mut self) {}
+    fn set_timer(&mut self, _: Ticks, _: u64) {}
+    fn request_member_list(&mut self) {}
     fn log(&mut self, _: std::fmt::Arguments<'_>) {}
 }
 
 fn settings(case: &Case) -> Settings {
-    let lasts = if case.baseline { 0 } else { COLD.lasts };
-    let cold = Cold { lasts, ..COLD };
-    let (effect, fresh, uncacheable) = (Effect::Idempotent, 0, false);
+    let lasts = if case.baseline { 0 } else { COLD.duration };
+    let cold = ColdLimits { duration: lasts, ..COLD };
+    let (effect, fresh, uncacheable) = (RepeatPolicy::Idempotent, 0, false);
     Settings {
-        offerings: vec![Offering { soft: 10_000, stretch: 4.0, benefit: 1.0, effect, fresh, uncacheable }],
+        offerings: vec![Offering {
+            soft_limit: 10_000,
+            transfer_factor: 4.0,
+            benefit: 1.0,
+            repeat_policy: effect,
+            fresh_time: fresh,
+            uncacheable,
+        }],
         zone: 0,
-        crew: case.fronts as u32,
+        zone_fronts: case.fronts as u32,
         parent_kind: Some(1),
         origin_kind: Some(2),
-        notes: Notes::All,
-        may: Powers { joins: true, straight: false, cancels: true, second_copies: true },
+        status_reporting: StatusReporting::All,
+        features: Features {
+            join_fills: true,
+            cache_bypass: false,
+            cancel_pushes: true,
+            hedged_pushes: true,
+        },
         max_pushes: 4,
-        weights: true,
+        comparable_weights: true,
         list_on_request: false,
-        quantum: 20,
+        min_input_interval: 20,
         flow_kb_per_s: 1_000.0,
         cold,
         parent_cold: cold,
-        purge_done: 0,
+        purge_propagation: 0,
     }
 }
 
-fn member(case: &Case, n: usize, started: Option<Tenths>) -> Member {
+fn member(case: &Case, n: usize, started: Option<Ticks>) -> Member {
     let (caches, parents) = (case.caches(), case.parents());
     let kind = usize::from(n >= caches) + usize::from(n >= caches + parents);
     let id = format!("m-{n}").into();
-    Member { id, zone: 0, kind, cell: 0, standing: Standing::Listed, weight: 1.0, started }
+    Member { id, zone: 0, kind, cell: 0, status: MemberStatus::Listed, weight: 1.0, started_at: started }
 }
 
 /// The highest share of what acceptance allows (N + 2 root N + 2) that came in one window, by what was allowed when the
 /// window began.
-fn highest(came: &[Tenths], start: Tenths, each: f64) -> f64 {
-    let allowed = |at: Tenths| {
-        let share = COLD.from + (1.0 - COLD.from) * (at - start) as f64 / COLD.lasts as f64;
-        let n = COLD.multiple * share.min(1.0) * each;
+fn highest(came: &[Ticks], start: Ticks, each: f64) -> f64 {
+    let allowed = |at: Ticks| {
+        let share =
+            COLD.initial_share + (1.0 - COLD.initial_share) * (at - start) as f64 / COLD.duration as f64;
+        let n = COLD.load_multiple * share.min(1.0) * each;
         n + 2.0 * n.sqrt() + 2.0
     };
     let (mut first, mut worst) = (0, 0f64);
@@ -149,7 +163,7 @@
 }
 
 /// What happens next: to a front, an access that comes (none) or the end of a push of one.
-type Next = (Tenths, usize, Option<(AccessId, usize, u8)>);
+type Next = (Ticks, usize, Option<(AccessId, usize, u8)>);
 
 pub fn play(case: &Case, seed: u64) -> Run {
     let mut rng = fastrand::Rng::with_seed(seed);
@@ -164,16 +178,16 @@
     let (mut out, mut heap) = (Out::default(), BinaryHeap::<Reverse<Next>>::new());
     let all: Vec<Member> = (0..=caches + parents).map(|n| member(case, n, None)).collect();
     let start = if case.fresh { 1 } else { WARM_FOR };
-    fronts.iter_mut().for_each(|f| f.listed(0, &all, true, &mut out));
+    fronts.iter_mut().for_each(|f| f.member_list_received(0, &all, true, &mut out));
     let mut rng = fastrand::Rng::with_seed(seed ^ 0x5eed);
-    let wait = |rng: &mut fastrand::Rng, rate: f64| (-(1.0 - rng.f64()).ln() / rate * 10_000.0) as Tenths + 1;
+    let wait = |rng: &mut fastrand::Rng, rate: f64| (-(1.0 - rng.f64()).ln() / rate * 10_000.0) as Ticks + 1;
     for (n, rate) in rates.iter().enumerate() {
         heap.push(Reverse((wait(&mut rng, *rate), n, None)));
     }
     heap.push(Reverse((start, usize::MAX, None)));
     let cold = if case.several { (caches / 3).max(2) } else { 1 };
     let cold_parent = caches;
-    let end = start + COLD.lasts;
+    let end = start + COLD.duration;
     let mut came = vec![Vec::new(); caches + parents + 1];
     let (mut id, mut declined, mut asked) = (0, 0, 0);
     while let Some(Reverse((now, n, what))) = heap.pop() {
@@ -183,7 +197,7 @@
         if n == usize::MAX {
             let also = Some(cold_parent).filter(|_| case.parent);
             let list: Vec<_> = (0..cold).chain(also).map(|n| member(case, n, Some(now))).collect();
-            fronts.iter_mut().for_each(|f| f.listed(now, &list, false, &mut out));
+            fronts.iter_mut().for_each(|f| f.member_list_received(now, &list, false, &mut out));
             (declined, asked) = (out.declined, id);
             continue;
         }
@@ -193,19 +207,35 @@
                 let work = WORK * if case.uneven { 10f64.powf(2.0 * rng.f64() - 1.0) / 2.15 } else { 1.0 };
                 let (object, until) = (rng.u64(..1 << 40), now + 60_000);
                 let (offering, part, group, marked) = (0, 0, 0, true);
-                let access = Access { id, offering, object, part, group, kb: work / 10.0, until, marked };
+                let access = Access {
+                    id,
+                    offering,
+                    object,
+                    part,
+                    group,
+                    kb: work / 10.0,
+                    deadline: until,
+                    has_repeat_id: marked,
+                };
                 heap.push(Reverse((now + wait(&mut rng, rates[n]), n, None)));
                 fronts[n].access(now, &access, &mut out);
             }
             Some((access, push, outcome)) => {
                 let (outcome, note, settled) = match outcome {
-                    0 => (Outcome::Handled, Note::Hit, true),
-                    1 => (Outcome::Handled, Note::Filled, true),
-                    2 => (Outcome::Miss, Note::SourceLacks, false),
-                    _ => (Outcome::Error, Note::Untold, false),
+                    0 => (Outcome::Handled, CacheStatus::Hit, true),
+                    1 => (Outcome::Handled, CacheStatus::Filled, true),
+                    2 => (Outcome::Miss, CacheStatus::SourceLacks, false),
+                    _ => (Outcome::Error, CacheStatus::Untold, false),
+                };
+                let ended = PushResult {
+                    push,
+                    outcome,
+                    access_done: settled,
+                    latency: 0,
+                    cache_status: note,
+                    origin_sent_at: None,
                 };
-                let ended = Ended { push, outcome, settled, lag: 0, note, made: None };
-                fronts[n].ended(now, access, &ended, &mut out);
+                fronts[n].push_ended(now, access, &ended, &mut out);
             }
         }
         // Further pushes of one access come after its first.
@@ -224,7 +254,7 @@
                 (_, true) if source == cache || kept => 2,
                 (_, missed) => u8::from(missed),
             };
-            let takes = if outcome == 2 { 10 } else { WORK as Tenths };
+            let takes = if outcome == 2 { 10 } else { WORK as Ticks };
             heap.push(Reverse((now + takes, n, Some((access, first + at, outcome)))));
         }
     }
--- a/crates/lab/src/fleet.rs
+++ b/crates/lab/src/fleet.rs
@@ -11,7 +11,7 @@
 
 use doorgrade_agent::process::{find, signal};
 use doorgrade_fleet::life::Check;
-use doorgrade_fleet::{Do, Fleet, Order, Phase, Process, Rules, SECOND, What};
+use doorgrade_fleet::{Do, Fleet, Order, Phase, Process, Rules, TICKS_PER_SECOND, What};
 use doorgrade_standins::{Client, Directory, Feed, Member, Role, Spec};
 use fastrand::Rng;
 use rustix::process::Signal;
@@ -275,7 +275,7 @@
     let mut wake = None;
     let begun = Instant::now();
     let mut ordered = false;
-    let (mut killed_at, end) = (None, now + 1_200 * SECOND);
+    let (mut killed_at, end) = (None, now + 1_200 * TICKS_PER_SECOND);
     loop {
         let mut more = Vec::new();
         for each in out.drain(..) {
@@ -339,7 +339,7 @@
             if kind == 0 {
                 fleet.found(now, &name, &[], &mut out);
             } else {
-                let up = born.get(&name).is_some_and(|at| now >= at + 2 * SECOND);
+                let up = born.get(&name).is_some_and(|at| now >= at + 2 * TICKS_PER_SECOND);
                 fleet.checked(now, &name, run, if up { Check::Ready } else { Check::Silent }, &mut out);
             }
         } else {
@@ -351,9 +351,9 @@
     figures.put("virtual_instances", places.len());
     figures.ratio("virtual_decisions_per_s", inputs as f64 / took);
     if let Some(at) = killed_at {
-        let recovery = (now - at) as f64 / SECOND as f64;
+        let recovery = (now - at) as f64 / TICKS_PER_SECOND as f64;
         let mut seconds: BTreeMap<u64, u64> = BTreeMap::new();
-        starts.iter().for_each(|s| *seconds.entry((s - at) / SECOND).or_default() += 1);
+        starts.iter().for_each(|s| *seconds.entry((s - at) / TICKS_PER_SECOND).or_default() += 1);
         let peak = seconds.values().copied().max().unwrap_or(0) as f64;
         figures.put("virtual_restored", starts.len());
         figures.ratio("virtual_restore_s", recovery);
--- a/crates/lab/src/front_state/cost.rs
+++ b/crates/lab/src/front_state/cost.rs
@@ -1,7 +1,7 @@
 //! What the module's decisions cost: a front is played in virtual time and all that it is handed is kept; a second one,
 //! in the same state, is then handed the same, while only its thread's processor time is counted.
 
-use doorgrade::{Note, Outcome, Tenths};
+use doorgrade::{CacheStatus, Outcome, Ticks};
 use rustix::time::{ClockId, clock_gettime};
 
 use super::play::{self, Answer, HOUR, Input, Members, Nowhere, PURGE_DONE, Play, Pushed, World};
@@ -35,13 +35,13 @@
 struct Misses(fastrand::Rng);
 
 impl World for Misses {
-    fn serve(&mut self, now: Tenths, push: &Pushed) -> Answer {
+    fn serve(&mut self, now: Ticks, push: &Pushed) -> Answer {
         let miss = self.0.f64() < MISSES;
         let outcome = if push.look && miss { Outcome::Miss } else { Outcome::Handled };
         let (note, lag) = match (outcome, miss) {
-            (Outcome::Miss, _) => (Note::SourceLacks, 50),
-            (_, true) => (Note::Filled, 500),
-            (_, false) => (Note::Hit, 100),
+            (Outcome::Miss, _) => (CacheStatus::SourceLacks, 50),
+            (_, true) => (CacheStatus::Filled, 500),
+            (_, false) => (CacheStatus::Hit, 100),
         };
         let age = if miss { 0 } else { self.0.u64(0..HOUR) };
         let made = (outcome == Outcome::Handled).then(|| now.saturating_sub(age));
@@ -60,7 +60,7 @@
     let (mut at, mut used, mut counted) = (HOUR as f64, 0.0, 0);
     for n in 0..load.before + load.counted {
         at += -(1.0 - rng.f64()).ln() * 10_000.0 / rate;
-        played.access(at as Tenths, draws.rank(), &mut world);
+        played.access(at as Ticks, draws.rank(), &mut world);
         let Some(record) = played.record.as_mut().filter(|r| r.len() >= 4_096) else { continue };
         let begun = thread_us();
         for (now, input) in record.iter() {
@@ -79,11 +79,11 @@
 pub fn purge_us(rate: f64, seed: u64, purges: u64) -> f64 {
     let mut front = play::front(Members { near: 6, far: 0, parents: 1 }, seed, 1);
     let mut rng = fastrand::Rng::with_seed(seed);
-    let times: Vec<(Tenths, u64)> =
-        (0..purges).map(|n| (PURGE_DONE + (n as f64 * 10_000.0 / rate) as Tenths, rng.u64(..))).collect();
+    let times: Vec<(Ticks, u64)> =
+        (0..purges).map(|n| (PURGE_DONE + (n as f64 * 10_000.0 / rate) as Ticks, rng.u64(..))).collect();
     let begun = thread_us();
     for &(now, object) in &times {
-        front.purged(now, Some(object), 0, 500);
+        front.purge_received(now, Some(object), 0, 500);
     }
     (thread_us() - begun) / purges as f64
 }
@@ -92,7 +92,7 @@
 pub fn purged_front(purges: u64) -> doorgrade::Front {
     let mut front = play::front(Members { near: 6, far: 0, parents: 1 }, 1, 1);
     for n in 0..purges {
-        front.purged(PURGE_DONE, Some(n), 0, 500);
+        front.purge_received(PURGE_DONE, Some(n), 0, 500);
     }
     front
 }
@@ -101,7 +101,7 @@
 pub fn full_front(entries: u64) -> doorgrade::Front {
     let mut front = play::front(Members { near: 6, far: 0, parents: 1 }, 1, HOUR);
     for n in 0..entries {
-        front.recall(HOUR, (super::popularity::object(n as u32), 0), HOUR, HOUR);
+        front.restore_fill(HOUR, (super::popularity::object(n as u32), 0), HOUR, HOUR);
     }
     front
 }
--- a/crates/lab/src/front_state/play.rs
+++ b/crates/lab/src/front_state/play.rs
@@ -12,11 +12,11 @@
 /// accesses), fresh for an hour.
 pub const CREW: u32 = 23;
 const OBJECT_KB: f64 = 228.0;
-pub const HOUR: Tenths = 36_000_000;
-const SOFT: Tenths = 4_000;
-const HARD: Tenths = 15_000;
+pub const HOUR: Ticks = 36_000_000;
+const SOFT: Ticks = 4_000;
+const HARD: Ticks = 15_000;
 /// The target's bound on a purge.
-pub const PURGE_DONE: Tenths = 46_000;
+pub const PURGE_DONE: Ticks = 46_000;
 /// Ranks fit the lower bits of an access's id.
 const RANK_BITS: u32 = 27;
 
@@ -43,77 +43,77 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Answer {
     pub outcome: Outcome,
-    pub note: Note,
+    pub note: CacheStatus,
     /// When the copy was made.
-    pub made: Option<Tenths>,
-    pub lag: Tenths,
+    pub made: Option<Ticks>,
+    pub lag: Ticks,
 }
 
 /// The caches and what is behind them.
 pub trait World {
-    fn serve(&mut self, now: Tenths, push: &Pushed) -> Answer;
+    fn serve(&mut self, now: Ticks, push: &Pushed) -> Answer;
 }
 
 /// What a front was handed, so that another can be handed the same.
 #[derive(Clone, Copy, Debug)]
 pub enum Input {
     Access(Access),
-    Ended(AccessId, Ended),
+    Ended(AccessId, PushResult),
     Due(u64),
 }
 
 /// Hands an input to a front.
-pub fn hand(front: &mut Front, now: Tenths, input: &Input, out: &mut dyn Outlet) {
+pub fn hand(front: &mut Front, now: Ticks, input: &Input, out: &mut dyn EffectSink) {
     match input {
         Input::Access(access) => front.access(now, access, out),
-        Input::Ended(access, ended) => front.ended(now, *access, ended, out),
-        Input::Due(key) => front.due(now, *key, out),
+        Input::Ended(access, ended) => front.push_ended(now, *access, ended, out),
+        Input::Due(key) => front.timer_fired(now, *key, out),
     }
 }
 
 /// Where decisions go that nobody waits for.
 pub struct Nowhere;
 
-impl Outlet for Nowhere {
+impl EffectSink for Nowhere {
     fn push(&mut self, p: &Push<'_>) {
         std::hint::black_box(p);
     }
-    fn withdraw(&mut self, _: AccessId, _: usize) {}
-    fn decline(&mut self, _: AccessId, _: Unserved) {}
-    fn give_up(&mut self, _: AccessId, _: Unserved) {}
-    fn wake(&mut self, at: Tenths, _: u64) {
+    fn cancel_push(&mut self, _: AccessId, _: usize) {}
+    fn decline(&mut self, _: AccessId, _: UnservedReason) {}
+    fn give_up(&mut self, _: AccessId, _: UnservedReason) {}
+    fn set_timer(&mut self, at: Ticks, _: u64) {
         std::hint::black_box(at);
     }
-    fn follow_list(&mut self) {}
+    fn request_member_list(&mut self) {}
     fn log(&mut self, _: Arguments<'_>) {}
 }
 
 #[derive(Default)]
 struct Decided {
     pushed: Vec<Pushed>,
-    wakes: Vec<(Tenths, u64)>,
+    wakes: Vec<(Ticks, u64)>,
     withdrawn: Vec<(AccessId, usize)>,
     declined: u64,
 }
 
-impl Outlet for Decided {
+impl EffectSink for Decided {
     fn push(&mut self, p: &Push<'_>) {
-        let look = p.source == p.cache || p.kept_only;
-        self.pushed.push(Pushed { access: p.access, number: 0, rank: p.rank, renew: p.renew, look });
+        let look = p.source == p.cache || p.only_if_cached;
+        self.pushed.push(Pushed { access: p.access, number: 0, rank: p.rank, renew: p.refresh, look });
     }
-    fn withdraw(&mut self, access: AccessId, push: usize) {
+    fn cancel_push(&mut self, access: AccessId, push: usize) {
         self.withdrawn.push((access, push));
     }
-    fn decline(&mut self, _: AccessId, _: Unserved) {
+    fn decline(&mut self, _: AccessId, _: UnservedReason) {
         self.declined += 1;
     }
-    fn give_up(&mut self, _: AccessId, _: Unserved) {
+    fn give_up(&mut self, _: AccessId, _: UnservedReason) {
         self.declined += 1;
     }
-    fn wake(&mut self, at: Tenths, key: u64) {
+    fn set_timer(&mut self, at: Ticks, key: u64) {
         self.wakes.push((at, key));
     }
-    fn follow_list(&mut self) {}
+    fn request_member_list(&mut self) {}
     fn log(&mut self, _: Arguments<'_>) {}
 }
 
@@ -132,9 +132,9 @@
             zone,
             kind,
             cell: 0,
-            standing: Standing::Listed,
+            status: MemberStatus::Listed,
             weight: 1.0,
-            started: None,
+            started_at: None,
         };
         let place = |n: usize| match n {
             n if n < self.near => (0, 0),
@@ -148,44 +148,44 @@
 }
 
 pub fn settings() -> Settings {
-    let cold = Cold { from: 0.16, lasts: 170_000, multiple: 2.0, window: 15_000 };
+    let cold = ColdLimits { initial_share: 0.16, duration: 170_000, load_multiple: 2.0, window: 15_000 };
     let offering = Offering {
-        soft: SOFT,
-        stretch: 4.0,
+        soft_limit: SOFT,
+        transfer_factor: 4.0,
         benefit: 1.0,
-        effect: Effect::Idempotent,
-        fresh: HOUR,
+        repeat_policy: RepeatPolicy::Idempotent,
+        fresh_time: HOUR,
         uncacheable: false,
     };
     Settings {
         offerings: vec![offering],
         zone: 0,
-        crew: CREW,
+        zone_fronts: CREW,
         parent_kind: Some(1),
         origin_kind: Some(2),
-        notes: Notes::All,
-        may: Powers { joins: true, straight: true, cancels: true, second_copies: true },
+        status_reporting: StatusReporting::All,
+        features: Features { join_fills: true, cache_bypass: true, cancel_pushes: true, hedged_pushes: true },
         max_pushes: 4,
-        weights: true,
+        comparable_weights: true,
         list_on_request: false,
-        quantum: 20,
+        min_input_interval: 20,
         flow_kb_per_s: 20_000.0,
         cold,
         parent_cold: cold,
-        purge_done: PURGE_DONE,
+        purge_propagation: PURGE_DONE,
     }
 }
 
 /// A new front that has its list.
-pub fn front(members: Members, seed: u64, now: Tenths) -> Front {
+pub fn front(members: Members, seed: u64, now: Ticks) -> Front {
     let mut front = Front::new(&settings(), seed);
-    front.listed(now, &members.list(), true, &mut Nowhere);
+    front.member_list_received(now, &members.list(), true, &mut Nowhere);
     front
 }
 
 #[derive(Clone, Copy, Debug)]
 enum Event {
-    Answer(AccessId, Ended),
+    Answer(AccessId, PushResult),
     Wake(u64),
 }
 
@@ -193,12 +193,12 @@
 pub struct Play {
     front: Front,
     out: Decided,
-    due: BinaryHeap<Reverse<(Tenths, u64, usize)>>,
+    due: BinaryHeap<Reverse<(Ticks, u64, usize)>>,
     events: slab::Slab<Event>,
     made: u64,
     accesses: u64,
     /// Everything that the front was handed, where it is to be kept.
-    pub record: Option<Vec<(Tenths, Input)>>,
+    pub record: Option<Vec<(Ticks, Input)>>,
     pub pushes: u64,
     pub looks: u64,
 }
@@ -213,7 +213,7 @@
 }
 
 impl Play {
-    pub fn new(members: Members, seed: u64, now: Tenths) -> Play {
+    pub fn new(members: Members, seed: u64, now: Ticks) -> Play {
         Play {
             front: front(members, seed, now),
             out: Decided::default(),
@@ -232,7 +232,7 @@
     }
 
     /// An access of the object of a rank, after all that is due before it.
-    pub fn access(&mut self, now: Tenths, rank: u32, world: &mut impl World) -> Sight {
+    pub fn access(&mut self, now: Ticks, rank: u32, world: &mut impl World) -> Sight {
         self.advance(now, world);
         self.accesses += 1;
         let access = Access {
@@ -242,8 +242,8 @@
             part: 0,
             group: 0,
             kb: OBJECT_KB,
-            until: now + HARD,
-            marked: false,
+            deadline: now + HARD,
+            has_repeat_id: false,
         };
         self.hand(now, Input::Access(access));
         let sight = match self.out.pushed.first() {
@@ -255,12 +255,12 @@
         sight
     }
 
-    fn hand(&mut self, now: Tenths, input: Input) {
+    fn hand(&mut self, now: Ticks, input: Input) {
         hand(&mut self.front, now, &input, &mut self.out);
         self.record.iter_mut().for_each(|record| record.push((now, input)));
     }
 
-    fn advance(&mut self, now: Tenths, world: &mut impl World) {
+    fn advance(&mut self, now: Ticks, world: &mut impl World) {
         while let Some(&Reverse((at, _, event))) = self.due.peek().filter(|d| d.0.0 <= now) {
             self.due.pop();
             match self.events.remove(event) {
@@ -271,13 +271,13 @@
         }
     }
 
-    fn put(&mut self, at: Tenths, event: Event) {
+    fn put(&mut self, at: Ticks, event: Event) {
         self.made += 1;
         self.due.push(Reverse((at, self.made, self.events.insert(event))));
     }
 
     /// What the front has decided is carried out, and what it decides upon that.
-    fn follow(&mut self, now: Tenths, world: &mut impl World) {
+    fn follow(&mut self, now: Ticks, world: &mut impl World) {
         while !(self.out.pushed.is_empty() && self.out.wakes.is_empty() && self.out.withdrawn.is_empty()) {
             // A push says nothing of its number; the wake that goes out before it does.
             let wakes = std::mem::take(&mut self.out.wakes);
@@ -290,19 +290,33 @@
                 self.put(at, Event::Wake(key));
             }
             for (access, push) in std::mem::take(&mut self.out.withdrawn) {
-                let (outcome, note) = (Outcome::Withdrawn, Note::Untold);
-                let ended = Ended { push, outcome, settled: false, lag: 0, note, made: None };
+                let (outcome, note) = (Outcome::Withdrawn, CacheStatus::Untold);
+                let ended = PushResult {
+                    push,
+                    outcome,
+                    access_done: false,
+                    latency: 0,
+                    cache_status: note,
+                    origin_sent_at: None,
+                };
                 self.hand(now, Input::Ended(access, ended));
             }
         }
     }
 
-    fn serve(&mut self, now: Tenths, push: &Pushed, world: &mut impl World) {
+    fn serve(&mut self, now: Ticks, push: &Pushed, world: &mut impl World) {
         self.pushes += 1;
         self.looks += u64::from(push.look);
         let Answer { outcome, note, made, lag } = world.serve(now, push);
         let settled = outcome == Outcome::Handled;
-        let ended = Ended { push: push.number, outcome, settled, lag, note, made };
+        let ended = PushResult {
+            push: push.number,
+            outcome,
+            access_done: settled,
+            latency: lag,
+            cache_status: note,
+            origin_sent_at: made,
+        };
         self.put(now + lag, Event::Answer(push.access, ended));
     }
 }
--- a/crates/lab/src/front_state/site.rs
+++ b/crates/lab/src/front_state/site.rs
@@ -1,7 +1,7 @@
 //! A site of the target in virtual time: its caches' copies, the accesses of all its fronts, and the very module as one
 //! of them. What that front's table of fills knows is held against what happened, and against other tables.
 
-use doorgrade::{Note, Outcome, Tenths, hash};
+use doorgrade::{CacheStatus, Outcome, Ticks, hash};
 use rustc_hash::FxHashMap;
 
 use super::play::{Answer, CREW, HOUR, Members, Play, Pushed, Sight, World};
@@ -11,8 +11,8 @@
 /// Entries of the module's table (`MOST_FILLS`).
 pub const ENTRIES: usize = 1 << 16;
 /// Half the answer time of a hit and of a fill, in tenths of a millisecond: the rest is drawn.
-const HIT: Tenths = 100;
-const FILL: Tenths = 500;
+const HIT: Ticks = 100;
+const FILL: Ticks = 500;
 const SECOND: f64 = 10_000.0;
 
 /// One run.
@@ -89,22 +89,22 @@
 }
 
 impl World for Caches {
-    fn serve(&mut self, now: Tenths, push: &Pushed) -> Answer {
+    fn serve(&mut self, now: Ticks, push: &Pushed) -> Answer {
         let (rank, now) = (push.object(), now as u32);
         let copy = &mut self.objects[rank as usize].made;
         let hit = fresh(*copy, now);
-        let drawn = |of: Tenths, rng: &mut fastrand::Rng| of + rng.u64(0..of * 2);
+        let drawn = |of: Ticks, rng: &mut fastrand::Rng| of + rng.u64(0..of * 2);
         if push.look && !hit {
             let lag = drawn(HIT / 2, &mut self.rng);
-            return Answer { outcome: Outcome::Miss, note: Note::SourceLacks, made: None, lag };
+            return Answer { outcome: Outcome::Miss, note: CacheStatus::SourceLacks, made: None, lag };
         }
         let made = if hit { *copy } else { now };
         // A renewal behind the answer is told by the next one.
         *copy = if push.renew { now } else { made };
         self.own.entry(rank).or_default().told = made;
         self.told.push((rank, made));
-        let (note, lag) = if hit { (Note::Hit, HIT) } else { (Note::Filled, FILL) };
-        let made = Some(Tenths::from(made));
+        let (note, lag) = if hit { (CacheStatus::Hit, HIT) } else { (CacheStatus::Filled, FILL) };
+        let made = Some(Ticks::from(made));
         Answer { outcome: Outcome::Handled, note, made, lag: drawn(lag, &mut self.rng) }
     }
 }
@@ -197,7 +197,7 @@
             continue;
         }
         let own = caches.own.get(&rank).copied().unwrap_or_default();
-        let sight = play.access(Tenths::from(now), rank, &mut caches);
+        let sight = play.access(Ticks::from(now), rank, &mut caches);
         let held: Vec<bool> = tables.iter_mut().map(|t| t.access(now, rank)).collect();
         for (rank, made) in caches.told.drain(..) {
             tables.iter_mut().for_each(|t| t.told(rank, made));
--- a/crates/lab/src/scale/hollow.rs
+++ b/crates/lab/src/scale/hollow.rs
@@ -21,7 +21,7 @@
 use doorgrade_front::ring::Ring;
 use doorgrade_operator::Version;
 use doorgrade_recall::Purge;
-use doorgrade_versions::{Id, Tenths};
+use doorgrade_versions::{Id, Ticks};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::runtime::Handle;
@@ -67,7 +67,7 @@
 #[derive(Default)]
 pub struct Record {
     /// Versions brought into use, and when.
-    applied: Mutex<Vec<(Id, Tenths)>>,
+    applied: Mutex<Vec<(Id, Ticks)>>,
     /// Accesses that ended, and of those the ones answered in time.
     asked: AtomicU64,
     in_time: AtomicU64,
@@ -76,7 +76,7 @@
 }
 
 impl Record {
-    pub fn applied(&self) -> Vec<(Id, Tenths)> {
+    pub fn applied(&self) -> Vec<(Id, Ticks)> {
         self.applied.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
@@ -188,7 +188,7 @@
         seed: first.seed,
         settings,
         offerings: &told.offerings,
-        purge_done: told.purge_done,
+        purge_done: told.purge_propagation,
     };
     let files = &first.files.settings;
     let read = Neighbourhood::read(files.neighbours.clone(), files.recall.clone(), &own)?;
--- a/crates/lab/src/scale/members/play.rs
+++ b/crates/lab/src/scale/members/play.rs
@@ -1,6 +1,6 @@
 //! The target's troubles, one after another, in one world: what each costs a member, and until when all know.
 
-use doorgrade::Tenths;
+use doorgrade::Ticks;
 
 use super::world::{REGIONS, S, World, site, zone};
 use crate::scale::{Budget, BudgetError};
@@ -15,7 +15,7 @@
 const SETTLES_S: usize = 20;
 const CUT_S: usize = 120;
 /// A process that is replaced is back after so long.
-const BACK: Tenths = 2 * S;
+const BACK: Ticks = 2 * S;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Trouble {
@@ -154,7 +154,7 @@
     }
 
     /// A second at most between two looks at the budget.
-    fn pass(&mut self, time: Tenths) -> Result<(), BudgetError> {
+    fn pass(&mut self, time: Ticks) -> Result<(), BudgetError> {
         self.budget.check()?;
         self.world.pass(time);
         Ok(())
--- a/crates/lab/src/scale/members/world.rs
+++ b/crates/lab/src/scale/members/world.rs
@@ -5,12 +5,12 @@
 use std::collections::BinaryHeap;
 use std::net::SocketAddrV4;
 
-use doorgrade::Tenths;
+use doorgrade::Ticks;
 use doorgrade_members::{Effect, Id, Members, Settings, seal};
 use fastrand::Rng;
 use rustix::time::{ClockId, clock_gettime};
 
-pub const S: Tenths = 10_000;
+pub const S: Ticks = 10_000;
 /// The target's fleet. A small one has them all, too, as far as it reaches.
 pub const SITES: usize = 44;
 pub const ZONES: usize = 39;
@@ -18,9 +18,9 @@
 /// Around each datagram: Ethernet takes more, but is not the operators' to pay for; IPv4, UDP, the kind and the seal.
 pub const AROUND: usize = 20 + 8 + 1 + seal::LENGTH;
 /// One way within a site, and between the regions that are farthest from each other: 10 and 150 ms there and back.
-const NEAR: Tenths = 50;
-const FAR: Tenths = 750;
-const JITTER: Tenths = 50;
+const NEAR: Ticks = 50;
+const FAR: Ticks = 750;
+const JITTER: Ticks = 50;
 /// Of datagrams, on every link.
 const LOST: f64 = 0.01;
 /// Lives are milliseconds since 1970, and take as many bytes as these.
@@ -32,7 +32,7 @@
 }
 
 struct Due {
-    at: Tenths,
+    at: Ticks,
     number: u64,
     node: usize,
     what: What,
@@ -87,8 +87,8 @@
 }
 
 pub struct World {
-    pub now: Tenths,
-    begun: Tenths,
+    pub now: Ticks,
+    begun: Ticks,
     rng: Rng,
     pub nodes: Vec<Node>,
     queue: BinaryHeap<Reverse<Due>>,
@@ -163,7 +163,7 @@
         self.nodes[node].run += 1;
     }
 
-    fn put(&mut self, at: Tenths, node: usize, what: What) {
+    fn put(&mut self, at: Ticks, node: usize, what: What) {
         self.number += 1;
         self.queue.push(Reverse(Due { at, number: self.number, node, what }));
     }
@@ -176,10 +176,10 @@
     }
 
     /// One way: regions lie on a ring.
-    fn delay(&mut self, from: usize, to: usize) -> Tenths {
+    fn delay(&mut self, from: usize, to: usize) -> Ticks {
         let apart = region(from).abs_diff(region(to));
-        let apart = apart.min(REGIONS - apart) as Tenths;
-        NEAR + (FAR - NEAR) * apart / (REGIONS as Tenths / 2) + self.rng.u64(0..JITTER)
+        let apart = apart.min(REGIONS - apart) as Ticks;
+        NEAR + (FAR - NEAR) * apart / (REGIONS as Ticks / 2) + self.rng.u64(0..JITTER)
     }
 
     fn passes(&mut self, from: usize, to: usize) -> bool {
@@ -207,7 +207,7 @@
         }
     }
 
-    pub fn pass(&mut self, time: Tenths) {
+    pub fn pass(&mut self, time: Ticks) {
         let end = self.now + time;
         while self.queue.peek().is_some_and(|d| d.0.at <= end) {
             let Some(Reverse(Due { at, node, what, .. })) = self.queue.pop() else { break };
--- a/crates/lab/src/scale/rollouts.rs
+++ b/crates/lab/src/scale/rollouts.rs
@@ -16,7 +16,7 @@
 use std::time::{Duration, Instant};
 
 use doorgrade_stream::clock::now;
-use doorgrade_versions::Tenths;
+use doorgrade_versions::Ticks;
 use doorgrade_versions::service::{Answer, Ask, Line};
 
 use super::{Context, Needs, Part, ScaleError};
@@ -49,7 +49,7 @@
 struct Outcome {
     published: Vec<Published>,
     refused: usize,
-    lines: Vec<(Tenths, Line)>,
+    lines: Vec<(Ticks, Line)>,
     /// Bytes of each connection, second by second, and from which of them on changes were published.
     bytes: Vec<Vec<u64>>,
     changes_from: usize,
@@ -271,7 +271,7 @@
 }
 
 /// What became of each harmful change, and of what was stopped without being one, for whoever reads along.
-fn describe(plan: &Plan, published: &[Published], lines: &[(Tenths, Line)]) {
+fn describe(plan: &Plan, published: &[Published], lines: &[(Ticks, Line)]) {
     for (at, line) in lines {
         if let Line::TakenOut { change, why } = line {
             let own = published.iter().find(|p| p.number == *change);
--- a/crates/lab/src/scale/rollouts/hollow.rs
+++ b/crates/lab/src/scale/rollouts/hollow.rs
@@ -13,7 +13,7 @@
 use doorgrade_stream::follow::{AccessCounts, Command, Follow, Host, To};
 use doorgrade_versions::front::{Content, Found, Front, Line};
 use doorgrade_versions::seal::{Keys, Seal};
-use doorgrade_versions::{Id, Reason, Tenths};
+use doorgrade_versions::{Id, Reason, Ticks};
 use fastrand::Rng;
 use tokio::sync::mpsc;
 
@@ -48,7 +48,7 @@
 }
 
 /// What a front brought into use, and when.
-pub type Ran = Vec<(Tenths, Arc<Facts>)>;
+pub type Ran = Vec<(Ticks, Arc<Facts>)>;
 
 pub struct Hollow {
     pub ran: Arc<Mutex<Ran>>,
@@ -62,7 +62,7 @@
     /// The share of accesses that this front answers when all is well.
     own: f64,
     counts: AccessCounts,
-    counted_at: Tenths,
+    counted_at: Ticks,
     rest: f64,
 }
 
--- a/crates/lab/src/scale/rollouts/records.rs
+++ b/crates/lab/src/scale/rollouts/records.rs
@@ -1,6 +1,6 @@
 //! What happened, by the fronts' own records: when a change was everywhere, how far a harmful one came, when it was gone.
 
-use doorgrade_versions::Tenths;
+use doorgrade_versions::Ticks;
 
 use super::hollow::Ran;
 
@@ -9,29 +9,29 @@
 pub struct Published {
     pub change: usize,
     pub number: u64,
-    pub at: Tenths,
+    pub at: Ticks,
 }
 
 /// All fronts' records.
 pub struct Records(pub Vec<Ran>);
 
-fn seconds(from: Tenths, to: Tenths) -> f64 {
+fn seconds(from: Ticks, to: Ticks) -> f64 {
     to.saturating_sub(from) as f64 / 1e4
 }
 
 impl Records {
     /// Whether a front has a change in use at a time.
-    fn has(ran: &Ran, change: usize, at: Tenths) -> bool {
+    fn has(ran: &Ran, change: usize, at: Ticks) -> bool {
         ran.iter().rev().find(|r| r.0 <= at).is_some_and(|r| r.1.changes.contains(&change))
     }
 
     /// How many fronts lack a change at a time.
-    pub fn lacking(&self, change: usize, at: Tenths) -> usize {
+    pub fn lacking(&self, change: usize, at: Ticks) -> usize {
         self.0.iter().filter(|ran| !Records::has(ran, change, at)).count()
     }
 
     /// Each moment at which a front takes a change into use (+1) or out of use (-1), in order.
-    fn moves(&self, change: usize) -> Vec<(Tenths, i64)> {
+    fn moves(&self, change: usize) -> Vec<(Ticks, i64)> {
         let mut moves = Vec::new();
         for ran in &self.0 {
             let mut had = false;
@@ -61,7 +61,7 @@
 
     /// The largest share of fronts that had it at once; of two, that had both.
     pub fn reach(&self, changes: &[usize]) -> f64 {
-        let mut all: Vec<(Tenths, i64)> = Vec::new();
+        let mut all: Vec<(Ticks, i64)> = Vec::new();
         for ran in &self.0 {
             let mut had = false;
             for (at, facts) in ran {
@@ -82,7 +82,7 @@
     }
 
     /// Seconds from when it was found harmful until no front had it; none where one has it still.
-    pub fn undone(&self, change: usize, found: Tenths) -> Option<f64> {
+    pub fn undone(&self, change: usize, found: Ticks) -> Option<f64> {
         let still = self.0.iter().any(|ran| ran.last().is_some_and(|r| r.1.changes.contains(&change)));
         let last = self.moves(change).iter().filter(|m| m.1 < 0).map(|m| m.0).max();
         (!still).then(|| last.map_or(0.0, |at| seconds(found, at)))
--- a/crates/lab/src/sizes.rs
+++ b/crates/lab/src/sizes.rs
@@ -8,7 +8,7 @@
 use std::path::Path;
 use std::sync::Arc;
 
-use doorgrade::Tenths;
+use doorgrade::Ticks;
 use doorgrade_members::{Effect, Id, Members, Settings};
 use doorgrade_recall::{Asking, Fill, Gave, Giver, Giving, Memory, Purge, Rules, Source};
 use fastrand::Rng;
@@ -16,12 +16,12 @@
 
 use crate::{Figures, How};
 
-const S: Tenths = 10_000;
+const S: Ticks = 10_000;
 const PARTS: u64 = 400;
 const PAGES: u32 = 50;
 const STATIONS: usize = 10;
 /// The longest that is played after the return.
-const LONGEST: Tenths = 120 * S;
+const LONGEST: Ticks = 120 * S;
 
 #[derive(Clone)]
 enum Said {
@@ -37,7 +37,7 @@
     Tick(u32),
 }
 
-struct Due(Tenths, u64, usize, What);
+struct Due(Ticks, u64, usize, What);
 
 impl PartialEq for Due {
     fn eq(&self, other: &Due) -> bool {
@@ -62,14 +62,14 @@
 /// The most in any whole second, and all.
 #[derive(Default)]
 struct Count {
-    second: Tenths,
+    second: Ticks,
     now: u32,
     most: u32,
     all: u64,
 }
 
 impl Count {
-    fn one(&mut self, now: Tenths) {
+    fn one(&mut self, now: Ticks) {
         if self.second != now / S {
             (self.second, self.now) = (now / S, 0);
         }
@@ -88,11 +88,11 @@
     words: Count,
     pages: Count,
     /// When it had nine tenths of what the others remember.
-    recalled: Option<Tenths>,
+    recalled: Option<Ticks>,
 }
 
 struct World {
-    now: Tenths,
+    now: Ticks,
     rng: Rng,
     all: Vec<One>,
     queue: BinaryHeap<Reverse<Due>>,
@@ -142,7 +142,7 @@
         self.later(n);
     }
 
-    fn put(&mut self, at: Tenths, n: usize, what: What) {
+    fn put(&mut self, at: Ticks, n: usize, what: What) {
         self.number += 1;
         self.queue.push(Reverse(Due(at, self.number, n, what)));
     }
@@ -224,7 +224,7 @@
         self.step(n);
     }
 
-    fn pass(&mut self, time: Tenths) {
+    fn pass(&mut self, time: Ticks) {
         let end = self.now + time;
         while self.queue.peek().is_some_and(|d| d.0.0 <= end) {
             let Some(Reverse(Due(at, _, n, what))) = self.queue.pop() else { break };
@@ -287,7 +287,7 @@
     }
     let mut agreed = None;
     let recalled = |world: &World| {
-        let mut times: Vec<Tenths> = world.all[..dead].iter().filter_map(|o| o.recalled).collect();
+        let mut times: Vec<Ticks> = world.all[..dead].iter().filter_map(|o| o.recalled).collect();
         times.sort_unstable();
         times.get((dead * 95).div_ceil(100).saturating_sub(1)).copied()
     };
@@ -301,7 +301,7 @@
             break;
         }
     }
-    let seconds = |at: Tenths| (at - back) as f64 / S as f64;
+    let seconds = |at: Ticks| (at - back) as f64 / S as f64;
     let most = |count: fn(&One) -> &Count| world.all.iter().map(|o| count(o).most).max().unwrap_or(0);
     let words: u64 = world.all.iter().map(|o| o.words.all).sum();
     Outcome {
--- a/crates/lab/tests/front_state_bytes.rs
+++ b/crates/lab/tests/front_state_bytes.rs
@@ -1,7 +1,7 @@
 //! Bytes of each entry that a front keeps, by an allocator that counts: only one thread allocates here. Run it with
 //! `cargo test --release -p doorgrade-lab --test front_state_bytes -- --nocapture` to read the figures.
 
-use doorgrade::{Offering, Tenths};
+use doorgrade::{Offering, Ticks};
 use doorgrade_lab::allocated;
 use doorgrade_lab::front_state::cost::{full_front, purged_front};
 use doorgrade_lab::front_state::play::{self, HOUR, Members};
@@ -21,7 +21,7 @@
 }
 
 fn memory(fills: u64, purges: u64) -> Memory {
-    let now: Tenths = 2 * HOUR;
+    let now: Ticks = 2 * HOUR;
     let rules = Rules { fresh: vec![HOUR], purge_done: play::PURGE_DONE, most: fills as usize };
     let mut memory = Memory::new(rules);
     for n in 0..fills {
--- a/crates/log/src/lib.rs
+++ b/crates/log/src/lib.rs
@@ -34,9 +34,9 @@
 }
 
 /// Unix milliseconds and a tenth, as everywhere in this project.
-struct Tenths;
+struct Ticks;
 
-impl FormatTime for Tenths {
+impl FormatTime for Ticks {
     fn format_time(&self, w: &mut Writer<'_>) -> fmt::Result {
         let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() / 100;
         write!(w, "{}.{}", now / 10, now % 10)
@@ -73,7 +73,7 @@
     let (writer, guard) = writer.finish(std::io::stderr());
     let _ = DROPPED.set(writer.error_counter());
     *WRITER.lock().unwrap_or_else(PoisonError::into_inner) = Some(guard);
-    let lines = tracing_subscriber::fmt::layer().with_writer(writer).with_timer(Tenths);
+    let lines = tracing_subscriber::fmt::layer().with_writer(writer).with_timer(Ticks);
     let lines = lines.with_target(false).with_ansi(false);
     let lines: Box<dyn Layer<Registry> + Send + Sync> = match format {
         Format::Human => lines.boxed(),
--- a/crates/members/src/detection.rs
+++ b/crates/members/src/detection.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-use doorgrade::Tenths;
+use doorgrade::Ticks;
 use fastrand::Rng;
 use foca::{Foca, NoCustomBroadcast, Notification, PostcardCodec, Timer};
 use rand::SeedableRng;
@@ -22,7 +22,7 @@
 pub(crate) type Swim = Foca<Id, PostcardCodec, SmallRng, NoCustomBroadcast>;
 
 /// A timer of the detection, in the order in which it is due.
-pub(crate) struct Later(pub Tenths, u64, pub Timer<Id>);
+pub(crate) struct Later(pub Ticks, u64, pub Timer<Id>);
 
 impl PartialEq for Later {
     fn eq(&self, other: &Later) -> bool {
@@ -46,7 +46,7 @@
 
 /// All of the state but the detection itself, which calls back into it.
 pub(crate) struct Runtime {
-    pub now: Tenths,
+    pub now: Ticks,
     pub timers: BinaryHeap<Reverse<Later>>,
     pub number: u64,
     pub words: Words,
@@ -56,7 +56,7 @@
     /// From whom the datagram in hand is, once it was found to be for this one in its present life.
     pub spoke: Option<SocketAddrV4>,
     /// When anybody was heard last.
-    pub heard: Tenths,
+    pub heard: Ticks,
     pub here: BTreeSet<SocketAddrV4>,
     pub standing: Standing,
     pub seek: Seek,
@@ -101,13 +101,13 @@
 
     fn submit_after(&mut self, timer: Timer<Id>, after: Duration) {
         self.number += 1;
-        let due = self.now + (after.as_micros() / 100) as Tenths;
+        let due = self.now + (after.as_micros() / 100) as Ticks;
         self.timers.push(Reverse(Later(due, self.number, timer)));
     }
 }
 
 impl Runtime {
-    pub fn new(settings: &Settings, now: Tenths, seek: Seek) -> Runtime {
+    pub fn new(settings: &Settings, now: Ticks, seek: Seek) -> Runtime {
         Runtime {
             now,
             timers: BinaryHeap::new(),
@@ -132,8 +132,8 @@
     }
 
     /// When the next timer is due.
-    pub fn next_timer(&self) -> Tenths {
-        self.timers.peek().map_or(Tenths::MAX, |timer| timer.0.0)
+    pub fn next_timer(&self) -> Ticks {
+        self.timers.peek().map_or(Ticks::MAX, |timer| timer.0.0)
     }
 
     fn know(&mut self, id: &Id, state: State) {
--- a/crates/members/src/doubts.rs
+++ b/crates/members/src/doubts.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 
-use doorgrade::Tenths;
+use doorgrade::Ticks;
 use foca::{Incarnation, Member, State};
 
 use crate::Id;
@@ -15,7 +15,7 @@
 struct Doubt {
     id: Id,
     incarnation: Incarnation,
-    since: Tenths,
+    since: Ticks,
 }
 
 /// Who is doubted, by address.
@@ -26,8 +26,8 @@
     /// Takes over who is doubted now, and says whose doubt has lasted for `most`: they are to be taken for down.
     pub(crate) fn overdue<'a>(
         &mut self,
-        now: Tenths,
-        most: Tenths,
+        now: Ticks,
+        most: Ticks,
         members: impl Iterator<Item = &'a Member<Id>>,
     ) -> Vec<Member<Id>> {
         let mut before = std::mem::take(&mut self.0);
