--- a/crates/members/src/members.rs
+++ b/crates/members/src/members.rs
@@ -1,6 +1,6 @@
 //! The state of one member's picture of all.
 
-use doorgrade::Tenths;
+use doorgrade::Ticks;
 use fastrand::Rng;
 
 use crate::Id;
@@ -11,14 +11,14 @@
 use crate::types::{Effect, Event, Seen, Standing, State};
 
 /// After so many times that, nobody can be about to end a doubt.
-const DOUBT_LOST: Tenths = 2;
+const DOUBT_LOST: Ticks = 2;
 /// It is called at the least once in a gossip's pause. Whoever was not called for two and a half probes was stopped: less
 /// than the doubt of four, so that no accusation ripens meanwhile. Three quarters of a second at the least, longer than a
 /// busy machine's pauses, and no more than what is still a short stop to people.
 const STALL: f64 = 2.5;
-const STALLS: [Tenths; 2] = [7_500, 25_000];
+const STALLS: [Ticks; 2] = [7_500, 25_000];
 /// With nobody heard for so many probes, there is nobody: each of its own was unanswered, and nobody probed it.
-const UNHEARD: Tenths = 5;
+const UNHEARD: Ticks = 5;
 /// More than so many times what operators say of the fleet's size is no fleet: whoever tells of them has a key, and lies or is
 /// ill. `about` may be off by a factor of three.
 const MOST_TOLD: usize = 8;
@@ -29,7 +29,7 @@
     runtime: Runtime,
     rng: Rng,
     settings: Settings,
-    called: Tenths,
+    called: Ticks,
     doubts: Doubts,
     /// Datagrams heard, in a circle.
     heard: u32,
@@ -38,7 +38,7 @@
 }
 
 impl Members {
-    pub fn new(own: Id, settings: Settings, seed: u64, now: Tenths) -> Members {
+    pub fn new(own: Id, settings: Settings, seed: u64, now: Ticks) -> Members {
         let mut rng = Rng::with_seed(seed);
         let seek = Seek::new(own.at, &settings.seeds, now, &mut rng);
         let runtime = Runtime::new(&settings, now, seek);
@@ -66,7 +66,7 @@
     }
 
     /// When `tick` is due. Two and a half probes without any call, and it counts as having slept.
-    pub fn next(&self) -> Tenths {
+    pub fn next(&self) -> Ticks {
         // Often enough that a stall is told from a long pause of its own.
         self.runtime.next_timer().min(self.runtime.seek.due).min(self.called + GOSSIP)
     }
@@ -100,7 +100,7 @@
     }
 
     /// A datagram has come, its seal found good.
-    pub fn hear(&mut self, now: Tenths, said: &[u8]) {
+    pub fn hear(&mut self, now: Ticks, said: &[u8]) {
         self.wake(now);
         self.runtime.spoke = None;
         let heard = self.swim.handle_data(said, &mut self.runtime);
@@ -118,7 +118,7 @@
     }
 
     /// Time has passed.
-    pub fn tick(&mut self, now: Tenths) {
+    pub fn tick(&mut self, now: Ticks) {
         self.wake(now);
         while let Some(timer) = self.runtime.due() {
             // An error is a probe whose timers came out of order: it is begun anew by itself.
@@ -143,11 +143,11 @@
     }
 
     /// Before anything else is done at a call: has it slept?
-    fn wake(&mut self, now: Tenths) {
+    fn wake(&mut self, now: Ticks) {
         let now = now.max(self.runtime.now);
         let slept = now - self.called;
         (self.runtime.now, self.called) = (now, now);
-        let stall = (STALL * self.settings.probe as f64) as Tenths;
+        let stall = (STALL * self.settings.probe as f64) as Ticks;
         if slept <= stall.clamp(STALLS[0], STALLS[1]) {
             return;
         }
--- a/crates/members/src/seek.rs
+++ b/crates/members/src/seek.rs
@@ -3,20 +3,20 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddrV4;
 
-use doorgrade::Tenths;
+use doorgrade::Ticks;
 use fastrand::Rng;
 
 /// The first pause: some round trips.
-const FIRST: Tenths = 5_000;
+const FIRST: Ticks = 5_000;
 /// The longest one: a cut that is healed is noticed within some of them. A fleet of 1,000 that all seek at this pace
 /// ask 100 times a second, all over it.
-const LAST: Tenths = 100_000;
+const LAST: Ticks = 100_000;
 /// One answer names some thirty others. A newcomer that learns of somebody asks on at this pace, those that are there, too,
 /// until a second brings no news.
-const QUICK: Tenths = 2_500;
-const NEWS: Tenths = 10_000;
+const QUICK: Ticks = 2_500;
+const NEWS: Ticks = 10_000;
 /// For so long it is a newcomer; later, word of changes comes by itself, and all would ask because of one.
-const NEWCOMER: Tenths = 300_000;
+const NEWCOMER: Ticks = 300_000;
 /// Addresses remembered beyond the seeds: the fleet that there was, and then some.
 const MOST: usize = 4_096;
 
@@ -24,15 +24,15 @@
     own: SocketAddrV4,
     seeds: Vec<SocketAddrV4>,
     known: BTreeSet<SocketAddrV4>,
-    pause: Tenths,
-    begun: Tenths,
+    pause: Ticks,
+    begun: Ticks,
     /// Until when it asks quickly.
-    news: Tenths,
-    pub(crate) due: Tenths,
+    news: Ticks,
+    pub(crate) due: Ticks,
 }
 
 impl Seek {
-    pub(crate) fn new(own: SocketAddrV4, seeds: &[SocketAddrV4], now: Tenths, rng: &mut Rng) -> Seek {
+    pub(crate) fn new(own: SocketAddrV4, seeds: &[SocketAddrV4], now: Ticks, rng: &mut Rng) -> Seek {
         let seeds = seeds.iter().copied().filter(|s| *s != own).collect();
         // Those that start together do not ask together.
         let due = now + rng.u64(0..FIRST);
@@ -40,7 +40,7 @@
     }
 
     /// One is there that was not.
-    pub(crate) fn met(&mut self, now: Tenths, at: SocketAddrV4) {
+    pub(crate) fn met(&mut self, now: Ticks, at: SocketAddrV4) {
         if at != self.own && self.known.len() < MOST {
             self.known.insert(at);
         }
@@ -53,12 +53,12 @@
     }
 
     /// As at the start: something has happened that makes haste worth while.
-    pub(crate) fn anew(&mut self, now: Tenths, rng: &mut Rng) {
+    pub(crate) fn anew(&mut self, now: Ticks, rng: &mut Rng) {
         (self.pause, self.begun, self.due) = (FIRST, now, now + rng.u64(0..FIRST));
     }
 
     /// One is missed that was there.
-    pub(crate) fn hurry(&mut self, now: Tenths) {
+    pub(crate) fn hurry(&mut self, now: Ticks) {
         self.pause = FIRST;
         self.due = self.due.min(now + FIRST);
     }
@@ -66,7 +66,7 @@
     /// One that is not here now, by chance; a seed as often as all the others together.
     pub(crate) fn whom(
         &mut self,
-        now: Tenths,
+        now: Ticks,
         here: &BTreeSet<SocketAddrV4>,
         rng: &mut Rng,
     ) -> Option<SocketAddrV4> {
--- a/crates/members/src/types.rs
+++ b/crates/members/src/types.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 use std::net::SocketAddrV4;
 
-use doorgrade::Tenths;
+use doorgrade::Ticks;
 
 use crate::Id;
 
@@ -25,7 +25,7 @@
         is: Id,
     },
     /// This one was not called for so long: it has dropped what it believed.
-    Slept(Tenths),
+    Slept(Ticks),
     /// Others took it for dead; it has come back as a later life.
     TakenForDead(Id),
     /// So many are told of that they can't be: nothing of it is believed.
@@ -67,9 +67,9 @@
     pub id: Id,
     pub state: State,
     /// In this state and life.
-    pub since: Tenths,
+    pub since: Ticks,
     /// Its last own word to us, not what others say of it.
-    pub heard: Option<Tenths>,
+    pub heard: Option<Ticks>,
 }
 
 /// What this member may rely on.
--- a/crates/members/tests/world.rs
+++ b/crates/members/tests/world.rs
@@ -5,13 +5,13 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-use doorgrade::Tenths;
+use doorgrade::Ticks;
 use doorgrade_members::{Effect, Event, Id, Members, Settings, Standing, State};
 use fastrand::Rng;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-const S: Tenths = 10_000;
+const S: Ticks = 10_000;
 const WORDS: u32 = 40;
 
 fn address(n: usize) -> SocketAddrV4 {
@@ -30,23 +30,23 @@
     stalled: bool,
     /// What has come while it was stalled, as a socket keeps it.
     kept: Vec<Vec<u8>>,
-    events: Vec<(Tenths, Event)>,
-    said_at: Vec<Tenths>,
+    events: Vec<(Ticks, Event)>,
+    said_at: Vec<Ticks>,
 }
 
 struct World {
-    now: Tenths,
+    now: Ticks,
     rng: Rng,
     all: Vec<One>,
-    queue: BinaryHeap<Reverse<(Tenths, u64, usize)>>,
+    queue: BinaryHeap<Reverse<(Ticks, u64, usize)>>,
     comes: BTreeMap<u64, Comes>,
     number: u64,
     seeds: usize,
     /// Ordered pairs between which nothing passes.
     cut: BTreeSet<(usize, usize)>,
-    probe: Tenths,
-    delay: Tenths,
-    jitter: Tenths,
+    probe: Ticks,
+    delay: Ticks,
+    jitter: Ticks,
     loss: f64,
     /// Down told of one that ran, was not stalled and could be reached both ways, and what was told of others.
     false_downs: usize,
@@ -115,7 +115,7 @@
         self.tick(n);
     }
 
-    fn put(&mut self, at: Tenths, n: usize, comes: Comes) {
+    fn put(&mut self, at: Ticks, n: usize, comes: Comes) {
         self.number += 1;
         self.queue.push(Reverse((at, self.number, n)));
         self.comes.insert(self.number, comes);
@@ -173,7 +173,7 @@
         }
     }
 
-    fn pass(&mut self, time: Tenths) {
+    fn pass(&mut self, time: Ticks) {
         let end = self.now + time;
         while let Some(&Reverse((at, number, n))) = self.queue.peek().filter(|e| e.0.0 <= end) {
             self.queue.pop();
@@ -223,7 +223,7 @@
     }
 
     /// Seconds until they agree.
-    fn agree_within(&mut self, most: Tenths) -> f64 {
+    fn agree_within(&mut self, most: Ticks) -> f64 {
         let begun = self.now;
         while !self.agreed() {
             assert!(self.now < begun + most, "not agreed after {} s: {}", most / S, self.pictures());
@@ -255,7 +255,7 @@
         self.all.iter().filter_map(most).max().unwrap_or(0)
     }
 
-    fn told(&self, n: usize, of: impl Fn(&Event) -> bool) -> Vec<Tenths> {
+    fn told(&self, n: usize, of: impl Fn(&Event) -> bool) -> Vec<Ticks> {
         self.all[n].events.iter().filter(|e| of(&e.1)).map(|e| e.0).collect()
     }
 
@@ -427,7 +427,7 @@
 
 /// Slow links (a second there and back) and a fifth lost, for ten minutes: how often one that runs is held for dead by
 /// any other. 20 members seen by 19 others each for ten minutes.
-fn false_deaths(probe: Tenths) -> usize {
+fn false_deaths(probe: Ticks) -> usize {
     let mut world = World::new(9, 20, 2);
     world.probe = probe;
     (0..20).for_each(|n| world.start(n, world.now + 1));
--- a/crates/recall/src/asking.rs
+++ b/crates/recall/src/asking.rs
@@ -6,22 +6,22 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddrV4;
 
-use doorgrade::Tenths;
+use doorgrade::Ticks;
 use doorgrade::hash;
 
 /// Pages that are out at once: one from each of some givers, so that no one of them is waited for.
 const AT_ONCE: usize = 4;
 /// A page that has not come in this time does not come from there: some round trips on a slow link.
-const WITHIN: Tenths = 3_000;
+const WITHIN: Ticks = 3_000;
 /// Whoever did not give is left alone for so long.
-const REST: Tenths = 10_000;
+const REST: Ticks = 10_000;
 /// Later than this after its start, a front has seen for itself what matters.
-const LONGEST: Tenths = 100_000;
+const LONGEST: Ticks = 100_000;
 /// With somebody to ask for so long, and nobody of them with anything, there is nothing to be had: all began together.
 /// Some round trips, and some words of who else is there.
-const NOTHING: Tenths = 20_000;
+const NOTHING: Ticks = 20_000;
 /// Nobody to ask for so long: then there is nobody.
-const NOBODY: Tenths = 50_000;
+const NOBODY: Ticks = 50_000;
 
 /// A neighbour that may have memory.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -40,13 +40,13 @@
 
 pub struct Asking {
     own: u64,
-    begun: Tenths,
+    begun: Ticks,
     /// When anybody could be asked last.
-    anybody: Tenths,
+    anybody: Ticks,
     /// When anybody could be asked first.
-    among: Option<Tenths>,
+    among: Option<Ticks>,
     /// Its first beginning: later than `LONGEST` and how long anything is true, it has seen for itself.
-    first: Tenths,
+    first: Ticks,
     again: bool,
     /// They said that they have nothing.
     nothing: BTreeSet<SocketAddrV4>,
@@ -54,15 +54,15 @@
     pages: Option<u16>,
     /// Pages that were asked for and did not come.
     missed: Vec<u16>,
-    out: BTreeMap<u16, (SocketAddrV4, Tenths)>,
-    resting: BTreeMap<SocketAddrV4, Tenths>,
+    out: BTreeMap<u16, (SocketAddrV4, Ticks)>,
+    resting: BTreeMap<SocketAddrV4, Ticks>,
     pub done: bool,
     pub came: u64,
     pub lost: u64,
 }
 
 impl Asking {
-    pub fn new(name: &str, now: Tenths) -> Asking {
+    pub fn new(name: &str, now: Ticks) -> Asking {
         Asking {
             own: hash::text(name),
             begun: now,
@@ -84,7 +84,7 @@
 
     /// Somebody is there that was not. Who ended with nothing asks again, for as long as anything may be true that others
     /// knew before its start: halves of a fleet that was cut meet, and a station comes back to reach.
-    pub fn met(&mut self, now: Tenths, true_for: Tenths) {
+    pub fn met(&mut self, now: Ticks, true_for: Ticks) {
         if self.done && self.came == 0 && now < self.first + true_for {
             (self.done, self.again) = (false, true);
             (self.begun, self.anybody, self.among) = (now, now, None);
@@ -98,12 +98,12 @@
     }
 
     /// When a page is late. `step` is due then, when one has come, and whenever there may be others to ask.
-    pub fn due(&self) -> Option<Tenths> {
+    pub fn due(&self) -> Option<Ticks> {
         self.out.values().map(|o| o.1).min().filter(|_| !self.done)
     }
 
     /// Asks on, as far as may be, those that are there now.
-    pub fn step(&mut self, now: Tenths, givers: &[Giver]) -> Vec<Asked> {
+    pub fn step(&mut self, now: Ticks, givers: &[Giver]) -> Vec<Asked> {
         if self.done {
             return Vec::new();
         }
@@ -148,7 +148,7 @@
     /// Not one that rests; last those that have said that they have nothing; near ones first, and not one that is asked
     /// already if there is another. Which of them is each front's own order, so that those who ask together ask
     /// different ones.
-    fn whom(&self, now: Tenths, givers: &[Giver]) -> Option<SocketAddrV4> {
+    fn whom(&self, now: Ticks, givers: &[Giver]) -> Option<SocketAddrV4> {
         let rests = |g: &&Giver| self.resting.get(&g.at).is_none_or(|&until| until <= now);
         let asked = |g: &Giver| self.out.values().filter(|o| o.0 == g.at).count();
         let draw = |g: &Giver| hash::unit(self.own, hash::text(&g.at.to_string()));
@@ -173,19 +173,19 @@
     }
 
     /// Whoever was asked for it has nothing, or asks itself.
-    pub fn nothing(&mut self, now: Tenths, from: SocketAddrV4, page: u16) {
+    pub fn nothing(&mut self, now: Ticks, from: SocketAddrV4, page: u16) {
         self.nothing.insert(from);
         self.busy(now, from, page);
     }
 
     /// Whoever was asked for it has too much to do.
-    pub fn busy(&mut self, now: Tenths, from: SocketAddrV4, page: u16) {
+    pub fn busy(&mut self, now: Ticks, from: SocketAddrV4, page: u16) {
         if self.out.get(&page).is_some_and(|o| o.0 == from) {
             self.turned_down(now, page);
         }
     }
 
-    fn turned_down(&mut self, now: Tenths, page: u16) {
+    fn turned_down(&mut self, now: Ticks, page: u16) {
         if let Some((from, _)) = self.out.remove(&page) {
             self.lost += 1;
             self.resting.insert(from, now + REST);
--- a/crates/recall/src/giving.rs
+++ b/crates/recall/src/giving.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 
-use doorgrade::Tenths;
+use doorgrade::Ticks;
 
 use crate::{Fill, Memory, Purge};
 
@@ -14,9 +14,9 @@
 /// would have it at the end, or too late.
 const TAKERS: usize = 4;
 /// A taker that has asked for nothing in this time has all, or is gone.
-const IDLE: Tenths = 5_000;
+const IDLE: Ticks = 5_000;
 /// How long one picture of the memory serves all who ask: pages are of one order for as long as a taker needs.
-const PICTURE: Tenths = 10_000;
+const PICTURE: Ticks = 10_000;
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Gave {
@@ -34,15 +34,15 @@
 pub struct Giving {
     a_second: f64,
     left: f64,
-    at: Tenths,
-    takers: BTreeMap<SocketAddrV4, Tenths>,
-    picture: (Tenths, Vec<Fill>, Vec<Purge>),
+    at: Ticks,
+    takers: BTreeMap<SocketAddrV4, Ticks>,
+    picture: (Ticks, Vec<Fill>, Vec<Purge>),
     pub given: u64,
     pub refused: u64,
 }
 
 impl Giving {
-    pub fn new(pages_a_second: u32, now: Tenths) -> Giving {
+    pub fn new(pages_a_second: u32, now: Ticks) -> Giving {
         let a_second = f64::from(pages_a_second);
         let picture = (0, Vec::new(), Vec::new());
         Giving { a_second, left: a_second, at: now, takers: BTreeMap::new(), picture, given: 0, refused: 0 }
@@ -50,7 +50,7 @@
 
     /// Whoever is still asking itself has nothing whole to give: it is not to be called. Of the memory it gives what holds
     /// at `unix`, by the clock that others have as well; `now` never goes back.
-    pub fn page(&mut self, now: Tenths, unix: Tenths, to: SocketAddrV4, memory: &Memory, page: u16) -> Gave {
+    pub fn page(&mut self, now: Ticks, unix: Ticks, to: SocketAddrV4, memory: &Memory, page: u16) -> Gave {
         let come = now.saturating_sub(self.at) as f64 / 10_000.0 * self.a_second;
         (self.left, self.at) = ((self.left + come).min(self.a_second), now);
         self.takers.retain(|_, at| *at + IDLE > now);
--- a/crates/recall/src/lib.rs
+++ b/crates/recall/src/lib.rs
@@ -21,7 +21,7 @@
 
 use std::fmt;
 
-use doorgrade::Tenths;
+use doorgrade::Ticks;
 use serde::{Deserialize, Serialize};
 
 pub use asking::{Asked, Asking, Giver};
@@ -36,9 +36,9 @@
     pub object: u64,
     pub part: u32,
     pub group: u16,
-    pub made: Tenths,
+    pub made: Ticks,
     /// When it was asked for last.
-    pub seen: Tenths,
+    pub seen: Ticks,
 }
 
 /// All that was made before is not to be served.
@@ -47,15 +47,15 @@
     /// Of the whole group where there is none.
     pub object: Option<u64>,
     pub group: u16,
-    pub at: Tenths,
+    pub at: Ticks,
 }
 
 /// What the deployment says of how long things are true.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rules {
     /// By offering; 0: until it is purged, and then there is nothing to remember.
-    pub fresh: Vec<Tenths>,
-    pub purge_done: Tenths,
+    pub fresh: Vec<Ticks>,
+    pub purge_done: Ticks,
     /// Parts remembered at the most; the one asked for longest ago goes first.
     pub most: usize,
 }
@@ -71,7 +71,7 @@
     }
 
     /// The longest that anything is true.
-    pub fn longest(&self) -> Tenths {
+    pub fn longest(&self) -> Ticks {
         self.fresh.iter().copied().max().unwrap_or(0).max(self.purge_done)
     }
 }
--- a/crates/recall/src/memory.rs
+++ b/crates/recall/src/memory.rs
@@ -2,12 +2,12 @@
 
 use std::collections::{BTreeSet, HashMap};
 
-use doorgrade::Tenths;
+use doorgrade::Ticks;
 
 use crate::{Fill, MOST_PURGES, Purge, Rules, Source, Tally, Why};
 
 /// Clocks of one site differ by less; a time later than now by more is of a clock that was set back, or a lie.
-const OFF: Tenths = 500;
+const OFF: Ticks = 500;
 
 type Key = (u16, u64, u32);
 
@@ -20,8 +20,8 @@
     rules: Rules,
     fills: HashMap<Key, (Fill, Source)>,
     /// The same by when they were asked for.
-    order: BTreeSet<(Tenths, Key)>,
-    purges: HashMap<(Option<u64>, u16), Tenths>,
+    order: BTreeSet<(Ticks, Key)>,
+    purges: HashMap<(Option<u64>, u16), Ticks>,
 }
 
 impl Memory {
@@ -35,7 +35,7 @@
 
     /// Whether a fill is of any use at this time. A purge ends what is older for good: once it is done no such copy is
     /// left, so whoever tells of one tells what is no longer so.
-    fn holds(&self, now: Tenths, fill: &Fill) -> Result<(), Why> {
+    fn holds(&self, now: Ticks, fill: &Fill) -> Result<(), Why> {
         let fresh = self.rules.fresh.get(usize::from(fill.offering)).copied().unwrap_or(0);
         let purged = |key| self.purges.get(&key).is_some_and(|&at| fill.made < at);
         if fresh == 0 {
@@ -51,7 +51,7 @@
         }
     }
 
-    fn purge_holds(&self, now: Tenths, purge: &Purge) -> Result<(), Why> {
+    fn purge_holds(&self, now: Ticks, purge: &Purge) -> Result<(), Why> {
         if purge.at > now + OFF {
             Err(Why::Future)
         } else if purge.at + self.rules.purge_done <= now {
@@ -62,14 +62,14 @@
     }
 
     /// The front has seen an answer itself.
-    pub fn saw(&mut self, now: Tenths, fill: Fill) {
+    pub fn saw(&mut self, now: Ticks, fill: Fill) {
         if self.holds(now, &fill).is_ok() {
             self.put(fill, Source::Own);
         }
     }
 
     /// The front was told of a purge, by whoever tells it of them.
-    pub fn purged(&mut self, now: Tenths, purge: Purge) {
+    pub fn purged(&mut self, now: Ticks, purge: Purge) {
         if self.purge_holds(now, &purge).is_ok() {
             self.keep(now, purge);
         }
@@ -86,7 +86,7 @@
         }
     }
 
-    fn keep(&mut self, now: Tenths, purge: Purge) -> bool {
+    fn keep(&mut self, now: Ticks, purge: Purge) -> bool {
         let done = self.rules.purge_done;
         if self.purges.len() >= MOST_PURGES {
             self.purges.retain(|_, at| *at + done > now);
@@ -104,7 +104,7 @@
     /// Purges first: they end what else is told in the same breath.
     pub fn hear(
         &mut self,
-        now: Tenths,
+        now: Ticks,
         source: Source,
         fills: &[Fill],
         purges: &[Purge],
@@ -138,7 +138,7 @@
 
     /// What the front has seen itself is not overruled, whatever time it is of; of second-hand words the one of who saw
     /// the part last goes, and of equal ones the younger copy.
-    fn weigh(&self, now: Tenths, source: Source, fill: &Fill) -> Result<(), Why> {
+    fn weigh(&self, now: Ticks, source: Source, fill: &Fill) -> Result<(), Why> {
         self.holds(now, fill)?;
         match self.fills.get(&key(fill)) {
             Some((_, Source::Own)) if source != Source::Own => Err(Why::Known),
@@ -155,7 +155,7 @@
     }
 
     /// All that holds now, what was asked for last first.
-    pub fn all(&self, now: Tenths) -> (Vec<Fill>, Vec<Purge>) {
+    pub fn all(&self, now: Ticks) -> (Vec<Fill>, Vec<Purge>) {
         let fills = self.order.iter().rev().filter_map(|(_, key)| Some(self.fills.get(key)?.0));
         let fills = fills.filter(|f| self.holds(now, f).is_ok()).collect();
         let purges = self.purges.iter().map(|(&(object, group), &at)| Purge { object, group, at });
--- a/crates/recall/src/snapshot.rs
+++ b/crates/recall/src/snapshot.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-use doorgrade::Tenths;
+use doorgrade::Ticks;
 use serde::{Deserialize, Serialize};
 
 use crate::{Fill, Memory, Purge, Rules};
@@ -10,7 +10,7 @@
 /// Of what follows. A later one reads earlier ones.
 pub const FORMAT: u16 = 1;
 /// Clocks are set right by less than this in an ordinary hour.
-const OFF: Tenths = 10_000;
+const OFF: Ticks = 10_000;
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
@@ -19,7 +19,7 @@
     pub front: Box<str>,
     /// Of the deployment that it was taken in.
     pub deployment: u64,
-    pub taken: Tenths,
+    pub taken: Ticks,
     /// The latest life of the front among its neighbours.
     pub life: u64,
     pub rules: Rules,
@@ -34,9 +34,9 @@
     Front(Box<str>),
     Deployment,
     /// Taken so much later than now: the clock was set back, or it is another machine's.
-    Future(Tenths),
+    Future(Ticks),
     /// Taken so long ago that nothing in it can hold.
-    Old(Tenths),
+    Old(Ticks),
 }
 
 impl fmt::Display for Refused {
@@ -54,7 +54,7 @@
 }
 
 impl Snapshot {
-    pub fn take(memory: &Memory, front: &str, life: u64, now: Tenths) -> Snapshot {
+    pub fn take(memory: &Memory, front: &str, life: u64, now: Ticks) -> Snapshot {
         let (fills, purges) = memory.all(now);
         let rules = memory.rules().clone();
         let deployment = rules.deployment();
@@ -62,7 +62,7 @@
     }
 
     /// Whether this front may read it; each thing in it is then weighed by itself.
-    pub fn check(&self, front: &str, rules: &Rules, now: Tenths) -> Result<(), Refused> {
+    pub fn check(&self, front: &str, rules: &Rules, now: Ticks) -> Result<(), Refused> {
         if self.format != FORMAT {
             Err(Refused::Format(self.format))
         } else if *self.front != *front {
--- a/crates/recall/tests/memory.rs
+++ b/crates/recall/tests/memory.rs
@@ -2,24 +2,24 @@
 
 use std::collections::BTreeMap;
 
-use doorgrade::Tenths;
+use doorgrade::Ticks;
 use doorgrade_recall::{Fill, Memory, Purge, Refused, Rules, Snapshot, Source, Why};
 use fastrand::Rng;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-const S: Tenths = 10_000;
-const NOW: Tenths = 1_000 * S;
+const S: Ticks = 10_000;
+const NOW: Ticks = 1_000 * S;
 
 fn rules() -> Rules {
     Rules { fresh: vec![8 * S, 0, 20 * S], purge_done: 6 * S, most: 50 }
 }
 
-fn fill(object: u64, made: Tenths, seen: Tenths) -> Fill {
+fn fill(object: u64, made: Ticks, seen: Ticks) -> Fill {
     Fill { offering: 0, object, part: 0, group: (object % 4) as u16, made, seen }
 }
 
-fn told(memory: &mut Memory, now: Tenths, fill: Fill) -> Result<(), Why> {
+fn told(memory: &mut Memory, now: Ticks, fill: Fill) -> Result<(), Why> {
     let (news, _, tally) = memory.hear(now, Source::Neighbour, &[fill], &[]);
     assert_eq!(news.len() as u64, tally.fills);
     match tally.dropped.into_keys().next() {
@@ -79,7 +79,7 @@
     assert_eq!((again(NOW - 6 * S), again(NOW + S), again(NOW - 5 * S)), (0, 0, 1));
 }
 
-fn memory_hears(memory: &mut Memory, at: Tenths) -> usize {
+fn memory_hears(memory: &mut Memory, at: Ticks) -> usize {
     memory.hear(NOW, Source::Neighbour, &[], &[Purge { object: None, group: 1, at }]).1.len()
 }
 
--- a/crates/recall/tests/model.rs
+++ b/crates/recall/tests/model.rs
@@ -4,16 +4,16 @@
 
 use std::hash::{Hash, Hasher};
 
-use doorgrade::Tenths;
+use doorgrade::Ticks;
 use doorgrade_members::Id;
 use doorgrade_recall::{Fill, Memory, Purge, Rules, Snapshot, Source};
 use foca::Identity;
 use stateright::{Checker, Model, Property};
 
-const S: Tenths = 10_000;
-const START: Tenths = 1_000 * S;
-const FRESH: Tenths = 8 * S;
-const DONE: Tenths = 6 * S;
+const S: Ticks = 10_000;
+const START: Ticks = 1_000 * S;
+const FRESH: Ticks = 8 * S;
+const DONE: Ticks = 6 * S;
 
 /// Faults of the shell that the search is to find, each by the property that stands for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -73,9 +73,9 @@
 
 #[derive(Clone)]
 struct World {
-    now: Tenths,
+    now: Ticks,
     /// When the caches' copy was made, and all times at which one was.
-    made: Vec<Tenths>,
+    made: Vec<Ticks>,
     /// Purges told, and who has heard them.
     purges: Vec<(Purge, [bool; 2])>,
     fronts: [Option<Runs>; 2],
--- a/crates/recall/tests/return.rs
+++ b/crates/recall/tests/return.rs
@@ -5,14 +5,14 @@
 use std::collections::{BTreeMap, BinaryHeap};
 use std::net::SocketAddrV4;
 
-use doorgrade::Tenths;
+use doorgrade::Ticks;
 use doorgrade_recall::{Asking, Fill, Gave, Giver, Giving, Memory, Rules, Source};
 use fastrand::Rng;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-const S: Tenths = 10_000;
-const NOW: Tenths = 1_000 * S;
+const S: Ticks = 10_000;
+const NOW: Ticks = 1_000 * S;
 const PAGES: u32 = 50;
 
 fn at(n: usize) -> SocketAddrV4 {
@@ -25,8 +25,8 @@
     giving: Giving,
     dead: bool,
     silent: bool,
-    given_at: Vec<Tenths>,
-    done_at: Option<Tenths>,
+    given_at: Vec<Ticks>,
+    done_at: Option<Ticks>,
 }
 
 #[derive(Clone)]
@@ -38,14 +38,14 @@
 }
 
 struct World {
-    now: Tenths,
+    now: Ticks,
     rng: Rng,
     all: Vec<One>,
-    queue: BinaryHeap<Reverse<(Tenths, u64)>>,
+    queue: BinaryHeap<Reverse<(Ticks, u64)>>,
     words: BTreeMap<u64, (usize, usize, Word)>,
     number: u64,
     loss: f64,
-    delay: Tenths,
+    delay: Ticks,
 }
 
 fn fill(object: u64) -> Fill {
@@ -132,7 +132,7 @@
         }
     }
 
-    fn pass(&mut self, time: Tenths) {
+    fn pass(&mut self, time: Ticks) {
         let end = self.now + time;
         while self.now < end {
             // Each looks a hundred times a second, as its members' timer has it or a word comes.
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -2,7 +2,7 @@
 //! real front alike. Unknown settings are skipped.
 #![forbid(unsafe_code)]
 
-use doorgrade::{Cold, Effect, Group, Notes, Offering, Powers, Settings, Tenths};
+use doorgrade::{ColdLimits, Features, Group, Offering, RepeatPolicy, Settings, StatusReporting, Ticks};
 use serde::Deserialize;
 
 /// All that an instance is told: what the decisions need, and the facts of the protocol.
@@ -14,11 +14,11 @@
     pub zones: Vec<String>,
     pub kinds: Vec<String>,
     /// A connection to a cache that is not established in this time never will be.
-    pub connect_within: Tenths,
+    pub connect_within: Ticks,
     /// Idle connections to caches are closed after this time.
-    pub idle: Tenths,
+    pub idle: Ticks,
     /// The longest hard limit of any offering.
-    pub longest: Tenths,
+    pub longest: Ticks,
 }
 
 #[derive(Deserialize)]
@@ -159,9 +159,9 @@
     }
 }
 
-fn tenths(ms: f64) -> Tenths {
+fn tenths(ms: f64) -> Ticks {
     // Thousands of years at the most: sums of times must not overflow, whatever the settings say.
-    (ms * 10.0).floor().clamp(0.0, 1e15) as Tenths
+    (ms * 10.0).floor().clamp(0.0, 1e15) as Ticks
 }
 
 fn unknown(what: &str, value: &str) -> String {
@@ -228,54 +228,54 @@
             other => return Err(unknown("group", other)),
         };
         offerings.push(Offering {
-            soft: tenths(p.aim),
-            stretch: p.aim_stretch,
+            soft_limit: tenths(p.aim),
+            transfer_factor: p.aim_stretch,
             benefit: p.worth,
-            effect: match p.semantics.as_str() {
-                "free" => Effect::Idempotent,
-                "guarded" => Effect::Deduplicated { within, window: tenths(p.repeat_window) },
-                "single_shot" => Effect::Unrepeatable,
+            repeat_policy: match p.semantics.as_str() {
+                "free" => RepeatPolicy::Idempotent,
+                "guarded" => RepeatPolicy::Deduplicated { within, window: tenths(p.repeat_window) },
+                "single_shot" => RepeatPolicy::Unrepeatable,
                 other => return Err(unknown("semantics", other)),
             },
-            fresh: tenths(own.max_age.get(at).copied().unwrap_or(0.0)),
+            fresh_time: tenths(own.max_age.get(at).copied().unwrap_or(0.0)),
             uncacheable: own.pass_on.get(at).copied().unwrap_or(false),
         });
     }
     let settings = Settings {
         offerings,
         zone: boot.zone,
-        crew: own.crew_by_zone.get(boot.zone).copied().unwrap_or(boot.fleet_size).max(1),
+        zone_fronts: own.crew_by_zone.get(boot.zone).copied().unwrap_or(boot.fleet_size).max(1),
         parent_kind: usize::try_from(own.upper_kind).ok(),
         origin_kind: usize::try_from(own.root_kind).ok(),
-        notes: match own.notes_given.as_str() {
-            "all" => Notes::All,
-            "hit" => Notes::Hits,
-            _ => Notes::Never,
+        status_reporting: match own.notes_given.as_str() {
+            "all" => StatusReporting::All,
+            "hit" => StatusReporting::Hits,
+            _ => StatusReporting::Never,
         },
-        may: Powers {
-            joins: own.shares_fills,
-            straight: own.straight,
-            cancels: boot.limits.cancel,
-            second_copies: boot.limits.second_copies,
+        features: Features {
+            join_fills: own.shares_fills,
+            cache_bypass: own.straight,
+            cancel_pushes: boot.limits.cancel,
+            hedged_pushes: boot.limits.second_copies,
         },
         max_pushes: boot.limits.max_attempts,
-        weights: matches!(boot.weight_kind.as_str(), "nominal" | "rough"),
+        comparable_weights: matches!(boot.weight_kind.as_str(), "nominal" | "rough"),
         list_on_request: boot.registry_mode == "subscribe",
-        quantum: tenths(boot.quantum).max(1),
+        min_input_interval: tenths(boot.quantum).max(1),
         flow_kb_per_s: own.stream_kb_per_s,
-        cold: Cold {
-            from: boot.rules.start_capacity,
-            lasts: tenths(boot.rules.cold),
-            multiple: boot.rules.fall_multiple,
+        cold: ColdLimits {
+            initial_share: boot.rules.start_capacity,
+            duration: tenths(boot.rules.cold),
+            load_multiple: boot.rules.fall_multiple,
             window: tenths(boot.rules.fall),
         },
-        parent_cold: Cold {
-            from: own.parent_cold_from,
-            lasts: tenths(own.parent_cold),
-            multiple: own.parent_limit_factor,
+        parent_cold: ColdLimits {
+            initial_share: own.parent_cold_from,
+            duration: tenths(own.parent_cold),
+            load_multiple: own.parent_limit_factor,
             window: tenths(boot.rules.fall),
         },
-        purge_done: tenths(own.purge_done),
+        purge_propagation: tenths(own.purge_done),
     };
     Ok(Told {
         settings,
--- a/crates/standins/src/versions.rs
+++ b/crates/standins/src/versions.rs
@@ -14,7 +14,7 @@
 use doorgrade_stream::follow::{AccessCounts, Command, Follow, Host, To};
 use doorgrade_versions::front::{Content, Found, Front, Line};
 use doorgrade_versions::seal::{Keys, Seal};
-use doorgrade_versions::{Id, Reason, Tenths};
+use doorgrade_versions::{Id, Reason, Ticks};
 use tokio::sync::mpsc;
 
 use crate::lock;
@@ -114,7 +114,7 @@
 #[derive(Default)]
 pub struct Record {
     /// Versions brought into use, and when.
-    pub ran: Vec<(Id, Tenths)>,
+    pub ran: Vec<(Id, Ticks)>,
     pub turned_down: Vec<(Id, Reason)>,
     pub lost: Vec<String>,
     pub serves: Option<f32>,
--- a/crates/stream/src/clock.rs
+++ b/crates/stream/src/clock.rs
@@ -7,21 +7,21 @@
 use std::sync::atomic::{AtomicI64, Ordering};
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-use doorgrade_versions::Tenths;
+use doorgrade_versions::Ticks;
 
 /// By how much this process is to take the wall clock for off, in tests.
 static OFF: AtomicI64 = AtomicI64::new(0);
 
 /// The system's Unix clock as it stands. It may be stepped at any time.
-pub fn unix() -> Tenths {
+pub fn unix() -> Ticks {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     let unix = u64::try_from(since.as_micros() / 100).unwrap_or(u64::MAX);
     unix.saturating_add_signed(OFF.load(Ordering::Relaxed))
 }
 
 /// The time as this process counts it: it never jumps, and never goes back.
-pub fn now() -> Tenths {
-    static START: OnceLock<(Instant, Tenths)> = OnceLock::new();
+pub fn now() -> Ticks {
+    static START: OnceLock<(Instant, Ticks)> = OnceLock::new();
     let (started, unix) = START.get_or_init(|| (Instant::now(), unix()));
     let since = u64::try_from(started.elapsed().as_micros() / 100).unwrap_or(u64::MAX);
     unix.saturating_add(since)
--- a/crates/stream/src/follow.rs
+++ b/crates/stream/src/follow.rs
@@ -13,7 +13,7 @@
 use doorgrade_versions::front::{Content, Effect, Front, Line};
 use doorgrade_versions::message::{ToFront, ToService};
 use doorgrade_versions::seal::{Keys, Seal};
-use doorgrade_versions::{Id, Reason, Tenths};
+use doorgrade_versions::{Id, Reason, Ticks};
 use tokio::io::{ReadHalf, WriteHalf};
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
@@ -74,7 +74,7 @@
 }
 
 /// How often it says how it serves; also how often the service hears that it lives.
-const SERVES_EACH: Tenths = 50_000;
+const SERVES_EACH: Ticks = 50_000;
 
 struct Link {
     reader: Reader<ReadHalf<Stream>>,
@@ -113,7 +113,7 @@
     next: usize,
     link: Option<Link>,
     connecting: Option<Connecting>,
-    wake: Option<Tenths>,
+    wake: Option<Ticks>,
     /// Ticks when the service is to have the counts, where it has asked for them.
     report: Option<Interval>,
     /// Bytes written to the service, and connections made.
@@ -122,13 +122,13 @@
 }
 
 /// Ticks now and then each `every`; those that were missed are not made up for, since counts are of all time.
-fn ticks(every: Tenths) -> Interval {
+fn ticks(every: Ticks) -> Interval {
     let mut ticks = interval(Duration::from_micros(every.max(1) * 100));
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     ticks
 }
 
-fn instant(at: Tenths) -> tokio::time::Instant {
+fn instant(at: Ticks) -> tokio::time::Instant {
     tokio::time::Instant::now() + Duration::from_micros(at.saturating_sub(now()) * 100)
 }
 
@@ -138,7 +138,7 @@
         host: H,
         to: To,
         tls: Arc<ClientConfig>,
-        start: impl FnOnce(Tenths, &mut Vec<Effect>) -> Front,
+        start: impl FnOnce(Ticks, &mut Vec<Effect>) -> Front,
     ) -> (Self, Vec<Effect>) {
         let mut out = Vec::new();
         let front = start(now(), &mut out);
--- a/crates/trust/src/expiry.rs
+++ b/crates/trust/src/expiry.rs
@@ -3,7 +3,7 @@
 
 use std::fmt;
 
-use crate::{DAY, SECOND, Tenths};
+use crate::{TICKS_PER_DAY, TICKS_PER_SECOND, Ticks};
 
 /// Days before the end at which a line is due. Six weeks pass change freezes and holidays; below a week each day.
 pub const STEPS: [u64; 10] = [42, 28, 14, 7, 6, 5, 4, 3, 2, 1];
@@ -11,18 +11,22 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Word {
     /// It is good for so long still, and a step was passed.
-    Soon(Tenths),
+    Soon(Ticks),
     /// It was good until then.
-    Ended(Tenths),
+    Ended(Ticks),
     /// It will be good from then on.
-    NotYet(Tenths),
+    NotYet(Ticks),
 }
 
 impl fmt::Display for Word {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let span = |t: &Tenths| match (t / DAY, t / (3_600 * SECOND), t / (60 * SECOND)) {
-            (2.., ..) => format!("{} days", t / DAY),
-            (_, 2.., _) => format!("{} hours", t / (3_600 * SECOND)),
+        let span = |t: &Ticks| match (
+            t / TICKS_PER_DAY,
+            t / (3_600 * TICKS_PER_SECOND),
+            t / (60 * TICKS_PER_SECOND),
+        ) {
+            (2.., ..) => format!("{} days", t / TICKS_PER_DAY),
+            (_, 2.., _) => format!("{} hours", t / (3_600 * TICKS_PER_SECOND)),
             (.., minutes) => format!("{minutes} minutes"),
         };
         match self {
@@ -36,28 +40,28 @@
 /// How a span of time stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Span {
-    pub from: Tenths,
-    pub to: Tenths,
+    pub from: Ticks,
+    pub to: Ticks,
 }
 
 impl Span {
-    pub fn good(&self, now: Tenths) -> bool {
+    pub fn good(&self, now: Ticks) -> bool {
         self.from <= now && now < self.to
     }
 
     /// The step that it stands at: 0 before all of them, then one more for each that was passed; one past the
     /// last for each day after its end.
-    fn step(&self, now: Tenths) -> u64 {
-        let passed = |days: &&u64| now + **days * DAY >= self.to;
+    fn step(&self, now: Ticks) -> u64 {
+        let passed = |days: &&u64| now + **days * TICKS_PER_DAY >= self.to;
         let passed = STEPS.iter().filter(passed).count() as u64;
         match now.checked_sub(self.to) {
-            Some(ago) => STEPS.len() as u64 + 1 + ago / DAY,
+            Some(ago) => STEPS.len() as u64 + 1 + ago / TICKS_PER_DAY,
             None => passed,
         }
     }
 
     /// What is to be said of it, whether or not it was said before.
-    pub fn word(&self, now: Tenths) -> Option<Word> {
+    pub fn word(&self, now: Ticks) -> Option<Word> {
         if now < self.from {
             return Some(Word::NotYet(self.from - now));
         }
@@ -69,14 +73,14 @@
     }
 
     /// When there will be something new to say.
-    pub fn next(&self, now: Tenths) -> Tenths {
+    pub fn next(&self, now: Ticks) -> Ticks {
         if now < self.from {
             return self.from;
         }
         if let Some(ago) = now.checked_sub(self.to) {
-            return self.to + (ago / DAY + 1) * DAY;
+            return self.to + (ago / TICKS_PER_DAY + 1) * TICKS_PER_DAY;
         }
-        let steps = STEPS.iter().map(|days| self.to.saturating_sub(days * DAY));
+        let steps = STEPS.iter().map(|days| self.to.saturating_sub(days * TICKS_PER_DAY));
         steps.filter(|at| *at > now).min().unwrap_or(self.to)
     }
 }
@@ -101,7 +105,7 @@
     }
 
     /// What is to be said now, once for each step.
-    pub fn due(&mut self, now: Tenths) -> Option<Word> {
+    pub fn due(&mut self, now: Ticks) -> Option<Word> {
         let word = self.span.word(now)?;
         let step = (matches!(word, Word::NotYet(_)), self.span.step(now));
         if self.told == Some(step) {
--- a/crates/trust/src/lib.rs
+++ b/crates/trust/src/lib.rs
@@ -15,8 +15,8 @@
 pub mod peer;
 pub mod rotation;
 
-/// In whole tenths of a millisecond.
-pub type Tenths = u64;
+/// A time or a span in units of 0.1 ms.
+pub type Ticks = u64;
 
-pub const SECOND: Tenths = 10_000;
-pub const DAY: Tenths = 86_400 * SECOND;
+pub const TICKS_PER_SECOND: Ticks = 10_000;
+pub const TICKS_PER_DAY: Ticks = 86_400 * TICKS_PER_SECOND;
--- a/crates/trust/tests/decisions.rs
+++ b/crates/trust/tests/decisions.rs
@@ -6,7 +6,7 @@
 use doorgrade_trust::pace::{FIRST_WORD, HANDSHAKE, LEAST_RATE, MESSAGE, Pace};
 use doorgrade_trust::peer::covers;
 use doorgrade_trust::rotation::{LEAST_BYTES, Objection, check, replaces, spare};
-use doorgrade_trust::{DAY, SECOND};
+use doorgrade_trust::{TICKS_PER_DAY, TICKS_PER_SECOND};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
@@ -14,37 +14,40 @@
 
 #[test]
 fn what_expires_is_announced_weeks_ahead_once_a_step_and_daily_at_the_end() {
-    let span = Span { from: START, to: START + 60 * DAY };
+    let span = Span { from: START, to: START + 60 * TICKS_PER_DAY };
     let mut watched = Watched::new(span);
     let mut said = Vec::new();
     // Looked at each hour, from a day before it is good to three days after its end.
     for hour in 0..64 * 24 {
-        let now = START - DAY + hour * 3_600 * SECOND;
+        let now = START - TICKS_PER_DAY + hour * 3_600 * TICKS_PER_SECOND;
         if let Some(word) = watched.due(now) {
             said.push((now, word));
         }
     }
-    assert_eq!(said[0], (START - DAY, Word::NotYet(DAY)));
-    let soon: Vec<u64> =
-        said.iter().filter(|s| matches!(s.1, Word::Soon(_))).map(|s| (span.to - s.0) / DAY).collect();
+    assert_eq!(said[0], (START - TICKS_PER_DAY, Word::NotYet(TICKS_PER_DAY)));
+    let soon: Vec<u64> = said
+        .iter()
+        .filter(|s| matches!(s.1, Word::Soon(_)))
+        .map(|s| (span.to - s.0) / TICKS_PER_DAY)
+        .collect();
     assert_eq!(soon, STEPS);
     let ended = said.iter().filter(|s| matches!(s.1, Word::Ended(_))).count();
     assert_eq!(ended, 3, "at its end and each day after it: {said:?}");
-    assert_eq!(Word::Soon(41 * DAY).to_string(), "expires in 41 days");
-    assert_eq!(Word::Ended(90 * 60 * SECOND).to_string(), "expired 90 minutes ago");
+    assert_eq!(Word::Soon(41 * TICKS_PER_DAY).to_string(), "expires in 41 days");
+    assert_eq!(Word::Ended(90 * 60 * TICKS_PER_SECOND).to_string(), "expired 90 minutes ago");
 }
 
 #[test]
 fn a_renewed_certificate_is_quiet_and_one_as_short_is_told_again_only_if_it_differs() {
-    let short = Span { from: START, to: START + 10 * DAY };
+    let short = Span { from: START, to: START + 10 * TICKS_PER_DAY };
     let mut watched = Watched::new(short);
     assert!(watched.due(START).is_some());
     watched.renewed(short);
-    assert_eq!(watched.due(START + SECOND), None);
-    watched.renewed(Span { from: START, to: START + 400 * DAY });
-    assert_eq!(watched.due(START + SECOND), None);
-    watched.renewed(Span { from: START, to: START + 9 * DAY });
-    assert!(matches!(watched.due(START + SECOND), Some(Word::Soon(_))));
+    assert_eq!(watched.due(START + TICKS_PER_SECOND), None);
+    watched.renewed(Span { from: START, to: START + 400 * TICKS_PER_DAY });
+    assert_eq!(watched.due(START + TICKS_PER_SECOND), None);
+    watched.renewed(Span { from: START, to: START + 9 * TICKS_PER_DAY });
+    assert!(matches!(watched.due(START + TICKS_PER_SECOND), Some(Word::Soon(_))));
 }
 
 proptest! {
@@ -53,11 +56,11 @@
     /// Whoever looks only when told to says all that whoever looks all the time says.
     #[test]
     fn looking_when_told_to_misses_nothing(length in 1u64..100 * 24, start in 0u64..120 * 24) {
-        let hour = 3_600 * SECOND;
+        let hour = 3_600 * TICKS_PER_SECOND;
         let span = Span { from: START + 10 * hour, to: START + (10 + length) * hour };
-        let end = span.to + 5 * DAY;
+        let end = span.to + 5 * TICKS_PER_DAY;
         let mut all = Watched::new(span);
-        let each = (START + start * hour..end).step_by(60 * SECOND as usize * 10);
+        let each = (START + start * hour..end).step_by(60 * TICKS_PER_SECOND as usize * 10);
         let often: Vec<_> = each.filter_map(|now| all.due(now)).map(|w| std::mem::discriminant(&w)).collect();
         let mut seldom = Watched::new(span);
         let (mut now, mut said) = (START + start * hour, Vec::new());
@@ -121,24 +124,24 @@
     assert!(!pace.late(START + HANDSHAKE - 1) && pace.late(START + HANDSHAKE));
     pace.shook_hands(START, true);
     // The first word in single bytes: it gets no more time for each.
-    (0..5).for_each(|n| pace.moved(START + n * SECOND, 1, false));
+    (0..5).for_each(|n| pace.moved(START + n * TICKS_PER_SECOND, 1, false));
     assert!(pace.late(START + FIRST_WORD));
-    pace.moved(START + SECOND, 10, true);
+    pace.moved(START + TICKS_PER_SECOND, 10, true);
     assert_eq!(pace.until(), None, "nothing is owed between messages");
     // A later message in single bytes.
-    let (mut now, begun) = (START + 100 * SECOND, START + 100 * SECOND);
+    let (mut now, begun) = (START + 100 * TICKS_PER_SECOND, START + 100 * TICKS_PER_SECOND);
     while !pace.late(now) {
         pace.moved(now, 1, false);
-        now += SECOND;
-        assert!(now < begun + 60 * SECOND, "it is cut off");
+        now += TICKS_PER_SECOND;
+        assert!(now < begun + 60 * TICKS_PER_SECOND, "it is cut off");
     }
-    assert!(now <= begun + MESSAGE + SECOND);
+    assert!(now <= begun + MESSAGE + TICKS_PER_SECOND);
     // 32 MB at a little over the least rate.
     pace.moved(now, 1, true);
     let begun = now;
     for _ in 0..512 {
         pace.moved(now, LEAST_RATE, false);
-        now += SECOND;
-        assert!(!pace.late(now), "after {} s", (now - begun) / SECOND);
+        now += TICKS_PER_SECOND;
+        assert!(!pace.late(now), "after {} s", (now - begun) / TICKS_PER_SECOND);
     }
 }
--- a/crates/versions/src/front.rs
+++ b/crates/versions/src/front.rs
@@ -13,7 +13,7 @@
 use crate::delta;
 use crate::message::{Body, ToFront, ToService};
 use crate::seal::{Keys, Seal};
-use crate::{Id, MOST_CONTENT, Reason, Tenths};
+use crate::{Id, MOST_CONTENT, Reason, Ticks};
 
 use candidate::{Candidate, Step};
 pub use types::{Content, Effect, Found, Line};
@@ -22,12 +22,12 @@
 enum Link {
     /// Next try at the time.
     Down {
-        at: Tenths,
+        at: Ticks,
     },
     Trying,
     Up {
-        heard: Tenths,
-        every: Tenths,
+        heard: Ticks,
+        every: Ticks,
     },
 }
 
@@ -48,15 +48,15 @@
     /// Found staged at the start: the version, and how often the front went down on it.
     fell: Option<(Id, u32)>,
     link: Link,
-    pause: Tenths,
+    pause: Ticks,
     /// Its moment within the longest pause is drawn.
     placed: bool,
-    silent_since: Option<Tenths>,
+    silent_since: Option<Ticks>,
     told_silent: bool,
     /// The earliest time asked for that has not come.
-    wakes: Option<Tenths>,
+    wakes: Option<Ticks>,
     /// How often the service wants to hear counts, on this connection.
-    report_every: Option<Tenths>,
+    report_every: Option<Ticks>,
     /// Of the last report.
     sequence: u64,
 }
@@ -66,21 +66,21 @@
 /// Refusals remembered: a service offers one version at a time, and seldom a second before the first is withdrawn.
 const MOST_REFUSED: usize = 8;
 /// Pauses between tries, from half a second; the longest is some minutes' share of what a service lets in.
-const PAUSES: [Tenths; 2] = [5_000, 600_000];
+const PAUSES: [Ticks; 2] = [5_000, 600_000];
 /// Silence for three times as long as the service promised to say something.
 const SILENCE: u64 = 3;
 /// A content that has not come in this time is asked for again; a connection that takes longer is no good.
-const CONTENT_WITHIN: Tenths = 300_000;
+const CONTENT_WITHIN: Ticks = 300_000;
 /// A minute without word is worth a line.
-const TELL_SILENT: Tenths = 600_000;
+const TELL_SILENT: Ticks = 600_000;
 /// Reports go no more often, and no less: a quarter of a second is enough for a trial and costs some 500 bytes a second.
-pub const REPORT_EVERY: [Tenths; 2] = [2_500, 300_000];
+pub const REPORT_EVERY: [Ticks; 2] = [2_500, 300_000];
 
 impl Front {
     /// At the start: what the store had is run by the shell before anything else (it is checked as any version;
     /// `usable` is what came of that).
     pub fn start(
-        now: Tenths,
+        now: Ticks,
         seed: u64,
         (name, station): (&str, &str),
         keys: Keys,
@@ -139,7 +139,7 @@
 
     // ---- the connection
 
-    pub fn up(&mut self, now: Tenths, out: &mut Vec<Effect>) {
+    pub fn up(&mut self, now: Ticks, out: &mut Vec<Effect>) {
         // Until it says how often it speaks, as long as a content may take.
         self.link = Link::Up { heard: now, every: CONTENT_WITHIN / SILENCE };
         let runs = self.runs.as_ref().map(|r| (r.0, r.1));
@@ -149,7 +149,7 @@
     }
 
     /// It is lost, or could not be made.
-    pub fn down(&mut self, now: Tenths, out: &mut Vec<Effect>) {
+    pub fn down(&mut self, now: Ticks, out: &mut Vec<Effect>) {
         // They were cut off together. While pauses grow each doubles its own; at the longest it draws a moment within
         // it once, and keeps to that: so whenever the service returns they come evenly over one pause.
         let longest = PAUSES[1];
@@ -163,7 +163,7 @@
         self.part(now, at, out);
     }
 
-    fn part(&mut self, now: Tenths, at: Tenths, out: &mut Vec<Effect>) {
+    fn part(&mut self, now: Ticks, at: Ticks, out: &mut Vec<Effect>) {
         self.link = Link::Down { at };
         self.silent_since.get_or_insert(now);
         // What was on its way comes to nothing; what has come goes on without the service.
@@ -177,14 +177,14 @@
         self.wake(at, out);
     }
 
-    fn wake(&mut self, at: Tenths, out: &mut Vec<Effect>) {
+    fn wake(&mut self, at: Ticks, out: &mut Vec<Effect>) {
         if self.wakes.is_none_or(|w| at < w) {
             self.wakes = Some(at);
             out.push(Effect::Wake(at));
         }
     }
 
-    pub fn due(&mut self, now: Tenths, out: &mut Vec<Effect>) {
+    pub fn due(&mut self, now: Ticks, out: &mut Vec<Effect>) {
         if self.wakes.is_some_and(|w| w > now) {
             return;
         }
@@ -218,7 +218,7 @@
 
     // ---- what the service says
 
-    pub fn heard(&mut self, now: Tenths, message: ToFront, out: &mut Vec<Effect>) {
+    pub fn heard(&mut self, now: Ticks, message: ToFront, out: &mut Vec<Effect>) {
         let Link::Up { heard, every } = &mut self.link else { return };
         *heard = now;
         if let ToFront::Welcome { every: told } = &message {
@@ -260,7 +260,7 @@
         }
     }
 
-    fn offered(&mut self, now: Tenths, id: Id, out: &mut Vec<Effect>) {
+    fn offered(&mut self, now: Ticks, id: Id, out: &mut Vec<Effect>) {
         if let Some((runs, ..)) = &self.runs {
             if *runs == id {
                 return out.push(Effect::Send(ToService::Runs { id, stored: self.stored }));
@@ -288,7 +288,7 @@
         }
     }
 
-    fn ask(&mut self, now: Tenths, id: Id, tries: u32, out: &mut Vec<Effect>) {
+    fn ask(&mut self, now: Ticks, id: Id, tries: u32, out: &mut Vec<Effect>) {
         self.candidate = Some(Candidate { id, step: Step::Asked { tries }, since: now });
         // A delta that did not fit once is not asked for again.
         let base = self.runs().filter(|_| tries == 0);
@@ -296,7 +296,7 @@
         self.wake(now + CONTENT_WITHIN, out);
     }
 
-    fn came(&mut self, now: Tenths, id: Id, seal: Seal, body: Body, out: &mut Vec<Effect>) {
+    fn came(&mut self, now: Ticks, id: Id, seal: Seal, body: Body, out: &mut Vec<Effect>) {
         let whole = matches!(body, Body::Whole(_));
         let content: Option<Content> = match body {
             Body::Whole(content) => Some(content),
--- a/crates/versions/src/front/candidate.rs
+++ b/crates/versions/src/front/candidate.rs
@@ -3,7 +3,7 @@
 use super::{Content, Effect, Front, Line, MOST_REFUSED};
 use crate::message::ToService;
 use crate::seal::Seal;
-use crate::{Id, Reason, Tenths};
+use crate::{Id, Reason, Ticks};
 
 /// How far it has come.
 #[derive(Clone, Debug)]
@@ -20,13 +20,13 @@
 pub(super) struct Candidate {
     pub id: Id,
     pub step: Step,
-    pub since: Tenths,
+    pub since: Ticks,
 }
 
 /// What the shell answers.
 impl Front {
     /// What the check came to; of a version that is no more the candidate it means nothing.
-    pub fn checked(&mut self, now: Tenths, id: Id, result: Result<(), Reason>, out: &mut Vec<Effect>) {
+    pub fn checked(&mut self, now: Ticks, id: Id, result: Result<(), Reason>, out: &mut Vec<Effect>) {
         let Some((seal, content)) = self.at(id, |s| matches!(s, Step::Checking(..))) else { return };
         if let Err(why) = result {
             return self.turn_down(now, id, why, out);
@@ -37,14 +37,14 @@
     }
 
     /// It is staged, or could not be: then a crash while it is applied is not counted.
-    pub fn staged(&mut self, now: Tenths, id: Id, out: &mut Vec<Effect>) {
+    pub fn staged(&mut self, now: Ticks, id: Id, out: &mut Vec<Effect>) {
         let Some((seal, content)) = self.at(id, |s| matches!(s, Step::Staging(..))) else { return };
         self.candidate = Some(Candidate { id, step: Step::Applying(seal, content.clone()), since: now });
         out.push(Effect::Apply(id, content));
     }
 
     /// It is in use, or could not be taken.
-    pub fn applied(&mut self, now: Tenths, id: Id, result: Result<(), Reason>, out: &mut Vec<Effect>) {
+    pub fn applied(&mut self, now: Ticks, id: Id, result: Result<(), Reason>, out: &mut Vec<Effect>) {
         let Some((seal, content)) = self.at(id, |s| matches!(s, Step::Applying(..))) else { return };
         if let Err(why) = result {
             return self.turn_down(now, id, why, out);
@@ -58,7 +58,7 @@
     }
 
     /// It stands in the store, or could not be stored: then a restart begins with the one before.
-    pub fn kept(&mut self, now: Tenths, id: Id, stored: bool, out: &mut Vec<Effect>) {
+    pub fn kept(&mut self, now: Ticks, id: Id, stored: bool, out: &mut Vec<Effect>) {
         if !matches!(&self.candidate, Some(c) if c.id == id && matches!(c.step, Step::Keeping)) {
             return;
         }
@@ -84,7 +84,7 @@
         }
     }
 
-    pub(super) fn turn_down(&mut self, now: Tenths, id: Id, why: Reason, out: &mut Vec<Effect>) {
+    pub(super) fn turn_down(&mut self, now: Ticks, id: Id, why: Reason, out: &mut Vec<Effect>) {
         let staged = matches!(&self.candidate, Some(c) if matches!(c.step, Step::Applying(..)));
         if staged {
             out.push(Effect::Unstage);
@@ -102,7 +102,7 @@
         self.refused.push((id, why));
     }
 
-    pub(super) fn go_on(&mut self, now: Tenths, out: &mut Vec<Effect>) {
+    pub(super) fn go_on(&mut self, now: Ticks, out: &mut Vec<Effect>) {
         self.candidate = None;
         if let Some(next) = self.next.take() {
             self.offered(now, next, out);
--- a/crates/versions/src/front/types.rs
+++ b/crates/versions/src/front/types.rs
@@ -4,7 +4,7 @@
 
 use crate::message::ToService;
 use crate::seal::Seal;
-use crate::{Id, Reason, Tenths};
+use crate::{Id, Reason, Ticks};
 
 /// The bytes of a version.
 pub type Content = Arc<[u8]>;
@@ -29,11 +29,11 @@
     /// Nothing is staged any more; unanswered.
     Unstage,
     /// Call [`super::Front::due`] then.
-    Wake(Tenths),
+    Wake(Ticks),
     Tell(Line),
     /// Call [`super::Front::report`] now and then each `every`, in place of what was asked before; none: no more.
     Report {
-        every: Option<Tenths>,
+        every: Option<Ticks>,
     },
 }
 
@@ -43,7 +43,7 @@
     Runs(Id),
     TurnedDown(Id, Reason),
     /// The service says nothing, or can't be reached, since so long.
-    Silent(Tenths),
+    Silent(Ticks),
     Back,
     /// What was kept could not be used; it runs its own file.
     OwnFile(Reason),
--- a/crates/versions/src/lib.rs
+++ b/crates/versions/src/lib.rs
@@ -28,8 +28,8 @@
 
 use serde::{Deserialize, Serialize};
 
-/// In whole tenths of a millisecond.
-pub type Tenths = u64;
+/// A time or a span in units of 0.1 ms.
+pub type Ticks = u64;
 
 /// Longer contents are refused before they are read: some 100,000 members of a hierarchy.
 pub const MOST_CONTENT: usize = 32 << 20;
--- a/crates/versions/src/service.rs
+++ b/crates/versions/src/service.rs
@@ -32,7 +32,7 @@
 use crate::message::ToFront;
 use crate::seal::Keys;
 use crate::trial::Trials;
-use crate::{Id, Reason, Tenths};
+use crate::{Id, Reason, Ticks};
 
 pub type Conn = u64;
 
@@ -42,10 +42,10 @@
     station: Box<str>,
     rank: u64,
     conn: Option<Conn>,
-    heard: Tenths,
+    heard: Ticks,
     runs: Option<Id>,
     stored: bool,
-    offered: Option<(Id, Tenths)>,
+    offered: Option<(Id, Ticks)>,
     turned_down: Option<(Id, Reason)>,
     /// How it counts in the tally of the publication of this number.
     account: (u64, Account),
@@ -104,14 +104,14 @@
 struct Rollout {
     id: Id,
     wave: usize,
-    since: Tenths,
+    since: Ticks,
     /// Since when all of the wave have answered.
-    answered: Option<Tenths>,
+    answered: Option<Ticks>,
     tally: Tally,
     canaries: BTreeSet<Box<str>>,
     stopped: Option<Stop>,
     /// Since when the service of those it went to has been too low.
-    falling: Option<Tenths>,
+    falling: Option<Ticks>,
 }
 
 /// A delta that was made, with the hashes it leads from and to.
@@ -131,19 +131,19 @@
     by_conn: FxHashMap<Conn, usize>,
     by_rank: BTreeMap<(u64, usize), ()>,
     /// Connected fronts in the order in which they are due a word.
-    due: VecDeque<(Tenths, usize, Conn)>,
+    due: VecDeque<(Ticks, usize, Conn)>,
     /// Offers that are to be answered by a time.
-    awaited: VecDeque<(Tenths, usize, Id)>,
+    awaited: VecDeque<(Ticks, usize, Id)>,
     /// When the next front may come in, and who was told when.
     next_place: f64,
-    places: FxHashMap<Box<str>, Tenths>,
+    places: FxHashMap<Box<str>, Ticks>,
     superseded: Option<u64>,
     /// Until when its store may be an older copy, of which it would hear.
-    listens: Option<Tenths>,
+    listens: Option<Ticks>,
     /// The first number that was published since its start.
     first: u64,
     /// The earliest time asked for that has not come: there is one timer, however much waits.
-    wakes: Option<Tenths>,
+    wakes: Option<Ticks>,
     /// Deltas made lately, by what they lead from and to.
     deltas: VecDeque<Made>,
     /// The sum of what all fronts serve that have said so, and their count.
@@ -166,7 +166,7 @@
 
 impl Service {
     /// `found.epoch` 0: there was no store, and a new epoch is opened.
-    pub fn start(now: Tenths, rules: Rules, keys: Keys, found: Found, out: &mut Vec<Do>) -> Service {
+    pub fn start(now: Ticks, rules: Rules, keys: Keys, found: Found, out: &mut Vec<Do>) -> Service {
         let fresh = found.epoch == 0;
         let listens = (!found.versions.is_empty()).then_some(now + rules.listen);
         let mut service = Service {
@@ -207,7 +207,7 @@
         service
     }
 
-    fn go_on(&mut self, now: Tenths, saved: Option<Saved>) {
+    fn go_on(&mut self, now: Ticks, saved: Option<Saved>) {
         self.rollout = saved.map(|saved| Rollout {
             id: saved.id,
             wave: saved.wave,
@@ -253,14 +253,14 @@
 
     // ---- time
 
-    fn wake(&mut self, at: Tenths, out: &mut Vec<Do>) {
+    fn wake(&mut self, at: Ticks, out: &mut Vec<Do>) {
         if self.wakes.is_none_or(|w| at < w) {
             self.wakes = Some(at);
             out.push(Do::Wake(at));
         }
     }
 
-    pub fn due(&mut self, now: Tenths, out: &mut Vec<Do>) {
+    pub fn due(&mut self, now: Ticks, out: &mut Vec<Do>) {
         if self.wakes.is_some_and(|w| w > now) {
             return;
         }
--- a/crates/versions/src/service/ask.rs
+++ b/crates/versions/src/service/ask.rs
@@ -8,7 +8,7 @@
 use doorgrade_trust::rotation::{self, Objection};
 use serde::{Deserialize, Serialize};
 
-use super::{ChangeRow, Do, NotPublished, Progress, Service, State, Status, Stop, Tenths};
+use super::{ChangeRow, Do, NotPublished, Progress, Service, State, Status, Stop, Ticks};
 use crate::seal::Keys;
 use crate::{Id, MOST_NAME};
 
@@ -163,7 +163,7 @@
     pub front: Box<str>,
     pub station: Box<str>,
     pub connected: bool,
-    pub heard: Tenths,
+    pub heard: Ticks,
     pub runs: Option<Id>,
     pub stored: bool,
     pub goal: Option<Id>,
@@ -187,7 +187,7 @@
     pub id: Id,
     pub bytes: u64,
     pub note: Box<str>,
-    pub at: Tenths,
+    pub at: Ticks,
 }
 
 /// All fronts in counts.
@@ -235,7 +235,7 @@
     /// let it through.
     pub fn asked(
         &mut self,
-        now: Tenths,
+        now: Ticks,
         role: Role,
         ask: Ask,
         sound: impl FnOnce(&[u8]) -> Result<(), String>,
--- a/crates/versions/src/service/evidence.rs
+++ b/crates/versions/src/service/evidence.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use super::{Answer, Do, NotPublished, RolloutMode, Saved, SavedChange, SavedTrials, Service, Tenths};
+use super::{Answer, Do, NotPublished, RolloutMode, Saved, SavedChange, SavedTrials, Service, Ticks};
 use super::{Denied, Harm, Version};
 use crate::message::ToFront;
 use crate::trial::{Step, Trials};
@@ -12,7 +12,7 @@
 const SILENCE: u64 = 3;
 
 impl Service {
-    pub(super) fn start_trials(&mut self, now: Tenths, under_way: Option<Saved>, saved: Option<SavedTrials>) {
+    pub(super) fn start_trials(&mut self, now: Ticks, under_way: Option<Saved>, saved: Option<SavedTrials>) {
         let RolloutMode::Evidence(rules) = self.rules.rollout.clone() else { return };
         let newest = self.versions.last_key_value().map_or(0, |v| *v.0);
         let saved = saved.or_else(|| self.under_way(under_way.filter(|r| r.stopped.is_none())));
@@ -42,19 +42,19 @@
     }
 
     /// Something happens that the trials are to know of.
-    pub(super) fn on_trials(&mut self, now: Tenths, out: &mut Vec<Do>, event: impl FnOnce(&mut Trials)) {
+    pub(super) fn on_trials(&mut self, now: Ticks, out: &mut Vec<Do>, event: impl FnOnce(&mut Trials)) {
         if let Some(trials) = &mut self.trials {
             event(trials);
             self.drain(now, out);
         }
     }
 
-    pub(super) fn trial_came(&mut self, now: Tenths, at: usize, out: &mut Vec<Do>) {
+    pub(super) fn trial_came(&mut self, now: Ticks, at: usize, out: &mut Vec<Do>) {
         let (station, runs) = (self.fronts[at].station.clone(), self.fronts[at].runs);
         self.on_trials(now, out, |t| t.came(now, at, &station, runs));
     }
 
-    pub(super) fn trials_due(&mut self, now: Tenths, out: &mut Vec<Do>) {
+    pub(super) fn trials_due(&mut self, now: Ticks, out: &mut Vec<Do>) {
         let RolloutMode::Evidence(rules) = &self.rules.rollout else { return };
         let silence = SILENCE * rules.report_slow.max(self.rules.alive);
         // In the order in which they are due a word: each is looked at about as often as it is spoken to.
@@ -74,7 +74,7 @@
     }
 
     /// Does what the trials want: what is to be stored first, before anything of it is offered.
-    pub(super) fn drain(&mut self, now: Tenths, out: &mut Vec<Do>) {
+    pub(super) fn drain(&mut self, now: Ticks, out: &mut Vec<Do>) {
         let Some(trials) = &mut self.trials else { return };
         let (steps, dirty) = trials.take_steps();
         let mut base = None;
@@ -119,7 +119,7 @@
         }
     }
 
-    pub(super) fn offer_trial(&mut self, now: Tenths, at: usize, out: &mut Vec<Do>) {
+    pub(super) fn offer_trial(&mut self, now: Ticks, at: usize, out: &mut Vec<Do>) {
         let (Some(goal), None) = (self.goal(at), self.superseded) else { return };
         let old = self.listens.is_some() && self.trials.as_ref().is_some_and(|t| t.goal_is_old(at));
         let front = &mut self.fronts[at];
@@ -139,7 +139,7 @@
 
     pub(super) fn publish_change(
         &mut self,
-        now: Tenths,
+        now: Ticks,
         content: Arc<[u8]>,
         note: &str,
         expects: u64,
@@ -162,7 +162,7 @@
 
     pub(super) fn roll_back_trials(
         &mut self,
-        now: Tenths,
+        now: Ticks,
         number: u64,
         content: Arc<[u8]>,
         out: &mut Vec<Do>,
@@ -179,7 +179,7 @@
         made.ok_or(NotPublished::NoSuchVersion)
     }
 
-    pub(super) fn take_out(&mut self, now: Tenths, number: u64, out: &mut Vec<Do>) -> Answer {
+    pub(super) fn take_out(&mut self, now: Ticks, number: u64, out: &mut Vec<Do>) -> Answer {
         if !self.trials.as_ref().is_some_and(|t| t.is_open(number)) {
             return Answer::Denied(Denied::OtherUnderWay(None));
         }
--- a/crates/versions/src/service/fronts.rs
+++ b/crates/versions/src/service/fronts.rs
@@ -1,6 +1,6 @@
 //! Fronts as they come, speak and go.
 
-use super::{Account, Conn, Do, Front, Line, Rollout, Service, Tenths, Version, rank};
+use super::{Account, Conn, Do, Front, Line, Rollout, Service, Ticks, Version, rank};
 use crate::Id;
 use crate::delta;
 use crate::message::{Body, ToFront, ToService};
@@ -15,7 +15,7 @@
     /// A front's first word; whoever does not say it first is closed by the shell.
     fn hello(
         &mut self,
-        now: Tenths,
+        now: Ticks,
         conn: Conn,
         name: &str,
         station: &str,
@@ -78,7 +78,7 @@
     }
 
     /// How long a front has to wait until it may come in; none if it may now.
-    fn wait(&mut self, now: Tenths, name: &str) -> Option<Tenths> {
+    fn wait(&mut self, now: Ticks, name: &str) -> Option<Ticks> {
         let each = 10_000.0 / self.rules.admit.max(1e-3);
         if let Some(&place) = self.places.get(name) {
             if now + 500 >= place {
@@ -97,8 +97,8 @@
         if self.places.len() >= self.rules.most_fronts {
             self.places.clear();
         }
-        self.places.insert(name.into(), place as Tenths);
-        Some(place as Tenths - now)
+        self.places.insert(name.into(), place as Ticks);
+        Some(place as Ticks - now)
     }
 
     /// Where there were too few canaries when it was published, those that come first are.
@@ -172,7 +172,7 @@
         }
     }
 
-    pub fn heard(&mut self, now: Tenths, conn: Conn, message: ToService, out: &mut Vec<Do>) {
+    pub fn heard(&mut self, now: Ticks, conn: Conn, message: ToService, out: &mut Vec<Do>) {
         if let ToService::Hello { front, station, runs } = message {
             return self.hello(now, conn, &front, &station, runs, out);
         }
@@ -264,7 +264,7 @@
     }
 
     /// A connection has ended.
-    pub fn gone(&mut self, now: Tenths, conn: Conn, out: &mut Vec<Do>) {
+    pub fn gone(&mut self, now: Ticks, conn: Conn, out: &mut Vec<Do>) {
         if let Some(at) = self.by_conn.remove(&conn) {
             // What it runs is what it said last, until it says otherwise.
             self.fronts[at].conn = None;
--- a/crates/versions/src/service/types.rs
+++ b/crates/versions/src/service/types.rs
@@ -7,18 +7,18 @@
 
 use super::{Conn, Harm, RolloutMode, SavedTrials, Stage};
 use crate::message::ToFront;
-use crate::{Id, Reason, Tenths};
+use crate::{Id, Reason, Ticks};
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rules {
     /// Fronts let in a second when many come at once.
     pub admit: f64,
     /// Something is said to each front at least this often.
-    pub alive: Tenths,
+    pub alive: Ticks,
     /// A front that was offered a version has to answer in this time.
-    pub answer_within: Tenths,
+    pub answer_within: Ticks,
     /// How long a wave that has answered is watched before the next.
-    pub soak: Tenths,
+    pub soak: Ticks,
     pub canaries: usize,
     /// Shares of all fronts that the waves after the canaries bring it to; the last is 1.
     pub shares: Vec<f64>,
@@ -33,7 +33,7 @@
     pub history: usize,
     /// A service that starts on what it finds in its store offers nothing for so long to fronts that run nothing: the
     /// store may be an older copy, and whoever ran what came after it has to be heard first.
-    pub listen: Tenths,
+    pub listen: Ticks,
     pub rollout: RolloutMode,
 }
 
@@ -72,7 +72,7 @@
         base: Option<u64>,
         rollout: Option<Saved>,
     },
-    Wake(Tenths),
+    Wake(Ticks),
     Tell(Line),
     /// What survives a restart where rollouts are judged by evidence; beside the state, in a record of its own.
     StoreTrials(SavedTrials),
@@ -140,7 +140,7 @@
     pub id: Id,
     pub content: Arc<[u8]>,
     pub note: Box<str>,
-    pub at: Tenths,
+    pub at: Ticks,
 }
 
 /// What of a publication survives a restart.
@@ -213,7 +213,7 @@
     pub front: &'a str,
     pub station: &'a str,
     pub connected: bool,
-    pub heard: Tenths,
+    pub heard: Ticks,
     pub runs: Option<Id>,
     pub stored: bool,
     pub goal: Option<Id>,
--- a/crates/versions/src/service/waves.rs
+++ b/crates/versions/src/service/waves.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-use super::{Account, Do, Line, NotPublished, Rollout, Service, Stop, Tally, Tenths, Version, rank};
+use super::{Account, Do, Line, NotPublished, Rollout, Service, Stop, Tally, Ticks, Version, rank};
 use crate::message::ToFront;
 use crate::{Id, MOST_CONTENT, Reason};
 
@@ -31,7 +31,7 @@
     /// A new version. `expects`: the last number that whoever publishes has seen.
     pub fn publish(
         &mut self,
-        now: Tenths,
+        now: Ticks,
         content: Arc<[u8]>,
         note: &str,
         expects: u64,
@@ -86,7 +86,7 @@
     }
 
     /// Back to an older content, as a new number: it goes to all at once that it may, which is who runs the bad one.
-    pub fn roll_back(&mut self, now: Tenths, number: u64, out: &mut Vec<Do>) -> Result<Id, NotPublished> {
+    pub fn roll_back(&mut self, now: Ticks, number: u64, out: &mut Vec<Do>) -> Result<Id, NotPublished> {
         let content = self.versions.get(&number).ok_or(NotPublished::NoSuchVersion)?.content.clone();
         if self.trials.is_some() {
             return self.roll_back_trials(now, number, content, out);
@@ -160,7 +160,7 @@
         ring
     }
 
-    fn open_wave(&mut self, now: Tenths, out: &mut Vec<Do>) {
+    fn open_wave(&mut self, now: Ticks, out: &mut Vec<Do>) {
         let Some(r) = &self.rollout else { return };
         let fronts = self.of_wave(r);
         let (id, wave, of) = (r.id, r.wave, self.rules.shares.len());
@@ -193,7 +193,7 @@
         }
     }
 
-    pub(super) fn offer(&mut self, now: Tenths, at: usize, out: &mut Vec<Do>) {
+    pub(super) fn offer(&mut self, now: Ticks, at: usize, out: &mut Vec<Do>) {
         if self.trials.is_some() {
             return self.offer_trial(now, at, out);
         }
@@ -248,7 +248,7 @@
     }
 
     /// Whether the publication goes on, or stops.
-    pub(super) fn look(&mut self, now: Tenths, out: &mut Vec<Do>) {
+    pub(super) fn look(&mut self, now: Ticks, out: &mut Vec<Do>) {
         while let Some(&(by, at, id)) = self.awaited.front() {
             let front = &self.fronts[at];
             let waits = front.offered.is_some_and(|o| o.0 == id)
--- a/crates/versions/src/trial/batch.rs
+++ b/crates/versions/src/trial/batch.rs
@@ -8,7 +8,7 @@
 use super::{ChangeState, Harm, MOST_BATCH, Stage, Step, ThinTraffic, Trials};
 use crate::evidence::TestSettings;
 use crate::service::Line;
-use crate::{Tenths, merge};
+use crate::{Ticks, merge};
 
 #[derive(Clone, Debug)]
 pub(super) struct Batch {
@@ -86,7 +86,7 @@
     }
 
     /// Whatever can begin begins.
-    pub(super) fn advance(&mut self, now: Tenths) {
+    pub(super) fn advance(&mut self, now: Ticks) {
         if self.wide.is_none() && self.canary.as_ref().is_some_and(|c| c.passed) {
             self.open_wide(now);
         }
@@ -97,7 +97,7 @@
 
     // ---- the canary experiment
 
-    fn open_canary(&mut self, now: Tenths) {
+    fn open_canary(&mut self, now: Ticks) {
         let base = self.wide.as_ref().map(|w| w.content).or(self.proven);
         let seed = self.lineage + 1;
         let pool = self.pool(now, base, seed);
@@ -159,14 +159,14 @@
     }
 
     /// Until when fronts may still become known by their long run.
-    fn waits_until(&mut self, now: Tenths) -> Tenths {
+    fn waits_until(&mut self, now: Ticks) -> Ticks {
         let until = *self.known_by.get_or_insert(now + self.rules.evidence_within);
         self.steps.push(Step::Wake((now + self.rules.report_fast).min(until)));
         until
     }
 
     /// The number that a change was published under can be its content's where no front can run a later one.
-    fn whole(&mut self, now: Tenths, changes: &[u64], content: Arc<[u8]>, lineage: u64) -> Key {
+    fn whole(&mut self, now: Ticks, changes: &[u64], content: Arc<[u8]>, lineage: u64) -> Key {
         let newest = self.contents.newest;
         let same = self.contents.get(newest).is_some_and(|c| c.version.content == content);
         if changes == [newest] && same {
@@ -177,7 +177,7 @@
     }
 
     /// Each change alone on the base, and all of them. What can't be laid on it goes out.
-    fn lay(&mut self, now: Tenths, base: Option<Key>, picked: &[u64]) -> Option<Laid> {
+    fn lay(&mut self, now: Ticks, base: Option<Key>, picked: &[u64]) -> Option<Laid> {
         let base: Arc<[u8]> = base.and_then(|key| self.contents.bytes(key)).unwrap_or_default();
         let (mut changes, mut singles, mut whole) = (Vec::new(), Vec::new(), base.clone());
         for &number in picked {
@@ -204,7 +204,7 @@
         }
     }
 
-    pub(super) fn judge_canary(&mut self, now: Tenths) {
+    pub(super) fn judge_canary(&mut self, now: Ticks) {
         let Some(batch) = &self.canary else { return };
         let single = |p| matches!(p, Purpose::Single(_));
         if let Some((number, harm)) = batch.harmful_single(self.refused) {
@@ -236,7 +236,7 @@
     }
 
     /// All together do harm and none alone: the first that does with those before it is to be found.
-    fn split(&mut self, now: Tenths, harm: Harm) {
+    fn split(&mut self, now: Ticks, harm: Harm) {
         let Some(batch) = &self.canary else { return };
         let (changes, base) = (batch.changes.clone(), batch.base);
         let Some(&last) = changes.last() else { return };
@@ -261,7 +261,7 @@
         self.canary = Some(batch);
     }
 
-    fn judge_prefixes(&mut self, now: Tenths) {
+    fn judge_prefixes(&mut self, now: Ticks) {
         let Some(batch) = &self.canary else { return };
         let (lost, changes) = (batch.experiment.lost(), &batch.changes);
         for arm in &batch.experiment.arms {
@@ -281,7 +281,7 @@
     }
 
     /// Where the time for evidence is over: goes on unproven, if the setting says so.
-    fn thin(&mut self, now: Tenths) {
+    fn thin(&mut self, now: Ticks) {
         let Some(batch) = &mut self.canary else { return };
         if now < batch.experiment.since + self.rules.evidence_within || batch.passed {
             return;
--- a/crates/versions/src/trial/changes.rs
+++ b/crates/versions/src/trial/changes.rs
@@ -4,7 +4,7 @@
 
 use super::{Change, ChangeRow, ChangeState, Harm, Spread, Step, Trials};
 use crate::service::{Line, NotPublished};
-use crate::{Id, MOST_CONTENT, Tenths, delta, merge};
+use crate::{Id, MOST_CONTENT, Ticks, delta, merge};
 
 /// Bytes of contents that wait: a content's is shared by the change that made it and the next.
 const MOST_WAITING: usize = 512 << 20;
@@ -26,7 +26,7 @@
     /// `against`: the content that whoever publishes has changed; none: the head, and what is published replaces it.
     pub(crate) fn publish(
         &mut self,
-        now: Tenths,
+        now: Ticks,
         content: Arc<[u8]>,
         note: &str,
         against: Option<Arc<[u8]>>,
@@ -79,7 +79,7 @@
     }
 
     /// A content that was good before becomes everyone's at once, in place of all that is not settled.
-    pub(crate) fn roll_back(&mut self, now: Tenths, content: Arc<[u8]>, note: &str) -> Option<Id> {
+    pub(crate) fn roll_back(&mut self, now: Ticks, content: Arc<[u8]>, note: &str) -> Option<Id> {
         self.drop_batches();
         for (number, change) in std::mem::take(&mut self.changes) {
             let state = ChangeState::TakenOut(Harm::RolledBack);
@@ -111,7 +111,7 @@
     }
 
     /// From now on everyone is to have this content.
-    pub(super) fn prove(&mut self, now: Tenths, key: u64, lineage: u64, changes: Vec<u64>) {
+    pub(super) fn prove(&mut self, now: Ticks, key: u64, lineage: u64, changes: Vec<u64>) {
         self.proven = Some(key);
         if let Some(content) = self.contents.get(key) {
             let version = content.version.clone();
@@ -136,7 +136,7 @@
     }
 
     /// Whether what is on its way to everyone has come to every connected front.
-    pub(super) fn in_force(&mut self, now: Tenths) {
+    pub(super) fn in_force(&mut self, now: Ticks) {
         let least = self.lineages.first_key_value().map_or(u64::MAX, |l| *l.0);
         let mut at = 0;
         while let Some(spread) = self.spreads.get(at) {
@@ -156,7 +156,7 @@
     }
 
     /// Changes that have been observed for long enough are settled.
-    pub(super) fn expire(&mut self, now: Tenths) {
+    pub(super) fn expire(&mut self, now: Ticks) {
         let over = |c: &Change| c.watched_until.is_some_and(|at| at <= now);
         let done: Vec<u64> = self.changes.iter().filter(|c| over(c.1)).map(|c| *c.0).collect();
         for number in done {
--- a/crates/versions/src/trial/choose.rs
+++ b/crates/versions/src/trial/choose.rs
@@ -6,7 +6,7 @@
 use super::contents::Key;
 use super::members::{Group, Slot};
 use super::{Step, Trials};
-use crate::Tenths;
+use crate::Ticks;
 
 /// Fronts that may be chosen, by station; each is given once.
 pub(super) struct Pool {
@@ -63,7 +63,7 @@
 impl Trials {
     /// Fronts that may take part where `base` is what the changes are laid on: those in the wide experiment where that
     /// is its content, or else those that have no part in anything. Whoever has said how it serves comes first.
-    pub(super) fn pool(&self, now: Tenths, base: Option<Key>, seed: u64) -> Pool {
+    pub(super) fn pool(&self, now: Ticks, base: Option<Key>, seed: u64) -> Pool {
         let wide = self.wide.as_ref().map(|w| w.content).filter(|w| Some(*w) == base);
         let may = |at: &usize| {
             let m = &self.members[*at];
@@ -91,7 +91,7 @@
     }
 
     /// Brings each arm and the control group to their sizes.
-    pub(super) fn fill(&mut self, now: Tenths, batch: &mut Batch) {
+    pub(super) fn fill(&mut self, now: Ticks, batch: &mut Batch) {
         let missing = |has: usize, size: usize| size.saturating_sub(has);
         let experiment = &batch.experiment;
         let replaced = |at: &usize| self.members[*at].seat(experiment.slot).is_some_and(|s| s.replaced);
--- a/crates/versions/src/trial/contents.rs
+++ b/crates/versions/src/trial/contents.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use crate::service::Version;
-use crate::{Id, Tenths};
+use crate::{Id, Ticks};
 
 /// Names a content for as long as it is kept; its number may grow.
 pub(super) type Key = u64;
@@ -87,7 +87,7 @@
     }
 
     /// A content under a number that is later than all that fronts may run.
-    pub fn make(&mut self, now: Tenths, content: Arc<[u8]>, note: &str, lineage: u64) -> Key {
+    pub fn make(&mut self, now: Ticks, content: Arc<[u8]>, note: &str, lineage: u64) -> Key {
         let id = Id::of(self.epoch, self.newest + 1, &content);
         self.put(Version { id, content, note: note.into(), at: now }, lineage)
     }
--- a/crates/versions/src/trial/events.rs
+++ b/crates/versions/src/trial/events.rs
@@ -4,7 +4,7 @@
 use super::members::{Group, Member, SLOTS, Slot};
 use super::{Change, ChangeState, Harm, MOST_REFUSED_EVERYWHERE, Step, Trials};
 use crate::evidence::Counts;
-use crate::{Id, Reason, Tenths};
+use crate::{Id, Reason, Ticks};
 
 impl Trials {
     fn experiment(&mut self, slot: Slot) -> Option<&mut Experiment> {
@@ -16,7 +16,7 @@
         batch.map(|b| &mut b.experiment)
     }
 
-    fn judge(&mut self, now: Tenths, slot: Slot) {
+    fn judge(&mut self, now: Ticks, slot: Slot) {
         match slot {
             Slot::Canary => self.judge_canary(now),
             Slot::Wide => self.judge_wide(now),
@@ -53,7 +53,7 @@
     }
 
     /// A front has come, or come back: it has no part in anything.
-    pub(crate) fn came(&mut self, now: Tenths, at: usize, station: &str, runs: Option<Id>) {
+    pub(crate) fn came(&mut self, now: Ticks, at: usize, station: &str, runs: Option<Id>) {
         if self.members.len() <= at {
             self.members.resize_with(at + 1, Member::default);
         }
@@ -70,7 +70,7 @@
     }
 
     /// Its connection has ended.
-    pub(crate) fn gone(&mut self, now: Tenths, at: usize) {
+    pub(crate) fn gone(&mut self, now: Ticks, at: usize) {
         if self.members.get(at).is_some_and(|m| m.connected) {
             self.away(now, at);
             let runs = self.members[at].runs;
@@ -84,7 +84,7 @@
     }
 
     /// It leaves whatever it has a part in; that counts against the arm that it was in.
-    fn away(&mut self, _now: Tenths, at: usize) {
+    fn away(&mut self, _now: Ticks, at: usize) {
         let there = self.members[at].connected;
         self.members[at].place = None;
         for slot in SLOTS {
@@ -107,7 +107,7 @@
     }
 
     /// It runs this now.
-    pub(crate) fn confirmed(&mut self, now: Tenths, at: usize, id: Id) {
+    pub(crate) fn confirmed(&mut self, now: Ticks, at: usize, id: Id) {
         if self.members.get(at).is_some_and(|m| m.connected) {
             self.count(at, true, Some(id));
             self.aim(at);
@@ -115,7 +115,7 @@
         }
     }
 
-    pub(crate) fn turned_down(&mut self, now: Tenths, at: usize, id: Id, why: &Reason) {
+    pub(crate) fn turned_down(&mut self, now: Ticks, at: usize, id: Id, why: &Reason) {
         let Some(m) = self.members.get_mut(at) else { return };
         m.refuse(id.hash);
         for slot in SLOTS {
@@ -134,7 +134,7 @@
     }
 
     /// A front can't use what is on its way to everyone.
-    fn refused_everywhere(&mut self, now: Tenths, id: Id, why: &Reason) {
+    fn refused_everywhere(&mut self, now: Ticks, id: Id, why: &Reason) {
         let proven = self.proven.and_then(|key| self.contents.id(key));
         if proven.is_none_or(|p| p.hash != id.hash) {
             return;
@@ -155,7 +155,7 @@
     /// What it answered, in all, since its process started.
     pub(crate) fn report(
         &mut self,
-        now: Tenths,
+        now: Ticks,
         at: usize,
         running: Option<Id>,
         counts: Counts,
@@ -189,7 +189,7 @@
         }
     }
 
-    fn look(&mut self, now: Tenths, slot: Slot) {
+    fn look(&mut self, now: Ticks, slot: Slot) {
         let batch = match slot {
             Slot::Canary => self.canary.as_mut(),
             Slot::Wide => self.wide.as_mut(),
@@ -202,11 +202,11 @@
     }
 
     /// A little longer than the time between two reports: whoever has not reported by then is not waited for.
-    fn patience(&self) -> Tenths {
+    fn patience(&self) -> Ticks {
         self.rules.report_fast + self.rules.report_fast / 5
     }
 
-    pub(crate) fn due(&mut self, now: Tenths) {
+    pub(crate) fn due(&mut self, now: Ticks) {
         self.expire(now);
         self.in_force(now);
         self.advance(now);
@@ -232,7 +232,7 @@
     }
 
     /// Brings in others for fronts that are away.
-    fn tend(&mut self, now: Tenths) {
+    fn tend(&mut self, now: Ticks) {
         for slot in [Slot::Canary, Slot::Wide] {
             let batch = if slot == Slot::Canary { self.canary.take() } else { self.wide.take() };
             let Some(mut batch) = batch else { continue };
@@ -249,7 +249,7 @@
     }
 
     /// A canary that has not taken what it was given in time is not waited for: another takes part as well.
-    fn replace_slow(&mut self, now: Tenths) {
+    fn replace_slow(&mut self, now: Ticks) {
         let Some(batch) = &mut self.canary else { return };
         for arm in &mut batch.experiment.arms {
             let hash = self.contents.id(arm.content).map(|id| id.hash);
--- a/crates/versions/src/trial/experiment.rs
+++ b/crates/versions/src/trial/experiment.rs
@@ -1,7 +1,7 @@
 //! An experiment under way: arms against one control group, and what came of each.
 
 use crate::evidence::{Comparison, FrontKey, FrontSample, TestSettings, Verdict};
-use crate::{Reason, Tenths};
+use crate::{Reason, Ticks};
 
 use super::Harm;
 use super::contents::Key;
@@ -105,15 +105,15 @@
     pub control_hash: Option<[u8; 32]>,
     /// Members that have reported since the last look.
     pub fresh: usize,
-    pub looked: Tenths,
-    pub since: Tenths,
+    pub looked: Ticks,
+    pub since: Ticks,
     /// Connected fronts when it began, and how many have gone that are in no arm of it.
     pub others: usize,
     pub others_gone: usize,
 }
 
 impl Experiment {
-    pub fn new(slot: Slot, now: Tenths, control_hash: Option<[u8; 32]>) -> Experiment {
+    pub fn new(slot: Slot, now: Ticks, control_hash: Option<[u8; 32]>) -> Experiment {
         Experiment {
             slot,
             arms: Vec::new(),
@@ -138,7 +138,7 @@
     }
 
     /// Looks at what its members reported since the last time.
-    pub fn look(&mut self, now: Tenths, members: &mut [Member]) {
+    pub fn look(&mut self, now: Ticks, members: &mut [Member]) {
         let slot = self.slot;
         let mut take = |fronts: &[usize]| -> Vec<(FrontKey, FrontSample)> {
             let seats = fronts.iter().filter_map(|&at| {
--- a/crates/versions/src/trial/members.rs
+++ b/crates/versions/src/trial/members.rs
@@ -1,7 +1,7 @@
 //! Fronts as trials see them: what each runs, what it is to have, and what it answers.
 
 use crate::evidence::Counts;
-use crate::{Id, Tenths};
+use crate::{Id, Ticks};
 
 use super::contents::Key;
 
@@ -30,7 +30,7 @@
     /// Since the last look; none: it has not reported.
     pub sample: Option<Counts>,
     /// Since when it has its seat.
-    pub since: Tenths,
+    pub since: Ticks,
     /// It was not there in time and another has taken part in its place; it is waited for no more.
     pub replaced: bool,
 }
@@ -40,7 +40,7 @@
     running: Option<Id>,
     counts: Counts,
     sequence: u64,
-    at: Tenths,
+    at: Ticks,
 }
 
 #[derive(Clone, Debug, Default)]
@@ -61,14 +61,14 @@
     pub fast: bool,
     last: Option<Report>,
     /// When its counts contradicted themselves last.
-    contradicts: Option<Tenths>,
+    contradicts: Option<Ticks>,
     /// Its accesses on what was proven, in this span and the one before.
     spans: [Counts; 2],
-    span_since: Tenths,
+    span_since: Ticks,
 }
 
 /// A baseline reaches back one to two of these: long against a trial, short against a day.
-const SPAN: Tenths = 600_000;
+const SPAN: Ticks = 600_000;
 /// Accesses a second that no front can have.
 const MOST_A_SECOND: u64 = 1_000_000;
 /// Some seconds of a front with ordinary traffic.
@@ -102,11 +102,11 @@
     }
 
     /// Whether its counts have not contradicted themselves lately.
-    pub fn believed(&self, now: Tenths) -> bool {
+    pub fn believed(&self, now: Ticks) -> bool {
         self.contradicts.is_none_or(|at| now >= at + SPAN)
     }
 
-    pub fn sit(&mut self, slot: Slot, group: Group, now: Tenths) {
+    pub fn sit(&mut self, slot: Slot, group: Group, now: Ticks) {
         let baseline = self.baseline();
         self.seats[slot as usize] = Some(Seat { group, baseline, sample: None, since: now, replaced: false });
     }
@@ -128,7 +128,7 @@
     /// What it answered between the last report and this, with what it ran throughout; none where that can't be told.
     pub fn report(
         &mut self,
-        now: Tenths,
+        now: Ticks,
         running: Option<Id>,
         counts: Counts,
         sequence: u64,
@@ -157,7 +157,7 @@
     }
 
     /// Accesses on what is everyone's count for its long run.
-    pub fn ordinary(&mut self, now: Tenths, counts: Counts) {
+    pub fn ordinary(&mut self, now: Ticks, counts: Counts) {
         if now >= self.span_since + SPAN {
             self.spans = [Counts::default(), self.spans[0]];
             self.span_since = now;
--- a/crates/versions/src/trial/mod.rs
+++ b/crates/versions/src/trial/mod.rs
@@ -33,7 +33,7 @@
 
 use crate::delta::Delta;
 use crate::service::{Line, Version};
-use crate::{Id, Tenths};
+use crate::{Id, Ticks};
 use batch::Batch;
 use contents::{Contents, Key};
 use members::Member;
@@ -48,9 +48,9 @@
     /// Its goal may be another than it was.
     Offer(usize),
     /// It is to report this often.
-    Pace(usize, Tenths),
+    Pace(usize, Ticks),
     Tell(Line),
-    Wake(Tenths),
+    Wake(Ticks),
 }
 
 #[derive(Clone, Debug)]
@@ -68,7 +68,7 @@
     /// The head before it.
     previous: Option<Key>,
     /// Observed until then, once it is in force.
-    watched_until: Option<Tenths>,
+    watched_until: Option<Ticks>,
 }
 
 /// A proven batch that not all connected fronts have confirmed yet.
@@ -77,7 +77,7 @@
     lineage: u64,
     changes: Vec<u64>,
     /// Not told before: found in the store at a start, when nobody was connected yet.
-    not_before: Tenths,
+    not_before: Ticks,
 }
 
 #[derive(Clone, Debug)]
@@ -99,7 +99,7 @@
     canary: Option<Batch>,
     wide: Option<Batch>,
     /// A batch waits until then for fronts to be known by their long run.
-    known_by: Option<Tenths>,
+    known_by: Option<Ticks>,
     spreads: VecDeque<Spread>,
     settled: VecDeque<ChangeRow>,
     members: Vec<Member>,
--- a/crates/versions/src/trial/saved.rs
+++ b/crates/versions/src/trial/saved.rs
@@ -6,7 +6,7 @@
 
 use super::{Change, ChangeState, SavedChange, SavedTrials, Spread, Trials};
 use crate::service::Version;
-use crate::{Tenths, delta};
+use crate::{Ticks, delta};
 
 /// Settled changes that are stored: whoever waits for one asks again within minutes.
 const MOST_SAVED: usize = 100;
@@ -36,7 +36,7 @@
     /// Goes on with what a store had. Whoever has said that it runs what is proven has it; all others are to be heard.
     pub(crate) fn restore(
         &mut self,
-        tell_from: Tenths,
+        tell_from: Ticks,
         versions: &BTreeMap<u64, Version>,
         base: Option<u64>,
         saved: Option<SavedTrials>,
--- a/crates/versions/src/trial/take_out.rs
+++ b/crates/versions/src/trial/take_out.rs
@@ -6,7 +6,7 @@
 use super::members::Slot;
 use super::{ChangeRow, ChangeState, Harm, Step, Trials};
 use crate::service::Line;
-use crate::{Id, Tenths, merge};
+use crate::{Id, Ticks, merge};
 
 impl Trials {
     /// Nobody has a seat in that experiment any more.
@@ -58,7 +58,7 @@
     }
 
     /// The wide experiment's batch does harm and nobody can tell which of it: each is tried alone.
-    pub(super) fn apart(&mut self, now: Tenths) {
+    pub(super) fn apart(&mut self, now: Ticks) {
         let Some(batch) = &self.wide else { return };
         for number in batch.changes.clone() {
             if let Some(change) = self.changes.get_mut(&number) {
@@ -80,7 +80,7 @@
         Some(change)
     }
 
-    pub(crate) fn take_out(&mut self, now: Tenths, number: u64, why: Harm) {
+    pub(crate) fn take_out(&mut self, now: Ticks, number: u64, why: Harm) {
         let Some(change) = self.strike(number, why) else { return };
         match change.state {
             ChangeState::Everywhere | ChangeState::InForce | ChangeState::Unproven => {
@@ -100,7 +100,7 @@
     }
 
     /// Everyone has it: what is everyone's from now on is without it, and without what builds on it.
-    fn undo(&mut self, now: Tenths, number: u64, before: &Arc<[u8]>, after: &Arc<[u8]>) {
+    fn undo(&mut self, now: Ticks, number: u64, before: &Arc<[u8]>, after: &Arc<[u8]>) {
         self.abandon(Slot::Wide);
         let mut content = self.proven.and_then(|key| self.contents.bytes(key)).unwrap_or_default();
         let mut gone = vec![(before.clone(), after.clone())];
@@ -127,7 +127,7 @@
     }
 
     /// The head without what was taken out, and without what can't be laid on the rest any more.
-    fn mend_head(&mut self, now: Tenths, out: u64) {
+    fn mend_head(&mut self, now: Ticks, out: u64) {
         let mut content = self.proven.and_then(|key| self.contents.bytes(key)).unwrap_or_default();
         let pending: Vec<u64> =
             self.changes.iter().filter(|c| !everyones(&c.1.state)).map(|c| *c.0).collect();
--- a/crates/versions/src/trial/types.rs
+++ b/crates/versions/src/trial/types.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::delta::Delta;
-use crate::{Reason, Tenths};
+use crate::{Reason, Ticks};
 
 /// How a publication comes to everyone.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -33,19 +33,19 @@
     /// Share of all connected fronts that a change may come to before it is proven.
     pub share: f64,
     /// How long a change is observed after it has come to everyone.
-    pub watch: Tenths,
+    pub watch: Ticks,
     /// Without a verdict by then evidence is too thin.
-    pub evidence_within: Tenths,
+    pub evidence_within: Ticks,
     pub thin_traffic: ThinTraffic,
     /// Probability that one comparison stops a change that does no harm.
     pub false_stop: f64,
     /// Between reports of fronts on trial, and of all others.
-    pub report_fast: Tenths,
-    pub report_slow: Tenths,
+    pub report_fast: Ticks,
+    pub report_slow: Ticks,
     /// Changes that wait; one more is not published.
     pub most_queued: usize,
     /// A front on trial that has gone, or has not answered, is missing after so long.
-    pub gone_within: Tenths,
+    pub gone_within: Ticks,
 }
 
 impl Default for TrialRules {
--- a/crates/versions/src/trial/wide.rs
+++ b/crates/versions/src/trial/wide.rs
@@ -4,12 +4,12 @@
 use super::experiment::{Arm, Experiment, Purpose};
 use super::members::{Group, Slot};
 use super::{ChangeState, Stage, ThinTraffic, Trials};
-use crate::Tenths;
+use crate::Ticks;
 use crate::evidence::Comparison;
 use crate::service::Line;
 
 impl Trials {
-    pub(super) fn open_wide(&mut self, now: Tenths) {
+    pub(super) fn open_wide(&mut self, now: Ticks) {
         let Some(mut batch) = self.canary.take() else { return };
         let connected = self.members.iter().filter(|m| m.connected).count();
         let tried: Vec<usize> = batch.experiment.arms.iter().flat_map(|a| a.fronts.iter().copied()).collect();
@@ -43,7 +43,7 @@
         self.advance(now);
     }
 
-    pub(super) fn judge_wide(&mut self, now: Tenths) {
+    pub(super) fn judge_wide(&mut self, now: Ticks) {
         let Some(batch) = &self.wide else { return };
         if let Some((_, harm)) = batch.purpose_harm(self.refused, |_| true) {
             return match batch.changes[..] {
@@ -76,7 +76,7 @@
     }
 
     /// It can't be told: perhaps by another control group, and by what its fronts do from here on.
-    fn renew_wide(&mut self, now: Tenths) {
+    fn renew_wide(&mut self, now: Ticks) {
         let Some(mut batch) = self.wide.take() else { return };
         for at in std::mem::take(&mut batch.experiment.control) {
             self.members[at].seats[Slot::Wide as usize] = None;
--- a/src/control/fills.rs
+++ b/src/control/fills.rs
@@ -10,8 +10,8 @@
 
     /// The design's estimate for this part: whether the zone's caches most likely lack it (not seen here for
     /// as long as copies are likely kept unused: a guess), its rank, and whether to renew it behind.
-    pub(super) fn remember(&mut self, now: Tenths, a: &Access) -> (bool, u8, bool) {
-        let Offering { fresh, uncacheable, .. } = self.classes[a.offering].of;
+    pub(super) fn remember(&mut self, now: Ticks, a: &Access) -> (bool, u8, bool) {
+        let Offering { fresh_time: fresh, uncacheable, .. } = self.classes[a.offering].of;
         if uncacheable {
             return (false, 0, false);
         }
@@ -19,7 +19,7 @@
         let key = (a.object, a.part);
         if let Some(fill) = self.fills.get_mut(&key) {
             let left = (fill.at + fresh).saturating_sub(now);
-            if fill.at < purged || (left == 0 && self.notes != Notes::All) {
+            if fill.at < purged || (left == 0 && self.notes != StatusReporting::All) {
                 fill.at = now;
             }
             let seen = std::mem::replace(&mut fill.seen, now);
@@ -33,14 +33,14 @@
 
     /// Known from before the start, or to others: when a part's copy was made, and asked for last. What this
     /// front has seen since its start stays; the first answer corrects what is wrong.
-    pub fn recall(&mut self, now: Tenths, part: (u64, u32), made: Tenths, seen: Tenths) {
+    pub fn restore_fill(&mut self, now: Ticks, part: (u64, u32), made: Ticks, seen: Ticks) {
         if made <= now && self.fills.get(&part).is_none() {
             self.fills.shed(|count, _| count >= Self::MOST_FILLS);
             self.fills.put(part, Fill { at: made, seen: seen.min(now) });
         }
     }
 
-    pub fn purged(&mut self, now: Tenths, object: Option<u64>, group: u64, ago: Tenths) {
+    pub fn purge_received(&mut self, now: Ticks, object: Option<u64>, group: u64, ago: Ticks) {
         // One up: both times were rounded down, and the bound must never reach behind the purge.
         let at = (now + 1).saturating_sub(ago);
         let key = (object.is_some(), object.unwrap_or(group));
@@ -50,7 +50,7 @@
     }
 
     /// The latest purge that may still leave older copies about; past `purge_done` and a tick they are gone.
-    pub(super) fn purged_at(&self, now: Tenths, a: &Access) -> Option<Tenths> {
+    pub(super) fn purged_at(&self, now: Ticks, a: &Access) -> Option<Ticks> {
         let at = self.purges.get(&(true, a.object)).max(self.purges.get(&(false, a.group))).copied();
         at.filter(|at| now <= at + self.purge_done + 10)
     }
--- a/src/control/list.rs
+++ b/src/control/list.rs
@@ -3,9 +3,15 @@
 use super::*;
 
 impl Front {
-    pub fn listed(&mut self, now: Tenths, members: &[Member], full: bool, out: &mut dyn Outlet) {
+    pub fn member_list_received(
+        &mut self,
+        now: Ticks,
+        members: &[Member],
+        full: bool,
+        out: &mut dyn EffectSink,
+    ) {
         if std::mem::take(&mut self.follow) {
-            out.follow_list();
+            out.request_member_list();
         }
         if full {
             self.peers.iter_mut().for_each(|p| p.gone = true);
@@ -33,10 +39,10 @@
                 self.by_id.insert(m.id.clone(), at);
             }
             let p = &mut self.peers[at];
-            (p.zone, p.cell, p.gone) = (m.zone, m.cell, m.standing != Standing::Listed);
+            (p.zone, p.cell, p.gone) = (m.zone, m.cell, m.status != MemberStatus::Listed);
             p.weight = if self.weights && m.weight > 0.0 { m.weight } else { 1.0 };
-            if m.started > p.started {
-                (p.started, p.bad, p.held_until, p.trial) = (m.started, 0.0, now, 0);
+            if m.started_at > p.started {
+                (p.started, p.bad, p.held_until, p.trial) = (m.started_at, 0.0, now, 0);
                 self.begin(now, at);
             }
         }
@@ -46,8 +52,8 @@
             (of(Role::Cache), of(Role::Parent), of(Role::Origin).first().copied());
     }
 
-    pub fn list_refused(&mut self, now: Tenths, out: &mut dyn Outlet) {
+    pub fn member_list_rejected(&mut self, now: Ticks, out: &mut dyn EffectSink) {
         // After a second or two, so that refused fronts don't return together.
-        out.wake(now + 10_000 + self.rng.u64(0..10_000), u64::MAX);
+        out.set_timer(now + 10_000 + self.rng.u64(0..10_000), u64::MAX);
     }
 }
--- a/src/control/pick.rs
+++ b/src/control/pick.rs
@@ -17,7 +17,7 @@
 
     /// The first cache in the object's order that is well, has room, and if cold stays within its budget.
     /// Where there is none: whether a well one was merely crowded.
-    pub(super) fn pick_cache(&self, now: Tenths, place: usize) -> Result<usize, bool> {
+    pub(super) fn pick_cache(&self, now: Ticks, place: usize) -> Result<usize, bool> {
         let h = &self.held[place];
         let likes =
             self.caches.iter().map(|&c| &self.peers[c]).filter(|p| p.held_until <= now && p.trial == 0);
@@ -34,7 +34,7 @@
             }
             if !self.well(now, c) {
                 // Nobody there: straight to the source, where that may be.
-                return Some(2).filter(|_| p.hush < u32::MAX || !self.may.straight);
+                return Some(2).filter(|_| p.hush < u32::MAX || !self.may.cache_bypass);
             }
             // Hashing with bounded loads: a cache with well over its share of unanswered work is passed over.
             // Covers slow and silent caches, hot objects, uneven hashing; costs second copies. A quarter over
@@ -49,9 +49,9 @@
     /// failed this access, is cold and over budget, or has more out than it answers in time. Then the origin,
     /// within its own limit, so that it outlives the loss of the parents.
     /// Where ways are given: the first of them that is fit and not tried.
-    pub(super) fn pick_source(&self, now: Tenths, place: usize, ways: &Ways) -> Option<Source> {
+    pub(super) fn pick_source(&self, now: Ticks, place: usize, ways: &FillRoutes) -> Option<Source> {
         let h = &self.held[place];
-        if ways.given {
+        if ways.hierarchical {
             let fit = |c: usize| self.well(now, c) && self.cold_room(now, c, h) && self.used(now, c) < 1.0;
             let known = |key: u64| {
                 let mut sources = self.parents.iter().copied().chain(self.origin);
@@ -59,16 +59,16 @@
             };
             return ways.order.iter().find_map(|w| {
                 let c = known(w.key)?;
-                let through = match w.through {
-                    Some(key) if self.may.straight => {
+                let through = match w.via_parent {
+                    Some(key) if self.may.cache_bypass => {
                         Some(known(key).filter(|&t| self.may_repeat_at(now, place, t))?)
                     }
                     _ => None,
                 };
                 // One that a push named in vain, but not where it was the cache that could not be asked.
                 let vain = |s: &Sent| !matches!(s.ended, Some(Outcome::Unreachable | Outcome::Full));
-                let tried = h.sent.iter().any(|s| s.to.1 == c && (w.kept_only || !s.kept) && vain(s));
-                (!tried).then_some((c, w.kept_only, through))
+                let tried = h.sent.iter().any(|s| s.to.1 == c && (w.only_if_cached || !s.kept) && vain(s));
+                (!tried).then_some((c, w.only_if_cached, through))
             });
         }
         let best = self.first(h.access.object, &self.parents, |c| match c {
--- a/src/hash.rs
+++ b/src/hash.rs
@@ -1,4 +1,4 @@
-//! Hashes that every front computes alike, whatever it was built with.
+//! Stable hashes: every front computes the same values, independent of platform and compiler version.
 
 fn mix(mut x: u64) -> u64 {
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -6,11 +6,12 @@
     x ^ (x >> 31)
 }
 
+/// Hashes a string.
 pub fn text(text: &str) -> u64 {
     text.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| mix(h ^ u64::from(b)))
 }
 
-/// A number in (0, 1) for a pair, as good as drawn by chance.
+/// A pseudo-random number in (0, 1), determined by the pair.
 pub fn unit(a: u64, b: u64) -> f64 {
     let x = mix(a ^ b.wrapping_mul(0x9e37_79b9_7f4a_7c15));
     ((x >> 11) as f64 + 0.5) / (1u64 << 53) as f64
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,13 +1,13 @@
 //! doorgrade: decides, for each access that reaches a front, which cache serves it and from where a miss is
-//! filled. Everything that is decided is decided in [`control`]; [`face`] holds the types of its interface.
+//! filled. [`control`] makes every decision; [`interface`] holds the types of its public interface.
 #![forbid(unsafe_code)]
 
 pub mod control;
-pub mod face;
 mod fading;
 pub mod hash;
+pub mod interface;
 mod oldest;
 mod state;
 
 pub use control::Front;
-pub use face::*;
+pub use interface::*;
--- a/src/oldest.rs
+++ b/src/oldest.rs
@@ -5,17 +5,17 @@
 
 use rustc_hash::FxHashMap;
 
-use crate::face::Tenths;
+use crate::interface::Ticks;
 
 pub struct OldestFirst<K, V> {
     map: FxHashMap<K, V>,
     /// Every key once, with its entry's time when it was queued.
-    order: VecDeque<(Tenths, K)>,
-    time: fn(&V) -> Tenths,
+    order: VecDeque<(Ticks, K)>,
+    time: fn(&V) -> Ticks,
 }
 
 impl<K: Copy + Eq + Hash, V> OldestFirst<K, V> {
-    pub fn by(time: fn(&V) -> Tenths) -> Self {
+    pub fn by(time: fn(&V) -> Ticks) -> Self {
         OldestFirst { map: FxHashMap::default(), order: VecDeque::new(), time }
     }
 
--- a/src/state.rs
+++ b/src/state.rs
@@ -3,20 +3,20 @@
 use arrayvec::ArrayVec;
 
 use crate::control::Front;
-use crate::face::*;
 use crate::fading::{Fading, Level};
+use crate::interface::*;
 
 pub const MOST_PUSHES: usize = 8; // kept for one access: a ninth would seldom be in time
 
 /// What an access does next, left behind by each push: it is handed the push's result.
-pub type Next = fn(&mut Front, Tenths, usize, &Ended, &mut dyn Outlet);
+pub type Next = fn(&mut Front, Ticks, usize, &PushResult, &mut dyn EffectSink);
 
 /// A source, whether it is asked only for what it holds, and which parent takes that over.
 pub type Source = (usize, bool, Option<usize>);
 
 pub struct Sent {
     pub to: (usize, usize), // the cache and the source; the cache itself where nothing is to be filled
-    pub at: Tenths,
+    pub at: Ticks,
     pub ended: Option<Outcome>,
     pub overdue: bool,
     pub fill: bool,   // expected to need a fill over the zone's link in
@@ -29,7 +29,7 @@
 pub struct Held {
     pub access: Access,
     pub work: f64,
-    pub soft_at: Tenths,
+    pub soft_at: Ticks,
     pub keen: f64, // how much of a limit it may use: more, the more benefit it brings for its work
     pub draw: f64, // which part of the accesses it is of, where only a part may do something
     pub lacks: bool,
@@ -43,8 +43,8 @@
 }
 
 pub struct Fill {
-    pub at: Tenths,
-    pub seen: Tenths,
+    pub at: Ticks,
+    pub seen: Ticks,
 }
 
 pub struct Class {
@@ -71,13 +71,13 @@
     pub cell: u64,
     pub weight: f64,
     pub gone: bool,
-    pub started: Option<Tenths>,
+    pub started: Option<Ticks>,
     pub bad: f64, // share of the pushes naming it that went wrong or grew overdue, lately
-    pub held_until: Tenths,
-    pub held_for: Tenths,
+    pub held_until: Ticks,
+    pub held_for: Ticks,
     pub trial: u32, // good answers it still owes after it was left alone
     pub out: Level,
-    pub answered: Tenths,
+    pub answered: Ticks,
     pub hush: u32, // pushes that grew overdue since the last answer; the most where it can't be reached
     pub limit: f64,
     pub carries: Fading,
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -17,16 +17,21 @@
 
 fn shape(r: &mut fastrand::Rng) -> Settings {
     let groups = [Group::All, Group::Zone, Group::Cell];
-    let notes = [Notes::All, Notes::Hits, Notes::Never];
+    let notes = [StatusReporting::All, StatusReporting::Hits, StatusReporting::Never];
     let mut set = settings();
-    set.may = Powers { joins: r.bool(), straight: r.bool(), cancels: r.bool(), second_copies: r.bool() };
-    set.notes = notes[r.usize(..3)];
-    set.crew = [1, 2, 5, 20, 300][r.usize(..5)];
+    set.features = Features {
+        join_fills: r.bool(),
+        cache_bypass: r.bool(),
+        cancel_pushes: r.bool(),
+        hedged_pushes: r.bool(),
+    };
+    set.status_reporting = notes[r.usize(..3)];
+    set.zone_fronts = [1, 2, 5, 20, 300][r.usize(..5)];
     set.max_pushes = r.usize(1..9);
-    set.weights = r.bool();
+    set.comparable_weights = r.bool();
     set.flow_kb_per_s = f64::from(r.u8(..2)) * 5_000.0;
-    set.offerings[2].effect =
-        Effect::Deduplicated { within: groups[r.usize(..3)], window: r.u64(100..20_000) };
+    set.offerings[2].repeat_policy =
+        RepeatPolicy::Deduplicated { within: groups[r.usize(..3)], window: r.u64(100..20_000) };
     if r.u8(..4) == 0 {
         (set.parent_kind, set.origin_kind) = (None, Some(2).filter(|_| r.bool()));
     }
@@ -60,30 +65,41 @@
                 if let Some(&(id, push)) = r.choice(&all) {
                     let ends =
                         [Handled, Handled, Error, Full, Unreachable, Broken, Withdrawn, NeverSent, Miss];
-                    let notes = [Note::Untold, Note::Hit, Note::Filled, Note::SourceLost, Note::NoFillPlace];
+                    let notes = [
+                        CacheStatus::Untold,
+                        CacheStatus::Hit,
+                        CacheStatus::Filled,
+                        CacheStatus::SourceLost,
+                        CacheStatus::NoFillPlace,
+                    ];
                     world.end(&mut front, id, push, ends[r.usize(..9)], notes[r.usize(..5)]);
                 }
             }
             9 => {
                 let m = r.usize(..members.len().max(1));
                 if let Some(m) = members.get_mut(m) {
-                    let standings = [Standing::Listed, Standing::Listed, Standing::Draining, Standing::Gone];
-                    m.standing = standings[r.usize(..4)];
+                    let standings = [
+                        MemberStatus::Listed,
+                        MemberStatus::Listed,
+                        MemberStatus::Draining,
+                        MemberStatus::Gone,
+                    ];
+                    m.status = standings[r.usize(..4)];
                     if r.bool() {
-                        m.started = Some(world.now);
+                        m.started_at = Some(world.now);
                     }
-                    if m.standing != Standing::Listed && r.bool() {
+                    if m.status != MemberStatus::Listed && r.bool() {
                         // Replaced under a new id, cold; at times so late that the old one's place is free.
-                        let gone = Member { standing: Standing::Gone, ..m.clone() };
+                        let gone = Member { status: MemberStatus::Gone, ..m.clone() };
                         world.tell(&mut front, &[gone], false);
                         world.pass(&mut front, [500, 700_000][usize::from(r.u8(..8) == 0)]);
-                        (m.id, m.standing) = (format!("new-{id}").into(), Standing::Listed);
-                        m.started = Some(world.now);
+                        (m.id, m.status) = (format!("new-{id}").into(), MemberStatus::Listed);
+                        m.started_at = Some(world.now);
                     }
                     let (one, all) = (vec![m.clone()], r.u8(..4) == 0);
                     if all {
                         // A whole list that leaves some out.
-                        let listed = |m: &&Member| m.standing == Standing::Listed;
+                        let listed = |m: &&Member| m.status == MemberStatus::Listed;
                         let list: Vec<_> = members.iter().filter(listed).cloned().collect();
                         world.tell(&mut front, &list, true);
                     } else {
@@ -102,7 +118,7 @@
                 let out = |t: &Told| Some((t.access.id, t.pushes.iter().position(struck)?));
                 let all: Vec<_> = world.told.values().filter_map(out).collect();
                 for (id, push) in all {
-                    world.end(&mut front, id, push, how, Note::Untold);
+                    world.end(&mut front, id, push, how, CacheStatus::Untold);
                 }
             }
         }
@@ -127,7 +143,7 @@
     for (marked, pushes) in [(true, 2), (false, 1)] {
         let (mut world, mut front) = World::new(settings(), &zone(3, 2));
         world.access_as(&mut front, 1, 2, 9, marked);
-        world.end(&mut front, 1, 0, Outcome::Broken, Note::Untold);
+        world.end(&mut front, 1, 0, Outcome::Broken, CacheStatus::Untold);
         let told = world.told.get(&1).map_or(1, |t| t.pushes.len());
         assert_eq!(told, pushes, "marked: {marked}");
     }
@@ -142,21 +158,22 @@
         let id = id as u64;
         world.access(&mut front, id, 0, 9);
         assert_eq!((world.last(id).renew, world.last(id).age), (*renew, 80_000), "access {id}");
-        let note = if id == 2 { Note::Filled } else { Note::Hit };
+        let note = if id == 2 { CacheStatus::Filled } else { CacheStatus::Hit };
         world.end(&mut front, id, 0, Outcome::Handled, note);
     }
 }
 
 /// Accesses to one object as (wait before it, age told by its answer, whether it asks for a renewal).
-fn renewals(steps: &[(Tenths, Option<i64>, bool)]) {
-    for notes in [Notes::All, Notes::Never] {
-        let (mut world, mut front) = World::new(Settings { notes, ..settings() }, &zone(3, 2));
+fn renewals(steps: &[(Ticks, Option<i64>, bool)]) {
+    for notes in [StatusReporting::All, StatusReporting::Never] {
+        let (mut world, mut front) =
+            World::new(Settings { status_reporting: notes, ..settings() }, &zone(3, 2));
         for (id, &(wait, made_ago, renew)) in steps.iter().enumerate() {
             world.pass(&mut front, wait);
             world.access(&mut front, id as u64, 0, 9);
             assert_eq!(world.last(id as u64).renew, renew, "{notes:?}: access {id}");
             world.made_ago = made_ago;
-            let note = if notes == Notes::All { Note::Hit } else { Note::Untold };
+            let note = if notes == StatusReporting::All { CacheStatus::Hit } else { CacheStatus::Untold };
             world.end(&mut front, id as u64, 0, Outcome::Handled, note);
         }
     }
@@ -190,31 +207,31 @@
 fn what_is_recalled_counts_at_the_first_access_and_never_over_what_was_seen() {
     let (mut world, mut front) = World::new(settings(), &zone(3, 2));
     // Fresh for 8 s. Asked for, it would be taken for young.
-    front.recall(world.now, (9, 0), world.now - 70_000, world.now - 10);
+    front.restore_fill(world.now, (9, 0), world.now - 70_000, world.now - 10);
     world.access(&mut front, 1, 0, 9);
     assert_eq!((world.last(1).renew, world.last(1).rank), (true, 2));
     world.made_ago = Some(1_000);
-    world.end(&mut front, 1, 0, Outcome::Handled, Note::Hit);
+    world.end(&mut front, 1, 0, Outcome::Handled, CacheStatus::Hit);
     // Word that comes after the front has seen for itself, or from a time to come, changes nothing.
-    front.recall(world.now, (9, 0), world.now - 70_000, world.now);
+    front.restore_fill(world.now, (9, 0), world.now - 70_000, world.now);
     world.access(&mut front, 2, 0, 9);
     assert!(!world.last(2).renew);
-    front.recall(world.now, (8, 0), world.now + 1, world.now);
+    front.restore_fill(world.now, (8, 0), world.now + 1, world.now);
     world.access(&mut front, 3, 0, 8);
     assert_eq!(world.last(3).rank, 1, "a first sight");
     // A flood stays within the table.
-    (100..200_000).for_each(|object| front.recall(world.now, (object, 0), world.now - 1, world.now));
+    (100..200_000).for_each(|object| front.restore_fill(world.now, (object, 0), world.now - 1, world.now));
 }
 
 #[test]
 fn without_notes_the_first_access_after_expiry_counts_as_the_fill() {
-    let set = Settings { notes: Notes::Never, ..settings() };
+    let set = Settings { status_reporting: StatusReporting::Never, ..settings() };
     let (mut world, mut front) = World::new(set, &zone(3, 2));
     for (id, (wait, renew)) in [(0, false), (81_000, true), (10, false)].iter().enumerate() {
         world.pass(&mut front, *wait);
         world.access(&mut front, id as u64, 0, 9);
         assert_eq!(world.last(id as u64).renew, *renew, "access {id}");
-        world.end(&mut front, id as u64, 0, Outcome::Handled, Note::Untold);
+        world.end(&mut front, id as u64, 0, Outcome::Handled, CacheStatus::Untold);
     }
 }
 
@@ -229,11 +246,11 @@
         there.access(&mut other, object, 1, object);
         assert_eq!(here.last(object).source, there.last(object).source);
         assert!(here.last(object).source.starts_with("parent"));
-        here.end(&mut front, object, 0, Outcome::Handled, Note::Filled);
+        here.end(&mut front, object, 0, Outcome::Handled, CacheStatus::Filled);
         here.access(&mut front, 100 + object, 1, object);
         assert_eq!((here.last(object).rank, here.last(100 + object).rank), (1, 2));
-        here.end(&mut front, 100 + object, 0, Outcome::Handled, Note::Hit);
-        there.end(&mut other, object, 0, Outcome::Handled, Note::Filled);
+        here.end(&mut front, 100 + object, 0, Outcome::Handled, CacheStatus::Hit);
+        there.end(&mut other, object, 0, Outcome::Handled, CacheStatus::Filled);
     }
 }
 
@@ -251,8 +268,11 @@
 /// A parent that answers nothing, or refuses: its fills fail while all caches answer hits.
 #[test]
 fn an_ill_parent_is_told_from_its_caches_and_found_again() {
-    for (notes, refuses) in [(Notes::All, false), (Notes::Never, false), (Notes::Never, true)] {
-        let (mut world, mut front) = World::new(Settings { notes, ..settings() }, &zone(3, 2));
+    for (notes, refuses) in
+        [(StatusReporting::All, false), (StatusReporting::Never, false), (StatusReporting::Never, true)]
+    {
+        let (mut world, mut front) =
+            World::new(Settings { status_reporting: notes, ..settings() }, &zone(3, 2));
         let (mut named, mut declined) = ([0, 0, 0], 0);
         for id in 0..3_000 {
             world.access(&mut front, id, 1, id % 97);
@@ -268,12 +288,12 @@
             named[phase as usize] += u32::from(id % 500 > 300 && world.last(id).source == "parent-0");
             while refuses && world.told[&id].finals == 0 && bad(&world.told[&id]) {
                 let push = world.told[&id].pushes.len() - 1;
-                world.end(&mut front, id, push, Outcome::Full, Note::Untold);
+                world.end(&mut front, id, push, Outcome::Full, CacheStatus::Untold);
             }
             declined += u32::from(world.told[&id].declined);
             world.pass(&mut front, 200);
             if world.told.get(&id).is_some_and(|t| t.finals == 0 && !bad(t)) {
-                let note = if miss { Note::Filled } else { Note::Hit };
+                let note = if miss { CacheStatus::Filled } else { CacheStatus::Hit };
                 let push = world.told[&id].pushes.len() - 1;
                 world.end(&mut front, id, push, Outcome::Handled, note);
             }
@@ -334,7 +354,7 @@
             let look = t.pushes[push].cache == t.pushes[push].source;
             asked += u32::from(empty && world.now < back + 20_000 && t.pushes[push].cache == "cache-0");
             let outcome = if empty && look { Outcome::Miss } else { Outcome::Handled };
-            world.end(&mut front, id, push, outcome, Note::Filled);
+            world.end(&mut front, id, push, outcome, CacheStatus::Filled);
         }
     }
     assert!((1..=20).contains(&asked), "a third of 200 accesses, and fills of what they miss: {asked}");
@@ -356,7 +376,7 @@
             };
             if t.pushes[push].ended.is_none() {
                 let outcome = if id % 10 == push as u64 { Outcome::Broken } else { Outcome::Handled };
-                world.end(&mut front, id, push, outcome, Note::Filled);
+                world.end(&mut front, id, push, outcome, CacheStatus::Filled);
             }
         }
         declined += u32::from(world.told.get(&id).is_some_and(|t| t.declined));
@@ -374,11 +394,11 @@
         for id in 0..6_000 {
             if id == 2_000 {
                 let mut back = member("cache-0", 0, 0);
-                back.started = Some(world.now);
+                back.started_at = Some(world.now);
                 let mut list = vec![back];
                 if flood {
                     list.extend(zone(0, 2).into_iter().filter(|m| m.kind != 0));
-                    list[1..].iter_mut().for_each(|m| m.standing = Standing::Gone);
+                    list[1..].iter_mut().for_each(|m| m.status = MemberStatus::Gone);
                 }
                 world.tell(&mut front, &list, false);
             }
@@ -393,7 +413,7 @@
                 }
                 let filled = t.pushes[push].cache != t.pushes[push].source;
                 let outcome = if filled { Outcome::Handled } else { Outcome::Miss };
-                world.end(&mut front, id, push, outcome, Note::Filled);
+                world.end(&mut front, id, push, outcome, CacheStatus::Filled);
             }
         }
         // The three caches share 6,000 accesses in 60 s: a warm one carries 67 in a window of 2 s, and the cold one
@@ -422,7 +442,7 @@
     let looks: Vec<_> = world.told.keys().copied().collect();
     assert!(!looks.is_empty(), "looks first");
     for &id in &looks {
-        world.end(&mut front, id, 0, Outcome::Miss, Note::Untold);
+        world.end(&mut front, id, 0, Outcome::Miss, CacheStatus::Untold);
     }
     let filled = looks.iter().filter(|id| !world.told[id].declined).count();
     assert!(2 * filled < looks.len(), "missed, past the limit: {filled} of {}", looks.len());
@@ -435,7 +455,12 @@
             [(0, 2, true), (0, 0, true), (1, 0, true), (1, 0, false), (0, 0, false)]
         {
             let mut set = settings();
-            set.may = Powers { joins: false, straight, cancels: false, second_copies: false };
+            set.features = Features {
+                join_fills: false,
+                cache_bypass: straight,
+                cancel_pushes: false,
+                hedged_pushes: false,
+            };
             let members: Vec<_> =
                 zone(caches, parents).into_iter().filter(|m| origin || m.kind != 2).collect();
             let (mut world, mut front) = World::new(set, &members);
@@ -453,7 +478,7 @@
 fn a_refused_list_call_is_made_again() {
     let set = Settings { list_on_request: true, ..settings() };
     let (mut world, mut front) = World::new(set, &zone(1, 1));
-    front.list_refused(world.now, &mut world);
+    front.member_list_rejected(world.now, &mut world);
     world.pass(&mut front, 30_000);
     assert_eq!(world.follows, 2);
 }
@@ -473,13 +498,13 @@
             };
             let (p, refuses) = (&t.pushes[push], (1_000..4_000).contains(&id));
             let (outcome, note) = match () {
-                _ if p.cache == p.source => (Outcome::Miss, Note::Untold),
-                _ if p.kept_only => (Outcome::Miss, Note::SourceLacks),
-                _ if refuses => (Outcome::Full, Note::OriginFailed),
-                _ => (Outcome::Handled, Note::FilledByOrigin),
+                _ if p.cache == p.source => (Outcome::Miss, CacheStatus::Untold),
+                _ if p.kept_only => (Outcome::Miss, CacheStatus::SourceLacks),
+                _ if refuses => (Outcome::Full, CacheStatus::OriginFailed),
+                _ => (Outcome::Handled, CacheStatus::FilledByOrigin),
             };
             let settled = (2_000..4_000).contains(&id);
-            asked += u32::from(settled && note == Note::OriginFailed);
+            asked += u32::from(settled && note == CacheStatus::OriginFailed);
             kept += u32::from(settled && p.kept_only);
             late += u32::from(id >= 5_500 && outcome == Outcome::Handled);
             world.end(&mut front, id, push, outcome, note);
@@ -495,13 +520,13 @@
 fn many_fronts_do_not_push_a_cold_parent_over_together() {
     let mut named = 0;
     for seed in 0..60 {
-        let set = Settings { crew: 5, ..settings() };
+        let set = Settings { zone_fronts: 5, ..settings() };
         let (mut world, mut front) = World::seeded(set, &zone(3, 3), seed);
         let mut back = 0;
         for id in 0..260 {
             if id == 200 {
                 let mut cold = member("parent-0", 1, 1);
-                cold.started = Some(world.now);
+                cold.started_at = Some(world.now);
                 back = world.now;
                 world.tell(&mut front, &[cold], false);
             }
@@ -515,7 +540,7 @@
                 let look = p.cache == p.source;
                 named += u32::from(id >= 200 && p.at < back + 20_000 && p.source == "parent-0");
                 let outcome = if look { Outcome::Miss } else { Outcome::Handled };
-                world.end(&mut front, id, push, outcome, Note::Filled);
+                world.end(&mut front, id, push, outcome, CacheStatus::Filled);
             }
         }
     }
@@ -541,7 +566,7 @@
         let all: Vec<_> = world.told.values().filter_map(out).collect();
         for (at, push) in all {
             in_time += u32::from(id >= 1_000 && world.now < world.told[&at].pushes[0].at + 4_000);
-            world.end(&mut front, at, push, Outcome::Handled, Note::Hit);
+            world.end(&mut front, at, push, Outcome::Handled, CacheStatus::Hit);
         }
     }
     assert!(in_time > 900, "{in_time} of 1000 answered within the soft limit");
@@ -560,7 +585,7 @@
             let open = |(n, p): (usize, &Out)| p.ended.is_none() && !(at + 5 * n as u64).is_multiple_of(12);
             let Some(push) = t.pushes.iter().enumerate().position(open) else { continue };
             in_time += u32::from(id >= 1_000 && world.now < t.pushes[0].at + 3_200);
-            let note = if at % 3 == 0 { Note::Filled } else { Note::Hit };
+            let note = if at % 3 == 0 { CacheStatus::Filled } else { CacheStatus::Hit };
             world.end(&mut front, at, push, Outcome::Handled, note);
         }
     }
@@ -572,7 +597,11 @@
 #[test]
 fn fills_that_hang_do_not_hold_room_until_their_time_is_up() {
     let (mut world, mut front) = World::new(
-        Settings { crew: 4, may: Powers { second_copies: false, ..settings().may }, ..settings() },
+        Settings {
+            zone_fronts: 4,
+            features: Features { hedged_pushes: false, ..settings().features },
+            ..settings()
+        },
         &zone(3, 2),
     );
     let mut handled = 0;
@@ -585,10 +614,10 @@
             let p = &t.pushes[push];
             let takes = if at % 40 == 1 { 4_400 } else { 2_000 };
             if p.source == p.cache {
-                world.end(&mut front, at, push, Outcome::Miss, Note::Untold);
+                world.end(&mut front, at, push, Outcome::Miss, CacheStatus::Untold);
             } else if at % 8 > 0 && world.now >= p.at + takes {
                 handled += u32::from(at >= 1_000);
-                world.end(&mut front, at, push, Outcome::Handled, Note::Filled);
+                world.end(&mut front, at, push, Outcome::Handled, CacheStatus::Filled);
             }
         }
     }
@@ -598,7 +627,7 @@
 /// Another front of the crew stops, and its clients come: nothing is late, so next to nothing is declined.
 #[test]
 fn limits_follow_a_surge_that_makes_nothing_late() {
-    let (mut world, mut front) = World::new(Settings { crew: 4, ..settings() }, &zone(3, 2));
+    let (mut world, mut front) = World::new(Settings { zone_fronts: 4, ..settings() }, &zone(3, 2));
     let (mut id, mut declined) = (0, 0);
     for step in 0..900 {
         for _ in 0..if step < 300 { 1 } else { 3 } {
@@ -613,7 +642,7 @@
         };
         let all: Vec<_> = world.told.values().filter_map(due).collect();
         all.into_iter()
-            .for_each(|(at, push)| world.end(&mut front, at, push, Outcome::Handled, Note::Filled));
+            .for_each(|(at, push)| world.end(&mut front, at, push, Outcome::Handled, CacheStatus::Filled));
     }
     assert!(declined < 30, "{declined} of {id} declined");
 }
@@ -633,7 +662,7 @@
             straight += u32::from(!cache);
             wasted += u32::from(cache);
             let outcome = if cache { Outcome::Unreachable } else { Outcome::Handled };
-            world.end(&mut front, id, push, outcome, Note::Filled);
+            world.end(&mut front, id, push, outcome, CacheStatus::Filled);
         }
         world.pass(&mut front, 400);
     }
@@ -648,7 +677,7 @@
         for push in 0..8 {
             if world.told[&id].finals == 0 && world.told[&id].pushes.len() > push {
                 let outcome = if id % 2 == 0 { Outcome::Error } else { Outcome::Handled };
-                world.end(&mut front, id, push, outcome, Note::Untold);
+                world.end(&mut front, id, push, outcome, CacheStatus::Untold);
             }
         }
         let t = &world.told[&id];
@@ -660,7 +689,7 @@
 /// One of twenty fronts, while every fill comes late: its part of the zone's limit goes far under one fill at a time.
 #[test]
 fn a_front_of_many_fills_only_its_part() {
-    let (mut world, mut front) = World::new(Settings { crew: 20, ..settings() }, &zone(3, 2));
+    let (mut world, mut front) = World::new(Settings { zone_fronts: 20, ..settings() }, &zone(3, 2));
     let mut filled = 0;
     for id in 0..600 {
         world.access(&mut front, id, 1, id);
@@ -670,10 +699,10 @@
             let push = t.pushes.len() - 1;
             let look = t.pushes[push].cache == t.pushes[push].source;
             if look {
-                world.end(&mut front, at, push, Outcome::Miss, Note::Untold);
+                world.end(&mut front, at, push, Outcome::Miss, CacheStatus::Untold);
             } else if world.now > t.pushes[push].at + 6_000 {
                 filled += u32::from(id >= 400);
-                world.end(&mut front, at, push, Outcome::Handled, Note::Filled);
+                world.end(&mut front, at, push, Outcome::Handled, CacheStatus::Filled);
             }
         }
     }
@@ -683,8 +712,9 @@
 /// Both parents fall silent while the origin answers: they don't hide each other, and it takes over.
 #[test]
 fn two_silent_parents_do_not_hide_each_other() {
-    for notes in [Notes::All, Notes::Never] {
-        let (mut world, mut front) = World::new(Settings { notes, crew: 5, ..settings() }, &zone(3, 2));
+    for notes in [StatusReporting::All, StatusReporting::Never] {
+        let (mut world, mut front) =
+            World::new(Settings { status_reporting: notes, zone_fronts: 5, ..settings() }, &zone(3, 2));
         let mut in_time = 0;
         for id in 0..1_200 {
             world.access(&mut front, id, 1, id);
@@ -699,7 +729,7 @@
                 let (look, first) = (p.source == p.cache, world.told[&at].pushes[0].at);
                 in_time += u32::from(at >= 600 && !look && world.now < first + 5_000);
                 let outcome = if look { Outcome::Miss } else { Outcome::Handled };
-                world.end(&mut front, at, push, outcome, Note::Filled);
+                world.end(&mut front, at, push, outcome, CacheStatus::Filled);
             }
         }
         assert!(in_time > 400, "{notes:?}: {in_time} of 600 by way of the origin");
