--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -81,7 +81,8 @@
             max_pushes: s.max_pushes.min(MOST_PUSHES),
             weights: s.comparable_weights,
             follow: s.list_on_request,
-            margin: 2 * s.min_input_interval + 10, // one input to hear that a push ran out of time, one to answer
+            // One input to hear that a push ran out of time, one to answer
+            margin: 2 * s.min_input_interval + 10,
             flow: s.flow_kb_per_s / 10_000.0,
             cold: [s.cold, s.parent_cold],
             purge_done: s.purge_propagation,
