--- a/crates/cli/tests/failing_calls.rs
+++ b/crates/cli/tests/failing_calls.rs
@@ -79,6 +79,6 @@
     assert!(shim.seen(Seen::Failed).unwrap() > 20, "the calls have failed");
     assert_eq!(origin.run_twice("orders"), 0);
     assert!(answered > 150, "{answered} of 200 answered");
-    let blamed: Vec<_> = front.log().into_iter().filter(|line| line.contains("left alone")).collect();
+    let blamed: Vec<_> = front.log().into_iter().filter(|line| line.contains(" ejected for ")).collect();
     assert_eq!(blamed, [""; 0]);
 }
--- a/src/control/cold.rs
+++ b/src/control/cold.rs
@@ -1,56 +1,79 @@
-//! What one that has just started may be sent.
+//! Slow start: how much a member that has just started may be sent.
 
 use super::*;
 
 impl Front {
-    pub(super) const RATE_OVER: f64 = 40_000.0; // a few dozen pushes, yet short enough to follow a surge
-    /// Of a cold member's budget this part leaks away steadily, a fifth of a window's may come in a burst.
-    pub(super) const COLD_LEAK: f64 = 0.5;
+    /// The time constant of throughput: long enough for a few dozen pushes, short enough to follow a surge.
+    pub(super) const THROUGHPUT_AVERAGING_TICKS: f64 = 40_000.0;
+    /// The share of a cold member's budget that may be sent at a steady rate.
+    pub(super) const COLD_STEADY_SHARE: f64 = 0.5;
+    /// The share of a cold member's budget for one window that may be sent in a burst.
+    const COLD_BURST_SHARE: f64 = 0.2;
 
-    /// A member starts cold. Its budgets begin half used, or first pushes of all fronts push it over.
-    pub(super) fn begin(&mut self, now: Ticks, c: usize) {
-        let longest = self.classes.iter().map(|c| c.mean).fold(0.0, f64::max);
-        let spent = Fading { sum: self.rng.f64() * longest, at: now };
-        (self.peers[c].limit, self.peers[c].spent) = (self.start_limit, spent);
+    /// Resets a member that has just started. Its cold budget begins at a random level of use, since
+    /// otherwise the first pushes of all fronts together would overload it.
+    pub(super) fn start_cold(&mut self, now: Ticks, member: MemberIndex) {
+        let longest = self.offerings.iter().map(|o| o.mean_transfer_time).fold(0.0, f64::max);
+        let cold_spent = DecayingSum { sum: self.rng.f64() * longest, updated_at: now };
+        (self.members[member].limit, self.members[member].cold_spent) = (self.initial_limit, cold_spent);
     }
 
-    /// Which cold figures go for a member, and its share of its cold time; none if it is warm.
-    pub(super) fn cold_age(&self, now: Ticks, c: usize) -> Option<(usize, f64)> {
-        let p = &self.peers[c];
-        let slot = [Role::Cache, Role::Parent].iter().position(|&r| r == p.role)?;
-        let (since, lasts) = (now.saturating_sub(p.started?), self.cold[slot].duration);
-        (since < lasts).then(|| (slot, since as f64 / lasts as f64))
+    /// For a cold member: the index of its role in `cold_limits` and `warm_throughput`, and how much of its
+    /// time in slow start has passed, from 0 to 1. None if it is warm.
+    pub(super) fn cold_age(&self, now: Ticks, member: MemberIndex) -> Option<(usize, f64)> {
+        let state = &self.members[member];
+        let role_index = [Role::Cache, Role::Parent].iter().position(|&r| r == state.role)?;
+        let (age, duration) = (now.saturating_sub(state.started_at?), self.cold_limits[role_index].duration);
+        (age < duration).then(|| (role_index, age as f64 / duration as f64))
     }
 
-    /// What warm members of a role answer for this front is its part of what such a member carries. Those not
-    /// heard lately tell nothing: a zone that was lost must not forget its usual.
-    pub(super) fn learn_usual(&mut self, now: Ticks, c: usize) {
-        let slot = usize::from(self.peers[c].role == Role::Parent);
-        let set = if slot == 1 { &self.parents } else { &self.caches };
-        let heard = |p: &Peer| p.carries.at + Self::RATE_OVER as Ticks > now && p.held_until <= now;
-        let warm = |&&o: &&usize| heard(&self.peers[o]) && self.cold_age(now, o).is_none();
-        let (rates, weights) = set.iter().filter(warm).fold((0.0, 0.0), |(r, w), &o| {
-            (r + self.peers[o].carries.rate(now, Self::RATE_OVER), w + self.peers[o].weight)
+    /// Updates the mean throughput of the warm members that have the role of this one. Members without a
+    /// recent answer don't count: the loss of a zone must not change what is known of its normal load.
+    pub(super) fn update_warm_throughput(&mut self, now: Ticks, member: MemberIndex) {
+        let role_index = usize::from(self.members[member].role == Role::Parent);
+        let same_role = if role_index == 1 { &self.parents } else { &self.caches };
+        let answering = |m: &MemberState| {
+            m.throughput.updated_at + Self::THROUGHPUT_AVERAGING_TICKS as Ticks > now
+                && m.ejected_until <= now
+        };
+        let warm = |&&m: &&MemberIndex| answering(&self.members[m]) && self.cold_age(now, m).is_none();
+        let (rates, weights) = same_role.iter().filter(warm).fold((0.0, 0.0), |(rates, weights), &m| {
+            (
+                rates + self.members[m].throughput.rate(now, Self::THROUGHPUT_AVERAGING_TICKS),
+                weights + self.members[m].weight,
+            )
         });
-        self.usual[slot] = if weights > 0.0 { rates / weights } else { self.usual[slot] };
+        self.warm_throughput[role_index] =
+            if weights > 0.0 { rates / weights } else { self.warm_throughput[role_index] };
     }
 
-    /// What this front may send a cold member at once, in transfers: `multiple` times its present share of
-    /// what such a one usually carries for it; a tenth of a transfer a zone at least, so that it can begin.
-    pub(super) fn cold_budget(&self, now: Ticks, c: usize) -> Option<(f64, f64, f64)> {
-        let (slot, age) = self.cold_age(now, c)?;
-        let set = &self.cold[slot];
-        let carries = (self.usual[slot] * self.peers[c].weight).max(0.1 / self.crew);
-        let share = set.load_multiple * (set.initial_share + (1.0 - set.initial_share) * age);
-        Some((share, share * carries, set.window as f64))
+    /// For a cold member: the multiple of a warm member's load that it may be sent; its budget, as the mean
+    /// number of concurrent transfers from this front; and the window, in ticks, within which more makes it
+    /// fail.
+    ///
+    /// The budget is at least a tenth of a transfer for the whole zone, so that the member gets its first
+    /// pushes.
+    pub(super) fn cold_budget(&self, now: Ticks, member: MemberIndex) -> Option<(f64, f64, f64)> {
+        let (role_index, age) = self.cold_age(now, member)?;
+        let limits = &self.cold_limits[role_index];
+        let warm_load =
+            (self.warm_throughput[role_index] * self.members[member].weight).max(0.1 / self.zone_fronts);
+        let load_share = limits.load_multiple * (limits.initial_share + (1.0 - limits.initial_share) * age);
+        Some((load_share, load_share * warm_load, limits.window as f64))
     }
 
-    /// Hundreds of fronts that see little each can't know what is usual, and one access more of each is too
-    /// much: so only a part of the accesses may name a cold cache. The budget is for surges.
-    pub(super) fn cold_room(&self, now: Ticks, c: usize, h: &Held) -> bool {
-        let Some((share, budget, window)) = self.cold_budget(now, c) else { return true };
-        let level = self.peers[c].spent.left(now, Self::COLD_LEAK * budget);
-        let fits = level == 0.0 || level + self.classes[h.access.offering].mean <= 0.2 * budget * window;
-        fits && (self.peers[c].role == Role::Parent || h.draw < Self::COLD_LEAK * share)
+    /// Whether an access may be sent to a member under its cold budget; always true for a warm one.
+    ///
+    /// The budget absorbs surges. It is not enough where hundreds of fronts see few accesses each: none of
+    /// them knows the normal load, and one more access from each is too much. So only a sample of the
+    /// accesses may be sent to a cold cache.
+    pub(super) fn within_cold_budget(&self, now: Ticks, member: MemberIndex, state: &AccessState) -> bool {
+        let Some((load_share, budget, window)) = self.cold_budget(now, member) else { return true };
+        let spent = self.members[member].cold_spent.remaining(now, Self::COLD_STEADY_SHARE * budget);
+        let fits = spent == 0.0
+            || spent + self.offerings[state.access.offering].mean_transfer_time
+                <= Self::COLD_BURST_SHARE * budget * window;
+        fits && (self.members[member].role == Role::Parent
+            || state.sample < Self::COLD_STEADY_SHARE * load_share)
     }
 }
--- a/src/control/fills.rs
+++ b/src/control/fills.rs
@@ -1,57 +1,74 @@
-//! Fills and purges remembered: the design's estimate.
+//! The record of fills and purges, from which the age of cached copies is estimated.
 
 use super::*;
 
 impl Front {
-    /// Retrieval threshold, a share of the fresh time: the cap; caches renew only in the last fifth.
-    pub(super) const BETA: f64 = 0.2;
-    /// Some minutes of distinct parts at a front; a part that was dropped is taken for just filled.
-    pub(super) const MOST_FILLS: usize = 1 << 16;
+    /// The share of the fresh time that is left of a copy when caches begin to refresh it. They accept no
+    /// refresh earlier than in the last fifth.
+    pub(super) const REFRESH_THRESHOLD: f64 = 0.2;
+    /// Enough for the parts that a front sees within some minutes. A part whose record was evicted is taken
+    /// for just filled at its next access.
+    pub(super) const MAX_FILL_RECORDS: usize = 1 << 16;
+    /// A copy that this front has seen no access to for this long is taken for evicted: 5 s.
+    const UNUSED_COPY_TICKS: Ticks = 50_000;
+    /// Copies from before a purge are refused for this much longer than `purge_propagation`: 1 ms.
+    const PURGE_MARGIN_TICKS: Ticks = 10;
 
-    /// The design's estimate for this part: whether the zone's caches most likely lack it (not seen here for
-    /// as long as copies are likely kept unused: a guess), its rank, and whether to renew it behind.
-    pub(super) fn remember(&mut self, now: Ticks, a: &Access) -> (bool, u8, bool) {
-        let Offering { fresh_time: fresh, uncacheable, .. } = self.classes[a.offering].of;
+    /// Records an access, and estimates the state of the zone's copies: whether the caches most likely have
+    /// none, the rank to store one at, and whether to refresh it in the background.
+    pub(super) fn record_access(&mut self, now: Ticks, access: &Access) -> (bool, u8, bool) {
+        let Offering { fresh_time, uncacheable, .. } = self.offerings[access.offering].settings;
         if uncacheable {
             return (false, 0, false);
         }
-        let purged = self.purged_at(now, a).unwrap_or(0);
-        let key = (a.object, a.part);
+        let purged_at = self.purged_at(now, access).unwrap_or(0);
+        let key = (access.object, access.part);
         if let Some(fill) = self.fills.get_mut(&key) {
-            let left = (fill.at + fresh).saturating_sub(now);
-            if fill.at < purged || (left == 0 && self.notes != StatusReporting::All) {
-                fill.at = now;
+            let fresh_left = (fill.filled_at + fresh_time).saturating_sub(now);
+            if fill.filled_at < purged_at
+                || (fresh_left == 0 && self.status_reporting != StatusReporting::All)
+            {
+                fill.filled_at = now;
             }
-            let seen = std::mem::replace(&mut fill.seen, now);
-            return (seen + 50_000 < now, 2, fresh > 0 && (left as f64) < Self::BETA * fresh as f64);
+            let last_access_at = std::mem::replace(&mut fill.last_access_at, now);
+            return (
+                last_access_at + Self::UNUSED_COPY_TICKS < now,
+                2,
+                fresh_time > 0 && (fresh_left as f64) < Self::REFRESH_THRESHOLD * fresh_time as f64,
+            );
         }
-        self.fills.shed(|count, _| count >= Self::MOST_FILLS);
-        self.fills.put(key, Fill { at: now, seen: now });
-        // One-off objects must not displace what is wanted again: a first sight is kept at the lowest rank.
+        self.fills.evict_while(|count, _| count >= Self::MAX_FILL_RECORDS);
+        self.fills.insert(key, FillRecord { filled_at: now, last_access_at: now });
+        // At the first access, a copy is stored at the lowest rank: one-off objects must not displace those
+        // that are requested repeatedly.
         (true, 1, false)
     }
 
-    /// Known from before the start, or to others: when a part's copy was made, and asked for last. What this
-    /// front has seen since its start stays; the first answer corrects what is wrong.
-    pub fn restore_fill(&mut self, now: Ticks, part: (u64, u32), made: Ticks, seen: Ticks) {
-        if made <= now && self.fills.get(&part).is_none() {
-            self.fills.shed(|count, _| count >= Self::MOST_FILLS);
-            self.fills.put(part, Fill { at: made, seen: seen.min(now) });
+    /// Takes over a fill record that was made before this front started or by another front: when the copy
+    /// was made and when its part was last accessed. A record that this front made itself since its start
+    /// stays; the first answer corrects what is wrong.
+    pub fn restore_fill(&mut self, now: Ticks, part: (u64, u32), filled_at: Ticks, last_access_at: Ticks) {
+        if filled_at <= now && self.fills.get(&part).is_none() {
+            self.fills.evict_while(|count, _| count >= Self::MAX_FILL_RECORDS);
+            self.fills.insert(part, FillRecord { filled_at, last_access_at: last_access_at.min(now) });
         }
     }
 
+    /// An object, or else a group, was purged this long ago.
     pub fn purge_received(&mut self, now: Ticks, object: Option<u64>, group: u64, ago: Ticks) {
-        // One up: both times were rounded down, and the bound must never reach behind the purge.
-        let at = (now + 1).saturating_sub(ago);
+        // One tick later, since both times were rounded down: no copy from before the purge may be accepted.
+        let purged_at = (now + 1).saturating_sub(ago);
         let key = (object.is_some(), object.unwrap_or(group));
-        let latest = self.purges.get(&key).map_or(at, |&known| at.max(known));
-        self.purges.put(key, latest);
-        self.purges.shed(|_, &at| at + self.purge_done + 10 < now);
+        let latest = self.purges.get(&key).map_or(purged_at, |&known| purged_at.max(known));
+        self.purges.insert(key, latest);
+        self.purges.evict_while(|_, &at| at + self.purge_propagation + Self::PURGE_MARGIN_TICKS < now);
     }
 
-    /// The latest purge that may still leave older copies about; past `purge_done` and a tick they are gone.
-    pub(super) fn purged_at(&self, now: Ticks, a: &Access) -> Option<Ticks> {
-        let at = self.purges.get(&(true, a.object)).max(self.purges.get(&(false, a.group))).copied();
-        at.filter(|at| now <= at + self.purge_done + 10)
+    /// The latest purge of what an access asks for, if caches may still have older copies. They have none
+    /// once the purge has had time to reach them all.
+    pub(super) fn purged_at(&self, now: Ticks, access: &Access) -> Option<Ticks> {
+        let at =
+            self.purges.get(&(true, access.object)).max(self.purges.get(&(false, access.group))).copied();
+        at.filter(|at| now <= at + self.purge_propagation + Self::PURGE_MARGIN_TICKS)
     }
 }
--- a/src/control/health.rs
+++ b/src/control/health.rs
@@ -1,183 +1,250 @@
-//! Who is ill, and how much each may be sent.
+//! The health of members, and the in-flight limit of each.
 
 use super::*;
 
 impl Front {
-    /// Of one push in a member's share of bad ones: the last dozen or two count.
-    pub(super) const MARK: f64 = 1.0 / 16.0;
-    /// How long a member is left alone at first (some round trips, a reconnect), and at the most.
-    pub(super) const HOLDS: [Ticks; 2] = [2_500, 10_000];
-    /// Limits follow what is answered in time: each answer in time while half is in use raises it by a tenth
-    /// over the crew, each late push lowers it by a tenth. They are this front's part of the zone's, which is
-    /// two at least. A late fill says less of its cache, the more fronts share the link.
-    pub(super) const RAISE: f64 = 0.1;
-    pub(super) const FALL: f64 = 0.9;
-    /// While fewer of the answered pushes are late, limits rise four times as fast.
-    pub(super) const QUICK: f64 = 0.002;
+    /// The weight of one push in a member's failure rate: the last dozen or two count.
+    pub(super) const FAILURE_WEIGHT: f64 = 1.0 / 16.0;
+    /// How long a member is ejected at first (some round trips and a reconnect), and at most.
+    pub(super) const EJECTION_TICKS: [Ticks; 2] = [2_500, 10_000];
+    /// Limits follow what is answered in time: each answer in time while at least half of a limit is in use
+    /// raises it by this, divided by the zone's fronts; each late push multiplies it by
+    /// `LIMIT_DECREASE_FACTOR`. A limit is this front's part of the zone's, which is at least two. A late
+    /// fill lowers the limit of its cache less, the more fronts share the inbound link.
+    pub(super) const LIMIT_INCREASE: f64 = 0.1;
+    pub(super) const LIMIT_DECREASE_FACTOR: f64 = 0.9;
+    /// While a smaller share of the answered pushes is late, limits rise four times as fast.
+    pub(super) const LOW_LATE_RATE: f64 = 0.002;
 
-    pub(super) fn lower(&mut self, c: usize, filled: bool) {
-        let fall = if filled { Self::FALL.powf(1.0 / self.crew.sqrt()) } else { Self::FALL };
-        self.peers[c].limit = (self.peers[c].limit * fall).max(2.0 / self.crew);
+    /// A member is compared with those of its peers that answered within this time: 2 s.
+    const RECENT_ANSWER_TICKS: Ticks = 20_000;
+    /// A member that answers after a longer silence is taken for restarted: 1 s.
+    const SILENCE_TICKS: Ticks = 10_000;
+
+    /// Lowers a member's in-flight limit after a late push; `filled` if it is the cache of a fill.
+    pub(super) fn lower_limit(&mut self, member: MemberIndex, filled: bool) {
+        let factor = if filled {
+            Self::LIMIT_DECREASE_FACTOR.powf(1.0 / self.zone_fronts.sqrt())
+        } else {
+            Self::LIMIT_DECREASE_FACTOR
+        };
+        self.members[member].limit = (self.members[member].limit * factor).max(2.0 / self.zone_fronts);
     }
 
-    pub(super) fn used(&self, now: Ticks, c: usize) -> f64 {
-        self.peers[c].out.mean(now, self.over) / self.peers[c].limit
+    /// The share of a member's in-flight limit that is in use.
+    pub(super) fn limit_usage(&self, now: Ticks, member: MemberIndex) -> f64 {
+        self.members[member].in_flight.mean(now, self.averaging_time) / self.members[member].limit
     }
 
-    pub(super) fn judge(
+    /// Learns from the result of a push: the health and the limits of its members, the age of the copy, the
+    /// transfer time.
+    pub(super) fn record_result(
         &mut self,
         now: Ticks,
-        place: usize,
-        to: (usize, usize),
-        e: &PushResult,
-        out: &mut dyn EffectSink,
+        index: AccessIndex,
+        target: PushTarget,
+        result: &PushResult,
+        effects: &mut dyn EffectSink,
     ) {
-        let (cache, source) = to;
-        let h = &mut self.held[place];
-        let (a, at) = (h.access, h.sent[e.push].at);
-        let late = now + h.sent[0].at > h.soft_at + at;
-        let sent = &mut h.sent[e.push];
-        match e.outcome {
+        let (cache, source) = target;
+        let state = &mut self.accesses[index];
+        let (access, sent_at) = (state.access, state.pushes[result.push].sent_at);
+        // The push itself took longer than the whole soft limit.
+        let late = now + state.pushes[0].sent_at > state.soft_limit_at + sent_at;
+        let push = &mut state.pushes[result.push];
+        match result.outcome {
             Outcome::Handled => {
-                let in_time = now <= h.soft_at;
-                let raise = if self.late < Self::QUICK { 4.0 } else { 1.0 } * Self::RAISE / self.crew;
-                self.lost -= self.lost / 32.0;
-                self.late += (f64::from(u8::from(late)) - self.late) / 32.0;
-                let filled = matches!(e.cache_status, CacheStatus::Filled | CacheStatus::FilledByOrigin);
-                // An answer says how old its copy is, whoever filled it: a restarted front learns it at once.
-                // Clocks differ: what is off by more than the threshold's width, later than now or older than
-                // what was asked for, counts as untold; less moves a renewal by as much.
-                let fresh = self.classes[a.offering].of.fresh_time;
-                let off = (Self::BETA * fresh as f64) as Ticks;
-                let made =
-                    e.origin_sent_at.filter(|&m| m <= now + off && at <= m + fresh + off).map(|m| m.min(now));
-                let known = made.or(filled.then_some(now));
-                if let Some((fill, known)) = self.fills.get_mut(&(a.object, a.part)).zip(known) {
-                    fill.at = known;
+                let in_time = now <= state.soft_limit_at;
+                let increase = if self.late_rate < Self::LOW_LATE_RATE { 4.0 } else { 1.0 }
+                    * Self::LIMIT_INCREASE
+                    / self.zone_fronts;
+                self.lost_rate -= self.lost_rate / 32.0;
+                self.late_rate += (f64::from(u8::from(late)) - self.late_rate) / 32.0;
+                let filled = matches!(result.cache_status, CacheStatus::Filled | CacheStatus::FilledByOrigin);
+                // An answer says how old its copy is, whoever filled it, so a restarted front learns that
+                // from the first one. Clocks differ: a time that is off by more than the refresh threshold,
+                // in the future or older than the push accepted, counts as unknown; a smaller error moves a
+                // refresh by as much.
+                let fresh_time = self.offerings[access.offering].settings.fresh_time;
+                let tolerance = (Self::REFRESH_THRESHOLD * fresh_time as f64) as Ticks;
+                let reported_fill = result
+                    .origin_sent_at
+                    .filter(|&t| t <= now + tolerance && sent_at <= t + fresh_time + tolerance)
+                    .map(|t| t.min(now));
+                let filled_at = reported_fill.or(filled.then_some(now));
+                if let Some((fill, filled_at)) =
+                    self.fills.get_mut(&(access.object, access.part)).zip(filled_at)
+                {
+                    fill.filled_at = filled_at;
                 }
-                let class = &mut self.classes[a.offering];
-                class.patience = (class.patience * if sent.overdue { 1.02 } else { 0.999 }).clamp(0.5, 2.0);
-                if a.kb == 0.0 || self.flow == 0.0 {
-                    class.mean += (e.latency as f64 - class.mean) / 64.0;
+                let offering = &mut self.offerings[access.offering];
+                // Balanced where 1 push in 20 is overdue: the factor then grows as much as it shrinks.
+                offering.overdue_factor =
+                    (offering.overdue_factor * if push.overdue { 1.02 } else { 0.999 }).clamp(0.5, 2.0);
+                if access.kb == 0.0 || self.kb_per_tick == 0.0 {
+                    offering.mean_transfer_time +=
+                        (result.latency as f64 - offering.mean_transfer_time) / 64.0;
                 }
-                if in_time && sent.fill && self.filling.mean(now, self.over) >= 0.5 * self.fill_limit {
-                    self.fill_limit += raise;
+                if in_time
+                    && push.needs_fill
+                    && self.fills_in_flight.mean(now, self.averaging_time) >= 0.5 * self.fill_limit
+                {
+                    self.fill_limit += increase;
                 }
-                let mean = class.mean;
-                let meant = filled || sent.fill && self.notes != StatusReporting::All;
-                for c in hops(to) {
-                    let busy = self.used(now, c) >= 0.5;
-                    let p = &mut self.peers[c];
-                    p.answered = if meant { now } else { p.answered };
-                    p.carries.count(now, Self::RATE_OVER, if c == cache || meant { mean } else { 0.0 });
-                    p.limit += if in_time && busy { raise } else { 0.0 };
+                let mean_transfer_time = offering.mean_transfer_time;
+                let likely_filled =
+                    filled || push.needs_fill && self.status_reporting != StatusReporting::All;
+                for m in members_of(target) {
+                    let busy = self.limit_usage(now, m) >= 0.5;
+                    let member = &mut self.members[m];
+                    member.answered_at = if likely_filled { now } else { member.answered_at };
+                    member.throughput.add(
+                        now,
+                        Self::THROUGHPUT_AVERAGING_TICKS,
+                        if m == cache || likely_filled { mean_transfer_time } else { 0.0 },
+                    );
+                    member.limit += if in_time && busy { increase } else { 0.0 };
                 }
-                self.praise(now, cache);
-                if source != cache && (filled || self.notes != StatusReporting::All) {
-                    self.praise(now, source);
+                self.record_success(now, cache);
+                if source != cache && (filled || self.status_reporting != StatusReporting::All) {
+                    self.record_success(now, source);
                 }
             }
-            Outcome::TimedOut => self.lost += (1.0 - self.lost) / 32.0,
+            Outcome::TimedOut => self.lost_rate += (1.0 - self.lost_rate) / 32.0,
             Outcome::Withdrawn | Outcome::NeverSent => {}
-            // Connections may break everywhere alike; only one that can't be made means a dead member.
-            Outcome::Broken => self.mark(now, cache, 4.0 * Self::MARK, out),
+            // Connections may break at all members alike. Only one that can't be established shows a dead
+            // member.
+            Outcome::Broken => self.record_failure(now, cache, 4.0 * Self::FAILURE_WEIGHT, effects),
             Outcome::Unreachable => {
-                self.peers[cache].hush = u32::MAX;
-                self.mark(now, cache, 0.6, out);
+                self.members[cache].unanswered_pushes = u32::MAX;
+                self.record_failure(now, cache, 0.6, effects);
             }
             Outcome::Error | Outcome::Full | Outcome::Miss => {
-                let origin = source != cache && self.peers[source].role == Role::Origin;
-                match e.cache_status {
-                    // The origin refuses behind all parents alike until asked less: fills fall to a few.
-                    n if n == CacheStatus::OriginFailed || n == CacheStatus::SourceRefused && origin => {
-                        self.fill_limit = (self.fill_limit * Self::FALL).max(4.0 / self.crew);
-                        self.refused_at = now;
+                let source_is_origin = source != cache && self.members[source].role == Role::Origin;
+                match result.cache_status {
+                    // The origin refuses the fills of all parents alike until it gets fewer: the fill limit
+                    // falls.
+                    status
+                        if status == CacheStatus::OriginFailed
+                            || status == CacheStatus::SourceRefused && source_is_origin =>
+                    {
+                        self.fill_limit =
+                            (self.fill_limit * Self::LIMIT_DECREASE_FACTOR).max(4.0 / self.zone_fronts);
+                        self.origin_refused_at = now;
                     }
                     CacheStatus::SourceRefused | CacheStatus::SourceLost if source != cache => {
-                        sent.source_failed = true;
-                        self.mark(now, source, 2.0 * Self::MARK, out);
+                        push.source_failed = true;
+                        self.record_failure(now, source, 2.0 * Self::FAILURE_WEIGHT, effects);
                     }
                     CacheStatus::SourceLacks | CacheStatus::NoFillPlace => {}
-                    // Failed by two caches, the access itself is at fault, and goes no further.
-                    _ if e.outcome == Outcome::Error && h.failed_twice() => {}
-                    // A refusal may be the source's, too, where that isn't told and one was named.
-                    _ if e.outcome == Outcome::Error
-                        || e.outcome == Outcome::Full
+                    // Once two caches have failed it, the access itself is at fault; it is not sent again.
+                    _ if result.outcome == Outcome::Error && state.failed_twice() => {}
+                    // Where caches don't report their status, a refusal may also come from the source.
+                    _ if result.outcome == Outcome::Error
+                        || result.outcome == Outcome::Full
                             && source != cache
-                            && self.notes != StatusReporting::All =>
+                            && self.status_reporting != StatusReporting::All =>
                     {
-                        hops(to).for_each(|c| self.mark(now, c, 2.0 * Self::MARK, out));
+                        members_of(target)
+                            .for_each(|m| self.record_failure(now, m, 2.0 * Self::FAILURE_WEIGHT, effects));
                     }
-                    _ if e.outcome == Outcome::Full => self.lower(cache, false),
+                    _ if result.outcome == Outcome::Full => self.lower_limit(cache, false),
                     _ => {}
                 }
             }
         }
     }
 
-    pub(super) fn well(&self, now: Ticks, c: usize) -> bool {
-        let p = &self.peers[c];
-        p.held_until <= now && (p.trial == 0 || p.out.count == 0.0)
+    /// Whether a member may be sent a push: it is not ejected and, on probation, has none in flight.
+    pub(super) fn is_healthy(&self, now: Ticks, member: MemberIndex) -> bool {
+        let state = &self.members[member];
+        state.ejected_until <= now && (state.probation == 0 || state.in_flight.count == 0.0)
     }
 
-    /// A push naming this member went wrong, or is overdue. Which hop was at fault is seldom told, so every
-    /// one named is marked; the one at fault stands out, and is left alone a while, longer each time, then
-    /// tried with one push at a time. Covers silent, slow, failing and lost members; a fast failer attracts
-    /// nothing, and a recovered one is found again. May hurt where over half of a role is ill.
-    pub(super) fn mark(&mut self, now: Ticks, c: usize, weight: f64, out: &mut dyn EffectSink) {
-        self.peers[c].bad += (1.0 - self.peers[c].bad) * weight;
-        let p = &self.peers[c];
-        if p.held_until > now {
+    /// Records that a push naming a member failed or is overdue, and ejects the member if it is an outlier.
+    ///
+    /// Which of a push's members was at fault is seldom known, so the failure counts for each, and the one at
+    /// fault stands out among its peers. It is ejected for a time, longer each time, and is then on
+    /// probation with one push at a time. This covers silent, slow, failing and lost members: one that fails
+    /// fast attracts no load, and one that recovers is used again. It may do harm where more than half of a
+    /// role is unhealthy.
+    pub(super) fn record_failure(
+        &mut self,
+        now: Ticks,
+        member: MemberIndex,
+        weight: f64,
+        effects: &mut dyn EffectSink,
+    ) {
+        self.members[member].failure_rate += (1.0 - self.members[member].failure_rate) * weight;
+        let state = &self.members[member];
+        if state.ejected_until > now {
             return;
         }
-        // Chance alone does not get there; marks stay on a told source though it was a hit. Three prove one.
-        let told = p.role != Role::Cache && self.notes == StatusReporting::All;
-        if self.stands_out(now, c) > if told { 0.4 } else { 0.16 } {
-            let trial = if p.role == Role::Cache { 1 } else { 3 };
-            let p = &mut self.peers[c];
-            out.log(format_args!("{:?} {} left alone for {} ms", p.role, p.id, p.held_for / 10));
-            // Longer where this front asks rarely: a hold must spare some pushes to be worth a trial.
-            (p.held_until, p.trial) = (now + (p.held_for as f64 * self.crew.sqrt()) as Ticks, trial);
-            p.held_for = (p.held_for * 2).min(Self::HOLDS[1]);
+        // Chance alone doesn't reach the threshold. Where caches report their status it is higher for parents
+        // and the origin: an overdue push counts against its source, but only a fill counts as a success of
+        // the source, not a hit. It also takes three successes, not one, to prove a source healthy.
+        let only_fills_count = state.role != Role::Cache && self.status_reporting == StatusReporting::All;
+        if self.failure_rate_excess(now, member) > if only_fills_count { 0.4 } else { 0.16 } {
+            let probation = if state.role == Role::Cache { 1 } else { 3 };
+            let state = &mut self.members[member];
+            effects.log(format_args!(
+                "{:?} {} ejected for {} ms",
+                state.role,
+                state.id,
+                state.next_ejection / 10
+            ));
+            // Longer where many fronts share the load and so this one sends few pushes: an ejection must
+            // avert some failures to be worth the pushes of its probation.
+            (state.ejected_until, state.probation) =
+                (now + (state.next_ejection as f64 * self.zone_fronts.sqrt()) as Ticks, probation);
+            state.next_ejection = (state.next_ejection * 2).min(Self::EJECTION_TICKS[1]);
         }
     }
 
-    /// By how much a member's share of bad pushes is over twice that of the better half of its likes (caches
-    /// of the zone; parents and origin) that answered lately: a kind, a cell or two parents struck at once
-    /// don't hide each other, while a link or load that is bad for all makes nobody stand out.
-    pub(super) fn stands_out(&self, now: Ticks, c: usize) -> f64 {
-        let cache = self.peers[c].role == Role::Cache;
-        let set = if cache { &self.caches } else { &self.parents };
-        let likes = set.iter().copied().chain(self.origin.filter(|_| !cache)).filter(|&o| o != c);
-        let lately = likes.map(|o| &self.peers[o]).filter(|p| p.carries.at + 20_000 > now);
-        let mut theirs: ArrayVec<f64, 16> = lately.map(|p| p.bad).take(16).collect();
-        theirs.sort_by(f64::total_cmp);
-        let half = theirs.len().div_ceil(2);
-        self.peers[c].bad - 2.0 * (theirs[..half].iter().sum::<f64>() / half.max(1) as f64).max(0.08)
+    /// By how much a member's failure rate exceeds twice the mean of the better half of its peers that
+    /// answered lately. The peers of a cache are the caches of the zone, those of a source the parents and
+    /// the origin.
+    ///
+    /// Only the better half counts, so that members that fail at once (of one kind, one cell, or two parents)
+    /// don't hide each other; but a link or a load that is bad for all makes none of them an outlier.
+    pub(super) fn failure_rate_excess(&self, now: Ticks, member: MemberIndex) -> f64 {
+        let is_cache = self.members[member].role == Role::Cache;
+        let set = if is_cache { &self.caches } else { &self.parents };
+        let peers = set.iter().copied().chain(self.origin.filter(|_| !is_cache)).filter(|&m| m != member);
+        let answering = peers
+            .map(|m| &self.members[m])
+            .filter(|m| m.throughput.updated_at + Self::RECENT_ANSWER_TICKS > now);
+        let mut rates: ArrayVec<f64, 16> = answering.map(|m| m.failure_rate).take(16).collect();
+        rates.sort_by(f64::total_cmp);
+        let half = rates.len().div_ceil(2);
+        self.members[member].failure_rate
+            - 2.0 * (rates[..half].iter().sum::<f64>() / half.max(1) as f64).max(0.08)
     }
 
-    /// Answers again. After a second of silence it is taken for just started, whatever the list says: a zone
-    /// that comes back cold must not be asked for all at once. Costs one that only hung a slow return.
-    pub(super) fn heard(&mut self, now: Ticks, c: usize) {
-        let p = &mut self.peers[c];
-        if p.hush >= 3 && p.answered + 10_000 < now {
-            p.started = p.started.max(Some(now));
-            self.begin(now, c);
+    /// Records an answer of a member. After a silence it is taken for just started, whatever the list says: a
+    /// zone that comes back with empty caches must not get its whole load at once. The cost is a slow start
+    /// for a member that only hung.
+    pub(super) fn record_answer(&mut self, now: Ticks, member: MemberIndex) {
+        let state = &mut self.members[member];
+        if state.unanswered_pushes >= 3 && state.answered_at + Self::SILENCE_TICKS < now {
+            state.started_at = state.started_at.max(Some(now));
+            self.start_cold(now, member);
         }
-        let p = &mut self.peers[c];
-        (p.answered, p.hush) = (now, 0);
+        let state = &mut self.members[member];
+        (state.answered_at, state.unanswered_pushes) = (now, 0);
     }
 
-    pub(super) fn praise(&mut self, now: Ticks, c: usize) {
-        let p = &mut self.peers[c];
-        p.bad *= 1.0 - Self::MARK;
-        if p.trial > 0 && p.held_until <= now {
-            p.trial -= 1;
-            p.bad = if p.trial == 0 { 0.0 } else { p.bad };
+    /// Records a success of a member: on probation, it owes one less.
+    pub(super) fn record_success(&mut self, now: Ticks, member: MemberIndex) {
+        let state = &mut self.members[member];
+        state.failure_rate *= 1.0 - Self::FAILURE_WEIGHT;
+        if state.probation > 0 && state.ejected_until <= now {
+            state.probation -= 1;
+            state.failure_rate = if state.probation == 0 { 0.0 } else { state.failure_rate };
         }
-        if p.bad < 0.02 && p.trial == 0 {
-            p.held_for = Self::HOLDS[0].max(p.held_for - p.held_for / 16);
+        if state.failure_rate < 0.02 && state.probation == 0 {
+            state.next_ejection = Self::EJECTION_TICKS[0].max(state.next_ejection - state.next_ejection / 16);
         }
-        self.learn_usual(now, c);
+        self.update_warm_throughput(now, member);
     }
 }
--- a/src/control/push.rs
+++ b/src/control/push.rs
@@ -1,243 +1,326 @@
-//! A push as it goes out, and what follows on its end.
+//! A push from when it is sent, and what follows when it is overdue or has ended.
 
 use super::*;
 
 impl Front {
-    pub(super) fn push(
+    /// Sends a push of an access. `on_end` continues the access if the push ends without completing it.
+    pub(super) fn send_push(
         &mut self,
         now: Ticks,
-        place: usize,
-        to: (usize, usize),
-        next: Next,
-        out: &mut dyn EffectSink,
+        index: AccessIndex,
+        target: PushTarget,
+        on_end: PushEndHandler,
+        effects: &mut dyn EffectSink,
     ) {
-        let h = &self.held[place];
-        let Held { access: a, lacks, rank, renew, .. } = *h;
-        let kept_only = h.kept || h.held;
-        let class = &self.classes[a.offering];
-        let (work, uncacheable) = (class.mean.max(1.0), class.of.uncacheable);
-        const ALPHA: Ticks = 0; // freshness threshold: the paper's basic case
-        let mut age = class.of.fresh_time.saturating_sub(ALPHA);
-        if let Some(purged) = self.purged_at(now, &a) {
-            // Rule 5: from the first word on, nothing older than the purge; 0 would mean any age.
-            let since = now.saturating_sub(purged).max(1);
-            age = if age == 0 { since } else { age.min(since) };
+        let state = &self.accesses[index];
+        let AccessState { access, likely_miss, rank, refresh, .. } = *state;
+        let only_if_cached = state.avoid_origin || state.route_only_if_cached;
+        let offering = &self.offerings[access.offering];
+        let (transfer_time, uncacheable) =
+            (offering.mean_transfer_time.max(1.0), offering.settings.uncacheable);
+        const FRESHNESS_MARGIN: Ticks = 0; // copies serve up to the end of their fresh time
+        let mut max_age = offering.settings.fresh_time.saturating_sub(FRESHNESS_MARGIN);
+        if let Some(purged_at) = self.purged_at(now, &access) {
+            // Once this front knows of a purge, it accepts nothing older. At least 1, since 0 would mean any
+            // age.
+            let since = now.saturating_sub(purged_at).max(1);
+            max_age = if max_age == 0 { since } else { max_age.min(since) };
         }
         if !uncacheable {
-            // Overdue: four tenths of the soft limit and half as much again as sending should take, stretched
-            // as this offering needs; before the soft limit, so that time is left to do better elsewhere.
-            let soft = class.of.soft_limit as f64;
-            let overdue = class.patience * (0.4 * soft + 1.5 * h.work);
-            let overdue = overdue.min(0.9 * (soft + class.of.transfer_factor * h.work)) as Ticks;
-            out.set_timer(now + overdue, a.id << 4 | h.sent.len() as u64);
-        }
-        let straight = self.peers[to.0].role != Role::Cache;
-        let fill = !uncacheable && (straight || to.0 != to.1 && (h.looked || lacks));
-        self.filling.add(now, self.over, f64::from(u8::from(fill)));
-        for c in hops(to) {
-            let leak = self.cold_budget(now, c).map_or(0.0, |b| Self::COLD_LEAK * b.1);
-            let p = &mut self.peers[c];
-            p.out.add(now, self.over, 1.0);
-            p.spent = Fading { sum: p.spent.left(now, leak) + work, at: now };
-        }
-        let (ended, kept, begin_by, counts) = (None, kept_only, self.begin_by(place), true);
-        let (at, overdue, source_failed) = (now, false, false);
-        let sent = Sent { to, at, ended, overdue, fill, counts, source_failed, kept, next };
-        self.held[place].sent.push(sent);
-        let (cache, source) = (&*self.peers[to.0].id, &*self.peers[to.1].id);
-        let (wait, join) = (a.deadline - self.margin - now, self.may.join_fills && !uncacheable);
-        out.push(&Push {
-            access: a.id,
+            // A push is overdue after four tenths of the soft limit and one and a half times its transfer
+            // time, scaled by what this offering needs; but always before the soft limit, so that time is
+            // left to send the access elsewhere.
+            let soft_limit = offering.settings.soft_limit as f64;
+            let overdue_after = offering.overdue_factor * (0.4 * soft_limit + 1.5 * state.transfer_time);
+            let overdue_after = overdue_after
+                .min(0.9 * (soft_limit + offering.settings.transfer_factor * state.transfer_time))
+                as Ticks;
+            effects.set_timer(now + overdue_after, access.id << 4 | state.pushes.len() as u64);
+        }
+        let bypasses_cache = self.members[target.0].role != Role::Cache;
+        let needs_fill =
+            !uncacheable && (bypasses_cache || target.0 != target.1 && (state.looked_up || likely_miss));
+        self.fills_in_flight.add(now, self.averaging_time, f64::from(u8::from(needs_fill)));
+        for m in members_of(target) {
+            let leak_rate = self.cold_budget(now, m).map_or(0.0, |b| Self::COLD_STEADY_SHARE * b.1);
+            let member = &mut self.members[m];
+            member.in_flight.add(now, self.averaging_time, 1.0);
+            member.cold_spent = DecayingSum {
+                sum: member.cold_spent.remaining(now, leak_rate) + transfer_time,
+                updated_at: now,
+            };
+        }
+        let (outcome, send_deadline, counted) = (None, self.send_deadline(index), true);
+        let (sent_at, overdue, source_failed) = (now, false, false);
+        let push = SentPush {
+            target,
+            sent_at,
+            outcome,
+            overdue,
+            needs_fill,
+            counted,
+            source_failed,
+            only_if_cached,
+            on_end,
+        };
+        self.accesses[index].pushes.push(push);
+        let (cache, source) = (&*self.members[target.0].id, &*self.members[target.1].id);
+        let (timeout, join_fill) =
+            (access.deadline - self.answer_margin - now, self.features.join_fills && !uncacheable);
+        effects.push(&Push {
+            access: access.id,
             cache,
             source,
-            timeout: wait,
-            send_deadline: begin_by,
-            max_age: age,
+            timeout,
+            send_deadline,
+            max_age,
             rank,
-            join_fill: join,
-            refresh: renew,
-            only_if_cached: kept_only,
+            join_fill,
+            refresh,
+            only_if_cached,
         });
     }
 
-    pub fn push_ended(&mut self, now: Ticks, id: AccessId, e: &PushResult, out: &mut dyn EffectSink) {
-        let Some(&place) = self.places.get(&id) else { return };
-        let Some(sent) = self.held[place].sent.get_mut(e.push).filter(|s| s.ended.is_none()) else {
+    /// Takes the result of a push, and sends the next push of its access if one is needed.
+    pub fn push_ended(
+        &mut self,
+        now: Ticks,
+        id: AccessId,
+        result: &PushResult,
+        effects: &mut dyn EffectSink,
+    ) {
+        let Some(&index) = self.index_by_access.get(&id) else { return };
+        let Some(push) = self.accesses[index].pushes.get_mut(result.push).filter(|p| p.outcome.is_none())
+        else {
             return;
         };
-        sent.ended = Some(e.outcome);
-        let Sent { to, next, .. } = *sent;
-        self.uncount(now, place, e.push);
-        if matches!(e.outcome, Outcome::Handled | Outcome::Error | Outcome::Full | Outcome::Miss) {
-            self.heard(now, to.0);
-        }
-        self.judge(now, place, to, e, out);
-        let done = self.held[place].done;
-        if e.access_done && !done {
-            self.close(place, out);
+        push.outcome = Some(result.outcome);
+        let SentPush { target, on_end, .. } = *push;
+        self.uncount_in_flight(now, index, result.push);
+        if matches!(result.outcome, Outcome::Handled | Outcome::Error | Outcome::Full | Outcome::Miss) {
+            self.record_answer(now, target.0);
+        }
+        self.record_result(now, index, target, result, effects);
+        let done = self.accesses[index].done;
+        if result.access_done && !done {
+            self.mark_done(index, effects);
         } else if !done {
-            next(self, now, place, e, out);
+            on_end(self, now, index, result, effects);
         }
-        self.tidy(place);
+        self.remove_if_finished(index);
     }
 
-    /// A push is out no more, or its answer is not to be waited for.
-    pub(super) fn uncount(&mut self, now: Ticks, place: usize, number: usize) {
-        let s = &mut self.held[place].sent[number];
-        if std::mem::take(&mut s.counts) {
-            self.filling.add(now, self.over, -f64::from(u8::from(s.fill)));
-            hops(s.to).for_each(|c| self.peers[c].out.add(now, self.over, -1.0));
+    /// Takes a push out of the in-flight counts: it has ended, or it hangs and puts no load on its members.
+    pub(super) fn uncount_in_flight(&mut self, now: Ticks, index: AccessIndex, number: usize) {
+        let push = &mut self.accesses[index].pushes[number];
+        if std::mem::take(&mut push.counted) {
+            self.fills_in_flight.add(now, self.averaging_time, -f64::from(u8::from(push.needs_fill)));
+            members_of(push.target)
+                .for_each(|m| self.members[m].in_flight.add(now, self.averaging_time, -1.0));
         }
     }
 
-    pub(super) fn after_look(&mut self, now: Ticks, place: usize, e: &PushResult, out: &mut dyn EffectSink) {
-        match e.outcome {
-            Outcome::Miss => self.route(now, place, out),
-            _ => self.after_push(now, place, e, out),
+    /// After a lookup: a miss leads to the next push and costs none of the retry budget.
+    pub(super) fn after_lookup(
+        &mut self,
+        now: Ticks,
+        index: AccessIndex,
+        result: &PushResult,
+        effects: &mut dyn EffectSink,
+    ) {
+        match result.outcome {
+            Outcome::Miss => self.dispatch(now, index, effects),
+            _ => self.after_push(now, index, result, effects),
         }
     }
 
-    pub(super) fn after_push(&mut self, now: Ticks, place: usize, e: &PushResult, out: &mut dyn EffectSink) {
-        if self.held[place].sent.iter().any(|s| s.ended.is_none()) {
+    /// After a push that failed: sends the access again, or ends it if that would be in vain. Does nothing
+    /// while another of its pushes is in flight.
+    pub(super) fn after_push(
+        &mut self,
+        now: Ticks,
+        index: AccessIndex,
+        result: &PushResult,
+        effects: &mut dyn EffectSink,
+    ) {
+        if self.accesses[index].pushes.iter().any(|p| p.outcome.is_none()) {
             return;
         }
-        let cost = if e.outcome.proves_unrun() { 0.25 } else { 1.0 };
-        let h = &self.held[place];
-        let over = match e.cache_status {
-            _ if self.spare_pushes < cost => Some(UnservedReason::NoSparePushes),
+        let cost = if result.outcome.proves_unrun() { 0.25 } else { 1.0 };
+        let state = &self.accesses[index];
+        let reason = match result.cache_status {
+            _ if self.retry_budget < cost => Some(UnservedReason::NoSparePushes),
             CacheStatus::OriginFailed => Some(UnservedReason::OriginFailed),
-            _ if h.kept => Some(UnservedReason::NotHeld),
-            _ if h.failed_twice() => Some(UnservedReason::FailedTwice),
+            _ if state.avoid_origin => Some(UnservedReason::NotHeld),
+            _ if state.failed_twice() => Some(UnservedReason::FailedTwice),
             _ => None,
         };
-        if let Some(why) = over {
-            return self.finish(place, why, out);
+        if let Some(reason) = reason {
+            return self.end_unserved(index, reason, effects);
         }
-        self.spare_pushes -= cost;
-        self.route(now, place, out);
+        self.retry_budget -= cost;
+        self.dispatch(now, index, effects);
     }
 
-    /// A push is out longer than usual: it marks all it names; the access goes past those left alone.
-    pub(super) fn overdue(&mut self, now: Ticks, place: usize, number: usize, out: &mut dyn EffectSink) {
-        let h = &mut self.held[place];
-        let (a, soft_at, twice) = (h.access, h.soft_at, 2 * h.soft_at - h.sent[0].at);
-        if now >= twice {
-            // Few answers are late, and its cache gave others since: a work or connection that hangs is not
-            // the load's doing, and holds no room until its time is up. Not under load: all is late then.
-            if self.late < 0.125 && self.peers[h.sent[number].to.0].carries.at > h.sent[number].at {
-                self.uncount(now, place, number);
+    /// A push is in flight for longer than usual. This counts against all members that it names. If one of
+    /// them is unhealthy, or the push is lost or stuck, the access is sent again.
+    pub(super) fn push_overdue(
+        &mut self,
+        now: Ticks,
+        index: AccessIndex,
+        number: usize,
+        effects: &mut dyn EffectSink,
+    ) {
+        let state = &mut self.accesses[index];
+        // Twice the time from the first push to the end of the soft limit.
+        let (access, soft_limit_at, twice_soft_limit_at) =
+            (state.access, state.soft_limit_at, 2 * state.soft_limit_at - state.pushes[0].sent_at);
+        if now >= twice_soft_limit_at {
+            // Few answers are late, and the cache has given others since. So the load is not the cause: the
+            // request or its connection hangs, and the push need not use up capacity until it times out.
+            // Under overload, where all answers are late, it goes on counting.
+            if self.late_rate < 0.125
+                && self.members[state.pushes[number].target.0].throughput.updated_at
+                    > state.pushes[number].sent_at
+            {
+                self.uncount_in_flight(now, index, number);
             }
             return;
         }
-        let last = h.sent.len() == number + 1;
-        let Sent { to: to @ (cache, source), at, fill, .. } = h.sent[number];
-        // Where an eighth of the pushes vanish though their caches answer others, an overdue one is taken for
-        // lost: it marks nobody and is withdrawn. Where next to no answer is late, one out half of its
-        // soft limit is stuck: it gets a second copy. Neither lowers a limit. Covers answers that never come.
-        let lost = self.lost > 0.125 && self.peers[cache].answered > at;
-        let half = (at + soft_at) / 2;
-        let told = self.notes == StatusReporting::All;
-        let answers = |c: usize| self.peers[c].answered > at || told && c != cache && self.peers[c].bad < 0.3;
-        let stuck = self.late < Self::QUICK && now >= half && hops(to).all(answers);
-        if !std::mem::replace(&mut h.sent[number].overdue, true) && !lost {
-            let silent = u32::from(self.peers[cache].answered < at);
-            self.peers[cache].hush = self.peers[cache].hush.saturating_add(silent);
-            hops(to).for_each(|c| self.mark(now, c, Self::MARK, out));
-        }
-        if now >= soft_at && !lost && !stuck {
-            if fill && !hops(to).any(|c| self.stands_out(now, c) > 0.0) {
-                // Four at least in a zone, to tell when fills are quick again.
-                self.fill_limit = (self.fill_limit * Self::FALL).max(4.0 / self.crew);
+        let is_last = state.pushes.len() == number + 1;
+        let SentPush { target: target @ (cache, source), sent_at, needs_fill, .. } = state.pushes[number];
+        // Where an eighth of the pushes vanish while their caches answer others, an overdue push is taken for
+        // lost: it counts against no member and is withdrawn. Where next to no answer is late, a push that
+        // has used half of its soft limit is taken for stuck: the access is sent a second time. Neither
+        // lowers a limit. This covers answers that never come.
+        let lost = self.lost_rate > 0.125 && self.members[cache].answered_at > sent_at;
+        let halfway = (sent_at + soft_limit_at) / 2;
+        let status_reported = self.status_reporting == StatusReporting::All;
+        let seems_healthy = |m: MemberIndex| {
+            self.members[m].answered_at > sent_at
+                || status_reported && m != cache && self.members[m].failure_rate < 0.3
+        };
+        let stuck =
+            self.late_rate < Self::LOW_LATE_RATE && now >= halfway && members_of(target).all(seems_healthy);
+        if !std::mem::replace(&mut state.pushes[number].overdue, true) && !lost {
+            let unanswered = u32::from(self.members[cache].answered_at < sent_at);
+            self.members[cache].unanswered_pushes =
+                self.members[cache].unanswered_pushes.saturating_add(unanswered);
+            members_of(target).for_each(|m| self.record_failure(now, m, Self::FAILURE_WEIGHT, effects));
+        }
+        if now >= soft_limit_at && !lost && !stuck {
+            if needs_fill && !members_of(target).any(|m| self.failure_rate_excess(now, m) > 0.0) {
+                // At least four fills in the zone, so that it shows when fills are fast again.
+                self.fill_limit = (self.fill_limit * Self::LIMIT_DECREASE_FACTOR).max(4.0 / self.zone_fronts);
             }
-            hops(to).for_each(|c| self.lower(c, fill && c == cache));
-        }
-        let source_ill = source != cache && !self.well(now, source);
-        let ill = lost || stuck || source_ill || !self.well(now, cache);
-        let idempotent = self.classes[a.offering].of.repeat_policy == RepeatPolicy::Idempotent;
-        if ill && last && idempotent && self.spare_pushes >= 1.0 && self.may.hedged_pushes {
-            self.spare_pushes -= 1.0;
-            self.held[place].sent[number].source_failed = source_ill;
-            if self.may.cancel_pushes && (lost || !stuck) {
-                out.cancel_push(a.id, number);
+            members_of(target).for_each(|m| self.lower_limit(m, needs_fill && m == cache));
+        }
+        let source_unhealthy = source != cache && !self.is_healthy(now, source);
+        let send_again = lost || stuck || source_unhealthy || !self.is_healthy(now, cache);
+        let idempotent = self.offerings[access.offering].settings.repeat_policy == RepeatPolicy::Idempotent;
+        if send_again && is_last && idempotent && self.retry_budget >= 1.0 && self.features.hedged_pushes {
+            self.retry_budget -= 1.0;
+            self.accesses[index].pushes[number].source_failed = source_unhealthy;
+            if self.features.cancel_pushes && (lost || !stuck) {
+                effects.cancel_push(access.id, number);
             }
-            self.route(now, place, out);
+            self.dispatch(now, index, effects);
         } else {
-            let until = if now < half { half } else { soft_at };
-            let next = if now < soft_at { until.min(now + (now - at).max(20)) } else { twice };
-            out.set_timer(next, a.id << 4 | number as u64);
+            // Next after as long again as it has been in flight, at the latest when its soft limit is half
+            // used, then when it ends.
+            let latest = if now < halfway { halfway } else { soft_limit_at };
+            let next_check_at = if now < soft_limit_at {
+                latest.min(now + (now - sent_at).max(20))
+            } else {
+                twice_soft_limit_at
+            };
+            effects.set_timer(next_check_at, access.id << 4 | number as u64);
         }
     }
 
-    /// Ends the access at once: a decline where it may be said that a further try is harmless.
-    pub(super) fn finish(&mut self, place: usize, why: UnservedReason, out: &mut dyn EffectSink) {
-        let h = &self.held[place];
-        let harmless = match self.repeat_policy(&h.access) {
+    /// Ends an access without a response: declined if the client may safely send it again, otherwise given
+    /// up.
+    pub(super) fn end_unserved(
+        &mut self,
+        index: AccessIndex,
+        reason: UnservedReason,
+        effects: &mut dyn EffectSink,
+    ) {
+        let state = &self.accesses[index];
+        let safe_to_repeat = match self.repeat_policy(&state.access) {
             RepeatPolicy::Idempotent | RepeatPolicy::Deduplicated { within: Group::All, .. } => true,
-            _ => h.sent.iter().all(|s| s.ended.is_some_and(Outcome::proves_unrun)),
+            _ => state.pushes.iter().all(|p| p.outcome.is_some_and(Outcome::proves_unrun)),
         };
-        if harmless {
-            // No advice to stay away goes with it, though clients might heed it: their own waits spread them,
-            // and whoever comes back later finds less of the soft limit left.
-            out.decline(h.access.id, why);
+        if safe_to_repeat {
+            // It gives no time to wait before a retry, though clients might obey one: their own backoff
+            // spreads them, and a client that comes back later has less of its soft limit left.
+            effects.decline(state.access.id, reason);
         } else {
-            out.give_up(h.access.id, why);
+            effects.give_up(state.access.id, reason);
         }
-        self.close(place, out);
-        self.tidy(place);
+        self.mark_done(index, effects);
+        self.remove_if_finished(index);
     }
 
-    pub(super) fn close(&mut self, place: usize, out: &mut dyn EffectSink) {
-        let h = &mut self.held[place];
-        h.done = true;
-        if self.may.cancel_pushes
-            && self.classes[h.access.offering].of.repeat_policy == RepeatPolicy::Idempotent
+    /// Marks an access as done and cancels its pushes in flight, if it is idempotent.
+    pub(super) fn mark_done(&mut self, index: AccessIndex, effects: &mut dyn EffectSink) {
+        let state = &mut self.accesses[index];
+        state.done = true;
+        if self.features.cancel_pushes
+            && self.offerings[state.access.offering].settings.repeat_policy == RepeatPolicy::Idempotent
         {
-            let out_still = (0..h.sent.len()).filter(|&n| h.sent[n].ended.is_none());
-            out_still.for_each(|n| out.cancel_push(h.access.id, n));
+            let in_flight = (0..state.pushes.len()).filter(|&n| state.pushes[n].outcome.is_none());
+            in_flight.for_each(|n| effects.cancel_push(state.access.id, n));
         }
     }
 
-    pub(super) fn tidy(&mut self, place: usize) {
-        let ended = |h: &&Held| h.done && h.sent.iter().all(|s| s.ended.is_some());
-        if let Some(h) = self.held.get(place).filter(ended) {
-            self.places.remove(&h.access.id);
-            self.held.remove(place);
+    /// Removes the state of an access that is done and has no push in flight.
+    pub(super) fn remove_if_finished(&mut self, index: AccessIndex) {
+        let finished = |s: &&AccessState| s.done && s.pushes.iter().all(|p| p.outcome.is_some());
+        if let Some(state) = self.accesses.get(index).filter(finished) {
+            self.index_by_access.remove(&state.access.id);
+            self.accesses.remove(index);
         }
     }
 
-    pub fn timer_fired(&mut self, now: Ticks, key: u64, out: &mut dyn EffectSink) {
-        if key == u64::MAX {
-            return out.request_member_list();
+    /// A timer set by [`EffectSink::set_timer`] has fired.
+    pub fn timer_fired(&mut self, now: Ticks, key: u64, effects: &mut dyn EffectSink) {
+        if key == MEMBER_LIST_TIMER {
+            return effects.request_member_list();
         }
-        let Some(&place) = self.places.get(&(key >> 4)) else { return };
-        let (h, number) = (&self.held[place], (key & 15) as usize);
-        if !h.done && h.sent.get(number).is_some_and(|s| s.ended.is_none()) {
-            self.overdue(now, place, number, out);
-        } else if !h.done && number == h.sent.len() && h.sent.iter().all(|s| s.ended.is_some()) {
-            self.route(now, place, out); // it has waited for a way
+        let Some(&index) = self.index_by_access.get(&(key >> 4)) else { return };
+        let (state, number) = (&self.accesses[index], (key & 15) as usize);
+        if !state.done && state.pushes.get(number).is_some_and(|p| p.outcome.is_none()) {
+            self.push_overdue(now, index, number, effects);
+        } else if !state.done
+            && number == state.pushes.len()
+            && state.pushes.iter().all(|p| p.outcome.is_some())
+        {
+            self.dispatch(now, index, effects); // it has waited for a fill route
         }
     }
 
-    pub fn client_left(&mut self, id: AccessId, out: &mut dyn EffectSink) {
-        let Some(&place) = self.places.get(&id) else { return };
-        self.close(place, out);
-        self.tidy(place);
+    /// The client has left: the access needs no response any more.
+    pub fn client_left(&mut self, id: AccessId, effects: &mut dyn EffectSink) {
+        let Some(&index) = self.index_by_access.get(&id) else { return };
+        self.mark_done(index, effects);
+        self.remove_if_finished(index);
     }
 
-    /// A stream has started, and is the client's from now on.
+    /// The response has started to stream to the client: no further push is needed.
     pub fn stream_started(&mut self, id: AccessId) {
-        self.places.get(&id).into_iter().for_each(|&place| self.held[place].done = true);
+        self.index_by_access.get(&id).into_iter().for_each(|&index| self.accesses[index].done = true);
     }
 
-    /// The front ends by then: no attempt is to begin, nor wait, past it.
+    /// The front shuts down at this time: no push is sent or waited for after it.
     pub fn set_shutdown_deadline(&mut self, at: Ticks) {
-        self.end_by = at;
-        self.held.iter_mut().for_each(|(_, h)| h.access.deadline = h.access.deadline.min(at));
+        self.shutdown_deadline = at;
+        self.accesses.iter_mut().for_each(|(_, s)| s.access.deadline = s.access.deadline.min(at));
     }
 
-    /// The front is about to stop: what is still open ends now.
-    pub fn stop(&mut self, out: &mut dyn EffectSink) {
-        let open: Vec<_> = self.held.iter().filter(|(_, h)| !h.done).map(|(place, _)| place).collect();
-        open.into_iter().for_each(|place| self.finish(place, UnservedReason::FrontEnds, out));
+    /// The front stops now: ends every access that isn't done.
+    pub fn stop(&mut self, effects: &mut dyn EffectSink) {
+        let open: Vec<_> = self.accesses.iter().filter(|(_, s)| !s.done).map(|(index, _)| index).collect();
+        open.into_iter().for_each(|index| self.end_unserved(index, UnservedReason::FrontEnds, effects));
     }
 }
--- a/src/hash.rs
+++ b/src/hash.rs
@@ -1,5 +1,6 @@
 //! Stable hashes: every front computes the same values, independent of platform and compiler version.
 
+/// Mixes all bits of a value (the finalizer of SplitMix64).
 fn mix(mut x: u64) -> u64 {
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
@@ -8,7 +9,7 @@
 
 /// Hashes a string.
 pub fn text(text: &str) -> u64 {
-    text.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| mix(h ^ u64::from(b)))
+    text.bytes().fold(0xcbf2_9ce4_8422_2325, |hash, byte| mix(hash ^ u64::from(byte)))
 }
 
 /// A pseudo-random number in (0, 1), determined by the pair.
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -4,45 +4,60 @@
 
 /// A time or a span in units of 0.1 ms.
 pub type Ticks = u64;
+
+/// Identifies an access at its front.
 pub type AccessId = u64;
 
 /// Whether an access of an offering may be sent again after it may already have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RepeatPolicy {
+    /// At any cache.
     Idempotent,
+    /// At the caches of the group that the earlier pushes were sent to, for this long after each of them.
     Deduplicated { within: Group, window: Ticks },
+    /// Never.
     Unrepeatable,
 }
 
 /// The caches that together deduplicate repeats of an access.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Group {
+    /// All caches of all zones.
     All,
+    /// The caches of one zone.
     Zone,
+    /// The caches of one cell of a zone.
     Cell,
 }
 
 /// The state of a member in the member list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MemberStatus {
+    /// In service.
     Listed,
+    /// About to stop: no push may name it.
     Draining,
+    /// No longer there.
     Gone,
 }
 
-/// Which responses carry a [`CacheStatus`].
+/// Which responses of caches report a [`CacheStatus`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StatusReporting {
     All,
+    /// Only hits.
     Hits,
     Never,
 }
 
+/// What the accesses of one kind have in common.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Offering {
+    /// The time within which an access should be answered.
     pub soft_limit: Ticks,
     /// The soft limit grows by this multiple of the time that the access's own transfer takes.
     pub transfer_factor: f64,
+    /// The value of an answer, relative to other offerings. Under overload it decides what is served.
     pub benefit: f64,
     pub repeat_policy: RepeatPolicy,
     /// 0: a copy stays fresh until it is purged.
@@ -55,13 +70,17 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     pub offerings: Vec<Offering>,
+    /// The front's zone. A member of this zone that is neither parent nor origin is one of its caches.
     pub zone: usize,
     /// The number of fronts that serve this front's zone, including itself.
     pub zone_fronts: u32,
+    /// The kind of member that is a parent, where there are parents.
     pub parent_kind: Option<usize>,
+    /// The kind of member that is the origin, where there is one.
     pub origin_kind: Option<usize>,
     pub status_reporting: StatusReporting,
     pub features: Features,
+    /// The most pushes of one access.
     pub max_pushes: usize,
     /// Weights of different members are in the same unit and can be compared.
     pub comparable_weights: bool,
@@ -69,8 +88,11 @@
     pub list_on_request: bool,
     /// The shortest time between two inputs.
     pub min_input_interval: Ticks,
+    /// The rate of one transfer; 0 where it is unknown.
     pub flow_kb_per_s: f64,
+    /// The limits of cold caches.
     pub cold: ColdLimits,
+    /// The limits of cold parents.
     pub parent_cold: ColdLimits,
     /// The time after which a purge has reached every cache.
     pub purge_propagation: Ticks,
@@ -83,6 +105,7 @@
     pub join_fills: bool,
     /// An access may be sent directly to a parent or the origin.
     pub cache_bypass: bool,
+    /// A push in flight may be cancelled.
     pub cancel_pushes: bool,
     /// Two pushes of one access may be in flight at once.
     pub hedged_pushes: bool,
@@ -91,8 +114,11 @@
 /// The load that a cold member can take, and the span over which more than that makes it fail.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ColdLimits {
+    /// The share of a warm member's load that it can take when it starts. The share rises evenly to 1.
     pub initial_share: f64,
+    /// How long a member is cold.
     pub duration: Ticks,
+    /// More than this multiple of that load, within `window`, makes the member fail.
     pub load_multiple: f64,
     pub window: Ticks,
 }
@@ -102,38 +128,54 @@
 pub struct Member {
     pub id: Box<str>,
     pub zone: usize,
+    /// Tells parents and the origin from caches: see [`Settings::parent_kind`].
     pub kind: usize,
+    /// The group of members, within a zone, that share deduplication and often fail together.
     pub cell: u64,
     pub status: MemberStatus,
+    /// Its capacity, relative to other members.
     pub weight: f64,
+    /// When its process started, where known.
     pub started_at: Option<Ticks>,
 }
 
+/// A client's request for a part of an object, or for an action at the origin.
 #[derive(Clone, Copy, Debug)]
 pub struct Access {
     pub id: AccessId,
+    /// The index of its offering in the settings.
     pub offering: usize,
     pub object: u64,
     pub part: u32,
+    /// A group of objects that are purged together.
     pub group: u64,
     /// The size of the response; 0 where it is unknown.
     pub kb: f64,
-    /// Its hard limit.
+    /// When its hard limit ends.
     pub deadline: Ticks,
     /// The access carries an identifier by which caches recognise a repeat of it.
     pub has_repeat_id: bool,
 }
 
+/// How a push ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
+    /// The cache served the access.
     Handled,
+    /// The cache answered with an error.
     Error,
+    /// The cache refused the push for lack of capacity, before it ran.
     Full,
     TimedOut,
+    /// No connection to the cache could be established.
     Unreachable,
+    /// The connection broke, or what came over it can't be used.
     Broken,
+    /// The push was cancelled.
     Withdrawn,
+    /// The push was not sent, or its cache didn't begin to run it.
     NeverSent,
+    /// The cache has no copy, and didn't fetch one.
     Miss,
 }
 
@@ -147,26 +189,38 @@
 /// How a cache produced its response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CacheStatus {
+    /// The cache didn't report it.
     Untold,
     Hit,
+    /// Filled from the source that the push names.
     Filled,
+    /// Filled from the origin, through the source that the push names or directly.
     FilledByOrigin,
+    /// Joined a fill in flight.
     Joined,
+    /// Served a copy past its fresh time.
     Stale,
+    /// The source refused the fill.
     SourceRefused,
+    /// The source didn't answer the fill, or the connection to it broke.
     SourceLost,
+    /// The source was asked only for what it holds, and has no copy.
     SourceLacks,
+    /// The cache has no capacity for another fill.
     NoFillPlace,
+    /// The origin failed or refused the fill.
     OriginFailed,
 }
 
 /// The result of a push.
 #[derive(Clone, Copy, Debug)]
 pub struct PushResult {
+    /// The number of the push among those of its access, from 0.
     pub push: usize,
     pub outcome: Outcome,
-    /// The access has its answer: no further push is needed.
+    /// The access has its response: no further push is needed.
     pub access_done: bool,
+    /// From when the push was sent to its end.
     pub latency: Ticks,
     pub cache_status: CacheStatus,
     /// When the origin sent the copy in the response, where known. By the clock of another machine.
@@ -186,8 +240,9 @@
     NoCache,
     /// No source for a fill is healthy and has capacity left.
     NoSource,
-    /// The retry budget is spent.
+    /// The retry budget is used up.
     NoSparePushes,
+    /// The origin failed or refused the fill.
     OriginFailed,
     /// No source holds a copy, and while the origin refuses requests nothing is fetched from it.
     NotHeld,
@@ -201,15 +256,15 @@
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(match self {
             UnservedReason::OutOfTime => "out of time",
-            UnservedReason::OutOfPushes => "out of attempts",
-            UnservedReason::Crowded => "caches are crowded",
-            UnservedReason::NoCache => "no cache may be asked",
+            UnservedReason::OutOfPushes => "out of pushes",
+            UnservedReason::Crowded => "caches are overloaded",
+            UnservedReason::NoCache => "no usable cache",
             UnservedReason::NoSource => "no source to fill from",
-            UnservedReason::NoSparePushes => "no retries to spare",
+            UnservedReason::NoSparePushes => "retry budget used up",
             UnservedReason::OriginFailed => "the origin failed",
-            UnservedReason::NotHeld => "nobody holds it",
-            UnservedReason::FailedTwice => "failed twice",
-            UnservedReason::FrontEnds => "the front ends",
+            UnservedReason::NotHeld => "no source holds a copy",
+            UnservedReason::FailedTwice => "two caches failed",
+            UnservedReason::FrontEnds => "the front is shutting down",
         })
     }
 }
@@ -218,14 +273,20 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Push<'a> {
     pub access: AccessId,
+    /// The id of the member that the push is sent to: a cache or, where that is bypassed, a parent or the
+    /// origin.
     pub cache: &'a str,
+    /// The id of the member that a miss is filled from; that of `cache` again if nothing may be filled.
     pub source: &'a str,
+    /// The push times out this long after it was sent.
     pub timeout: Ticks,
     /// The push must not be sent at or after this time, however long its connection took to establish.
     pub send_deadline: Ticks,
     /// The oldest acceptable copy; 0 means that the offering's fresh time applies.
     pub max_age: Ticks,
+    /// The rank at which the cache stores the copy: those of the lowest rank are evicted first.
     pub rank: u8,
+    /// The push may join a fill in flight.
     pub join_fill: bool,
     /// The cache refreshes its copy in the background.
     pub refresh: bool,
@@ -240,15 +301,16 @@
     pub key: u64,
     /// The source is asked only for what it holds.
     pub only_if_cached: bool,
-    /// Once the cache has missed, and with `cache_bypass`: the push goes directly to this parent, which fills from the
-    /// source and keeps the copy.
+    /// Once the cache has missed, and with `cache_bypass`: the push goes directly to this parent, which fills
+    /// from the source and keeps the copy.
     pub via_parent: Option<u64>,
 }
 
+/// The most fill routes of an access.
 pub const MAX_FILL_ROUTES: usize = 24;
 
-/// The sources that an access may be filled from now, in the order in which to try them, where the parents form a
-/// hierarchy with a configured shape.
+/// The sources that an access may be filled from now, in the order in which to try them, where the parents
+/// form a hierarchy with a configured shape.
 #[derive(Clone, Debug, Default)]
 pub struct FillRoutes {
     /// If false, `order` does not apply: the parents are one flat list.
@@ -265,7 +327,9 @@
         FillRoutes::default()
     }
 
+    /// Sends a push. Its number is the count of the earlier pushes of its access.
     fn push(&mut self, push: &Push<'_>);
+    /// Cancels a push; it still ends by [`Front::push_ended`](crate::Front::push_ended).
     fn cancel_push(&mut self, access: AccessId, push: usize);
     /// Ends an access that the client may safely send again.
     fn decline(&mut self, access: AccessId, reason: UnservedReason);
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -3,10 +3,10 @@
 #![forbid(unsafe_code)]
 
 pub mod control;
-mod fading;
+mod decay;
+mod evicting_map;
 pub mod hash;
 pub mod interface;
-mod oldest;
 mod state;
 
 pub use control::Front;
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,59 +1,99 @@
-//! What the decisions in `control` keep, as plain types.
+//! The state that the decisions in `control` keep about accesses, offerings and members.
 
 use arrayvec::ArrayVec;
 
 use crate::control::Front;
-use crate::fading::{Fading, Level};
+use crate::decay::{AveragedCount, DecayingSum};
 use crate::interface::*;
 
-pub const MOST_PUSHES: usize = 8; // kept for one access: a ninth would seldom be in time
+/// How many pushes of one access are recorded, and so sent at most: a ninth would seldom be in time.
+pub const MAX_PUSHES_PER_ACCESS: usize = 8;
 
-/// What an access does next, left behind by each push: it is handed the push's result.
-pub type Next = fn(&mut Front, Ticks, usize, &PushResult, &mut dyn EffectSink);
+/// The index of a member in `Front::members`.
+pub type MemberIndex = usize;
 
-/// A source, whether it is asked only for what it holds, and which parent takes that over.
-pub type Source = (usize, bool, Option<usize>);
+/// The index of an access in `Front::accesses`.
+pub type AccessIndex = usize;
 
-pub struct Sent {
-    pub to: (usize, usize), // the cache and the source; the cache itself where nothing is to be filled
-    pub at: Ticks,
-    pub ended: Option<Outcome>,
+/// The cache that a push is sent to and the source that a miss is filled from. The same member twice means
+/// that nothing is filled: the push is a lookup, which a cache without a copy answers with a miss.
+pub type PushTarget = (MemberIndex, MemberIndex);
+
+/// Continues an access when one of its pushes has ended and the access isn't done.
+pub type PushEndHandler = fn(&mut Front, Ticks, AccessIndex, &PushResult, &mut dyn EffectSink);
+
+/// A source to fill from; whether it is asked only for what it holds; and the parent, if any, that the push
+/// is sent to in place of a cache and that fills from the source.
+pub type SourceChoice = (MemberIndex, bool, Option<MemberIndex>);
+
+/// A push that was sent.
+pub struct SentPush {
+    pub target: PushTarget,
+    pub sent_at: Ticks,
+    /// None while the push is in flight.
+    pub outcome: Option<Outcome>,
+    /// Its overdue timer fired before it ended.
     pub overdue: bool,
-    pub fill: bool,   // expected to need a fill over the zone's link in
-    pub counts: bool, // among what is out
+    /// Expected to need a fill over the zone's inbound link.
+    pub needs_fill: bool,
+    /// Counted in `Front::fills_in_flight` and its members' `in_flight`.
+    pub counted: bool,
+    /// It failed, or is taken to fail, at its source and not at its cache.
     pub source_failed: bool,
-    pub kept: bool, // the source was asked only for what it holds
-    pub next: Next,
+    /// The source was asked only for what it holds.
+    pub only_if_cached: bool,
+    /// What to do when it has ended.
+    pub on_end: PushEndHandler,
 }
 
-pub struct Held {
+/// An access that isn't done, or of which a push is still in flight.
+pub struct AccessState {
     pub access: Access,
-    pub work: f64,
-    pub soft_at: Ticks,
-    pub keen: f64, // how much of a limit it may use: more, the more benefit it brings for its work
-    pub draw: f64, // which part of the accesses it is of, where only a part may do something
-    pub lacks: bool,
+    /// The expected time of its transfer, in ticks.
+    pub transfer_time: f64,
+    /// When its soft limit ends.
+    pub soft_limit_at: Ticks,
+    /// The share of an in-flight limit up to which it may still be pushed, from 0.5 to 1.5: the higher, the
+    /// more benefit it brings for its transfer time.
+    pub limit_share: f64,
+    /// A random number from 0 to 1, which decides whether it is among the part of the accesses that may be
+    /// sent to a cold cache.
+    pub sample: f64,
+    /// The zone's caches most likely have no copy.
+    pub likely_miss: bool,
+    /// The rank at which a cache stores the copy: see [`Push::rank`].
     pub rank: u8,
-    pub renew: bool,
-    pub sent: ArrayVec<Sent, MOST_PUSHES>,
-    pub looked: bool,
-    pub kept: bool,
-    pub held: bool, // an old home is asked for what it holds
+    /// The cache is to refresh its copy in the background.
+    pub refresh: bool,
+    pub pushes: ArrayVec<SentPush, MAX_PUSHES_PER_ACCESS>,
+    /// A cache was already asked for its copy alone, or need not be since it has just started.
+    pub looked_up: bool,
+    /// The origin refuses requests, so a parent is asked only for what it holds.
+    pub avoid_origin: bool,
+    /// The fill route asks its source only for what it holds: a former home of the object.
+    pub route_only_if_cached: bool,
+    /// It has been answered, declined or given up, or its client has left.
     pub done: bool,
 }
 
-pub struct Fill {
-    pub at: Ticks,
-    pub seen: Ticks,
+/// What is known of the newest fill of a part of an object.
+pub struct FillRecord {
+    /// When the origin sent the copy, or the best estimate of it.
+    pub filled_at: Ticks,
+    pub last_access_at: Ticks,
 }
 
-pub struct Class {
-    pub of: Offering,
-    pub mean: f64,
-    /// Stretches the time after which a push is overdue, so that a twentieth are in ordinary times.
-    pub patience: f64,
+/// An offering and what is learned about it.
+pub struct OfferingState {
+    pub settings: Offering,
+    /// The mean time of a transfer, in ticks.
+    pub mean_transfer_time: f64,
+    /// Scales the time after which a push is overdue, so that one push in twenty is overdue in normal
+    /// operation.
+    pub overdue_factor: f64,
 }
 
+/// What a member is to this front. The names are logged.
 #[derive(Clone, Copy, Default, PartialEq, Eq, Debug)]
 pub enum Role {
     #[default]
@@ -62,24 +102,38 @@
     Origin,
 }
 
+/// A cache, a parent or the origin, and what is learned about it.
 #[derive(Default)]
-pub struct Peer {
+pub struct MemberState {
     pub id: Box<str>,
-    pub hash: u64,
+    pub id_hash: u64,
     pub role: Role,
     pub zone: usize,
     pub cell: u64,
     pub weight: f64,
-    pub gone: bool,
-    pub started: Option<Ticks>,
-    pub bad: f64, // share of the pushes naming it that went wrong or grew overdue, lately
-    pub held_until: Ticks,
-    pub held_for: Ticks,
-    pub trial: u32, // good answers it still owes after it was left alone
-    pub out: Level,
-    pub answered: Ticks,
-    pub hush: u32, // pushes that grew overdue since the last answer; the most where it can't be reached
+    /// Draining, or gone from the member list.
+    pub unlisted: bool,
+    /// When it started, where known; from then on it is cold until its slow start is over.
+    pub started_at: Option<Ticks>,
+    /// The moving average of the share of pushes naming it that failed or became overdue.
+    pub failure_rate: f64,
+    /// Until then it is ejected: a push names it only if no healthy member can be used.
+    pub ejected_until: Ticks,
+    /// How long its next ejection lasts.
+    pub next_ejection: Ticks,
+    /// Successful answers that it still owes after an ejection; until then it gets one push at a time.
+    pub probation: u32,
+    /// The pushes in flight that name it.
+    pub in_flight: AveragedCount,
+    /// When it last answered a push, or a fill from it arrived.
+    pub answered_at: Ticks,
+    /// Pushes that became overdue since its last answer; `u32::MAX` if a connection to it failed since.
+    pub unanswered_pushes: u32,
+    /// The mean number of pushes in flight that this front may have at it.
     pub limit: f64,
-    pub carries: Fading,
-    pub spent: Fading,
+    /// The transfer time of its answers; as a rate, the mean number of its concurrent transfers for this
+    /// front. It is updated at every answer to a push that names the member.
+    pub throughput: DecayingSum,
+    /// The transfer time of the pushes that were sent to it; leaks at the pace of its cold budget.
+    pub cold_spent: DecayingSum,
 }
