--- a/examples/toy.rs
+++ b/examples/toy.rs
@@ -1,17 +1,17 @@
-//! What a front needs around it, on one machine: two caches, an origin and a control feed, at the addresses
-//! that `examples/config.json` names. Runs until it is stopped.
+//! A test environment for one front on one machine: two caches, an origin and a control feed, at the addresses in
+//! `examples/config.json`. Runs until it is stopped.
 
 use doorgrade_standins::{Directory, Feed, Member, Role, Spec};
 
 fn main() -> std::io::Result<()> {
     let directory = Directory::default();
     let mut members = Vec::new();
-    for (id, at, role) in [
+    for (id, address, role) in [
         ("s-00000001", "127.0.0.1:9101", Role::Cache),
         ("s-00000002", "127.0.0.1:9102", Role::Cache),
         ("s-00000020", "127.0.0.1:9120", Role::Archive),
     ] {
-        members.push(Member::start(Spec::new(id, at, role), &directory)?);
+        members.push(Member::start(Spec::new(id, address, role), &directory)?);
     }
     let feed = Feed::start("127.0.0.1:9092")?;
     for member in &members {
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,4 +1,4 @@
-//! The five rules in seeded random runs, and plain cases for what was met on the way.
+//! The five rules (see `helper`) in seeded random runs, and single cases for failures that were met.
 
 mod helper;
 
@@ -7,125 +7,127 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-fn zone(caches: usize, parents: usize) -> Vec<Member> {
+fn member_list(caches: usize, parents: usize) -> Vec<Member> {
     let mut list: Vec<_> = (0..caches).map(|i| member(&format!("cache-{i}"), 0, 0)).collect();
     list.extend((0..parents).map(|i| member(&format!("parent-{i}"), 1, 1)));
-    list.push(member("elsewhere", 2, 0));
+    list.push(member("other-zone-cache", 2, 0));
     list.push(member("origin", 1, 2));
     list
 }
 
-fn shape(r: &mut fastrand::Rng) -> Settings {
+fn random_settings(rng: &mut fastrand::Rng) -> Settings {
     let groups = [Group::All, Group::Zone, Group::Cell];
-    let notes = [StatusReporting::All, StatusReporting::Hits, StatusReporting::Never];
-    let mut set = settings();
-    set.features = Features {
-        join_fills: r.bool(),
-        cache_bypass: r.bool(),
-        cancel_pushes: r.bool(),
-        hedged_pushes: r.bool(),
+    let reporting = [StatusReporting::All, StatusReporting::Hits, StatusReporting::Never];
+    let mut settings = settings();
+    settings.features = Features {
+        join_fills: rng.bool(),
+        cache_bypass: rng.bool(),
+        cancel_pushes: rng.bool(),
+        hedged_pushes: rng.bool(),
     };
-    set.status_reporting = notes[r.usize(..3)];
-    set.zone_fronts = [1, 2, 5, 20, 300][r.usize(..5)];
-    set.max_pushes = r.usize(1..9);
-    set.comparable_weights = r.bool();
-    set.flow_kb_per_s = f64::from(r.u8(..2)) * 5_000.0;
-    set.offerings[2].repeat_policy =
-        RepeatPolicy::Deduplicated { within: groups[r.usize(..3)], window: r.u64(100..20_000) };
-    if r.u8(..4) == 0 {
-        (set.parent_kind, set.origin_kind) = (None, Some(2).filter(|_| r.bool()));
+    settings.status_reporting = reporting[rng.usize(..3)];
+    settings.zone_fronts = [1, 2, 5, 20, 300][rng.usize(..5)];
+    settings.max_pushes = rng.usize(1..9);
+    settings.comparable_weights = rng.bool();
+    settings.flow_kb_per_s = f64::from(rng.u8(..2)) * 5_000.0;
+    settings.offerings[2].repeat_policy =
+        RepeatPolicy::Deduplicated { within: groups[rng.usize(..3)], window: rng.u64(100..20_000) };
+    if rng.u8(..4) == 0 {
+        (settings.parent_kind, settings.origin_kind) = (None, Some(2).filter(|_| rng.bool()));
     }
-    set
+    settings
 }
 
-/// One run: anything may come in any order, as long as the wire could bring it.
+/// One run: inputs in any order that the interface permits.
 fn random_run(seed: u64) {
     use Outcome::*;
-    let mut r = fastrand::Rng::with_seed(seed);
-    let set = shape(&mut r);
-    let mut members = zone(r.usize(..5), r.usize(..4));
+    let mut rng = fastrand::Rng::with_seed(seed);
+    let settings = random_settings(&mut rng);
+    let mut members = member_list(rng.usize(..5), rng.usize(..4));
     for m in &mut members {
-        (m.cell, m.weight) = (r.u64(..2), f64::from(r.u8(1..5)));
+        (m.cell, m.weight) = (rng.u64(..2), f64::from(rng.u8(1..5)));
     }
-    members.retain(|m| m.kind != 1 || set.parent_kind.is_some());
-    members.retain(|m| m.kind != 2 || set.origin_kind.is_some());
-    let (mut world, mut front) = World::new(set, &members);
+    members.retain(|m| m.kind != 1 || settings.parent_kind.is_some());
+    members.retain(|m| m.kind != 2 || settings.origin_kind.is_some());
+    let (mut sim, mut front) = Simulation::new(settings, &members);
     for id in 0..400 {
-        match r.u8(..12) {
+        match rng.u8(..12) {
             0..=4 => {
-                let (offering, object, marked) = (r.usize(..5), r.u64(..40), r.u8(..3) > 0);
-                world.access_as(&mut front, id, offering, object, marked);
+                let (offering, object, has_repeat_id) = (rng.usize(..5), rng.u64(..40), rng.u8(..3) > 0);
+                sim.access_with(&mut front, id, offering, object, has_repeat_id);
             }
             5..=8 => {
-                let out = |t: &Told| {
-                    let p = t.pushes.iter().position(|p| p.ended.is_none())?;
-                    Some((t.access.id, p))
+                let in_flight = |record: &AccessRecord| {
+                    let push = record.pushes.iter().position(|p| p.outcome.is_none())?;
+                    Some((record.access.id, push))
                 };
-                let all: Vec<_> = world.told.values().filter_map(out).collect();
-                if let Some(&(id, push)) = r.choice(&all) {
-                    let ends =
+                let pushes: Vec<_> = sim.accesses.values().filter_map(in_flight).collect();
+                if let Some(&(id, push)) = rng.choice(&pushes) {
+                    let outcomes =
                         [Handled, Handled, Error, Full, Unreachable, Broken, Withdrawn, NeverSent, Miss];
-                    let notes = [
+                    let statuses = [
                         CacheStatus::Untold,
                         CacheStatus::Hit,
                         CacheStatus::Filled,
                         CacheStatus::SourceLost,
                         CacheStatus::NoFillPlace,
                     ];
-                    world.end(&mut front, id, push, ends[r.usize(..9)], notes[r.usize(..5)]);
+                    sim.end_push(&mut front, id, push, outcomes[rng.usize(..9)], statuses[rng.usize(..5)]);
                 }
             }
             9 => {
-                let m = r.usize(..members.len().max(1));
+                let m = rng.usize(..members.len().max(1));
                 if let Some(m) = members.get_mut(m) {
-                    let standings = [
+                    let statuses = [
                         MemberStatus::Listed,
                         MemberStatus::Listed,
                         MemberStatus::Draining,
                         MemberStatus::Gone,
                     ];
-                    m.status = standings[r.usize(..4)];
-                    if r.bool() {
-                        m.started_at = Some(world.now);
+                    m.status = statuses[rng.usize(..4)];
+                    if rng.bool() {
+                        m.started_at = Some(sim.now);
                     }
-                    if m.status != MemberStatus::Listed && r.bool() {
-                        // Replaced under a new id, cold; at times so late that the old one's place is free.
+                    if m.status != MemberStatus::Listed && rng.bool() {
+                        // It is replaced by a cold member with a new id; sometimes so late that its slot is reused.
                         let gone = Member { status: MemberStatus::Gone, ..m.clone() };
-                        world.tell(&mut front, &[gone], false);
-                        world.pass(&mut front, [500, 700_000][usize::from(r.u8(..8) == 0)]);
+                        sim.send_list(&mut front, &[gone], false);
+                        sim.advance(&mut front, [500, 700_000][usize::from(rng.u8(..8) == 0)]);
                         (m.id, m.status) = (format!("new-{id}").into(), MemberStatus::Listed);
-                        m.started_at = Some(world.now);
+                        m.started_at = Some(sim.now);
                     }
-                    let (one, all) = (vec![m.clone()], r.u8(..4) == 0);
-                    if all {
-                        // A whole list that leaves some out.
+                    let (changed, full) = (vec![m.clone()], rng.u8(..4) == 0);
+                    if full {
+                        // A full list, which leaves out the members that are not listed.
                         let listed = |m: &&Member| m.status == MemberStatus::Listed;
                         let list: Vec<_> = members.iter().filter(listed).cloned().collect();
-                        world.tell(&mut front, &list, true);
+                        sim.send_list(&mut front, &list, true);
                     } else {
-                        world.tell(&mut front, &one, false);
+                        sim.send_list(&mut front, &changed, false);
                     }
                 }
             }
             10 => {
-                let object = Some(r.u64(..40)).filter(|_| r.bool());
-                world.purge(&mut front, object, r.u64(..4), r.u64(..300));
+                let object = Some(rng.u64(..40)).filter(|_| rng.bool());
+                sim.purge(&mut front, object, rng.u64(..4), rng.u64(..300));
             }
             _ => {
-                // A whole cell is struck at once: nothing at it ends well.
-                let (cell, how) = (r.u64(..2), [Unreachable, Broken, Error][r.usize(..3)]);
-                let struck = |p: &Out| p.ended.is_none() && world.list[&p.cache].cell == cell;
-                let out = |t: &Told| Some((t.access.id, t.pushes.iter().position(struck)?));
-                let all: Vec<_> = world.told.values().filter_map(out).collect();
-                for (id, push) in all {
-                    world.end(&mut front, id, push, how, CacheStatus::Untold);
+                // A whole cell fails at once: every push in flight there ends without success.
+                let (cell, outcome) = (rng.u64(..2), [Unreachable, Broken, Error][rng.usize(..3)]);
+                let affected = |p: &SentPush| p.outcome.is_none() && sim.members[&p.cache].cell == cell;
+                let first_affected = |record: &AccessRecord| {
+                    Some((record.access.id, record.pushes.iter().position(affected)?))
+                };
+                let pushes: Vec<_> = sim.accesses.values().filter_map(first_affected).collect();
+                for (id, push) in pushes {
+                    sim.end_push(&mut front, id, push, outcome, CacheStatus::Untold);
                 }
             }
         }
-        world.pass(&mut front, r.u64(1..600));
+        sim.advance(&mut front, rng.u64(1..600));
     }
-    world.pass(&mut front, 30_000);
-    assert!(world.told.is_empty(), "an access was left over");
+    sim.advance(&mut front, 30_000);
+    assert!(sim.accesses.is_empty(), "an access never ended");
 }
 
 proptest! {
@@ -139,143 +141,147 @@
 }
 
 #[test]
-fn an_access_without_a_mark_is_not_repeated_though_its_offering_is_deduplicated() {
-    for (marked, pushes) in [(true, 2), (false, 1)] {
-        let (mut world, mut front) = World::new(settings(), &zone(3, 2));
-        world.access_as(&mut front, 1, 2, 9, marked);
-        world.end(&mut front, 1, 0, Outcome::Broken, CacheStatus::Untold);
-        let told = world.told.get(&1).map_or(1, |t| t.pushes.len());
-        assert_eq!(told, pushes, "marked: {marked}");
+fn a_deduplicated_access_without_an_identifier_is_not_sent_again() {
+    for (has_repeat_id, pushes) in [(true, 2), (false, 1)] {
+        let (mut sim, mut front) = Simulation::new(settings(), &member_list(3, 2));
+        sim.access_with(&mut front, 1, 2, 9, has_repeat_id);
+        sim.end_push(&mut front, 1, 0, Outcome::Broken, CacheStatus::Untold);
+        let sent = sim.accesses.get(&1).map_or(1, |record| record.pushes.len());
+        assert_eq!(sent, pushes, "has_repeat_id: {has_repeat_id}");
     }
 }
 
 #[test]
-fn renews_behind_below_the_threshold_and_a_told_fill_restarts_the_estimate() {
-    let (mut world, mut front) = World::new(settings(), &zone(3, 2));
-    for (id, (wait, renew)) in [(0, false), (60_000, false), (5_000, true), (1_000, false)].iter().enumerate()
+fn a_copy_is_refreshed_below_the_threshold_and_a_reported_fill_restarts_the_estimate() {
+    let (mut sim, mut front) = Simulation::new(settings(), &member_list(3, 2));
+    for (id, (wait, refresh)) in
+        [(0, false), (60_000, false), (5_000, true), (1_000, false)].iter().enumerate()
     {
-        world.pass(&mut front, *wait);
+        sim.advance(&mut front, *wait);
         let id = id as u64;
-        world.access(&mut front, id, 0, 9);
-        assert_eq!((world.last(id).renew, world.last(id).age), (*renew, 80_000), "access {id}");
-        let note = if id == 2 { CacheStatus::Filled } else { CacheStatus::Hit };
-        world.end(&mut front, id, 0, Outcome::Handled, note);
+        sim.access(&mut front, id, 0, 9);
+        assert_eq!((sim.last_push(id).refresh, sim.last_push(id).max_age), (*refresh, 80_000), "access {id}");
+        let cache_status = if id == 2 { CacheStatus::Filled } else { CacheStatus::Hit };
+        sim.end_push(&mut front, id, 0, Outcome::Handled, cache_status);
     }
 }
 
-/// Accesses to one object as (wait before it, age told by its answer, whether it asks for a renewal).
-fn renewals(steps: &[(Ticks, Option<i64>, bool)]) {
-    for notes in [StatusReporting::All, StatusReporting::Never] {
-        let (mut world, mut front) =
-            World::new(Settings { status_reporting: notes, ..settings() }, &zone(3, 2));
-        for (id, &(wait, made_ago, renew)) in steps.iter().enumerate() {
-            world.pass(&mut front, wait);
-            world.access(&mut front, id as u64, 0, 9);
-            assert_eq!(world.last(id as u64).renew, renew, "{notes:?}: access {id}");
-            world.made_ago = made_ago;
-            let note = if notes == StatusReporting::All { CacheStatus::Hit } else { CacheStatus::Untold };
-            world.end(&mut front, id as u64, 0, Outcome::Handled, note);
+/// Accesses to one object, each as (wait before it, age of the copy in its answer, whether it asks for a refresh).
+fn check_refreshes(steps: &[(Ticks, Option<i64>, bool)]) {
+    for status_reporting in [StatusReporting::All, StatusReporting::Never] {
+        let (mut sim, mut front) =
+            Simulation::new(Settings { status_reporting, ..settings() }, &member_list(3, 2));
+        for (id, &(wait, copy_age, refresh)) in steps.iter().enumerate() {
+            sim.advance(&mut front, wait);
+            sim.access(&mut front, id as u64, 0, 9);
+            assert_eq!(sim.last_push(id as u64).refresh, refresh, "{status_reporting:?}: access {id}");
+            sim.copy_age = copy_age;
+            let cache_status =
+                if status_reporting == StatusReporting::All { CacheStatus::Hit } else { CacheStatus::Untold };
+            sim.end_push(&mut front, id as u64, 0, Outcome::Handled, cache_status);
         }
     }
 }
 
 #[test]
-fn a_restarted_front_knows_from_its_first_answer_how_old_a_copy_is() {
-    // Fresh for 8 s; others filled it 6.5 s ago.
-    renewals(&[(0, Some(65_000), false), (10, Some(65_010), true)]);
+fn a_restarted_front_learns_the_age_of_a_copy_from_its_first_answer() {
+    // Fresh for 8 s; another front had it filled 6.5 s ago.
+    check_refreshes(&[(0, Some(65_000), false), (10, Some(65_010), true)]);
 }
 
 #[test]
-fn what_another_front_had_renewed_is_not_asked_to_be_renewed_again() {
-    renewals(&[(0, Some(0), false), (70_000, Some(1_000), true), (10, Some(1_010), false)]);
+fn a_copy_that_another_front_had_refreshed_is_not_refreshed_again() {
+    check_refreshes(&[(0, Some(0), false), (70_000, Some(1_000), true), (10, Some(1_010), false)]);
 }
 
 #[test]
-fn an_age_that_cannot_be_so_counts_as_untold() {
-    // A clock an hour ahead, and copies older than what was asked for: each would hold the estimate where it is.
-    renewals(&[
+fn an_impossible_age_counts_as_unknown() {
+    // A clock that is an hour ahead, and copies older than the push accepts: taken at face value, each would keep
+    // the estimated age from changing.
+    check_refreshes(&[
         (0, Some(-36_000_000), false),
         (65_000, Some(-36_000_000), true),
         (10, Some(-36_000_000), true),
     ]);
-    renewals(&[(0, Some(36_000_000), false), (10, Some(36_000_000), false), (64_990, None, true)]);
-    // A little off, within what the threshold bears: now at the latest.
-    renewals(&[(0, Some(-2_000), false), (63_000, None, false), (2_000, None, true)]);
+    check_refreshes(&[(0, Some(36_000_000), false), (10, Some(36_000_000), false), (64_990, None, true)]);
+    // A clock that is ahead by less than the refresh threshold: the copy counts as made now.
+    check_refreshes(&[(0, Some(-2_000), false), (63_000, None, false), (2_000, None, true)]);
 }
 
 #[test]
-fn what_is_recalled_counts_at_the_first_access_and_never_over_what_was_seen() {
-    let (mut world, mut front) = World::new(settings(), &zone(3, 2));
-    // Fresh for 8 s. Asked for, it would be taken for young.
-    front.restore_fill(world.now, (9, 0), world.now - 70_000, world.now - 10);
-    world.access(&mut front, 1, 0, 9);
-    assert_eq!((world.last(1).renew, world.last(1).rank), (true, 2));
-    world.made_ago = Some(1_000);
-    world.end(&mut front, 1, 0, Outcome::Handled, CacheStatus::Hit);
-    // Word that comes after the front has seen for itself, or from a time to come, changes nothing.
-    front.restore_fill(world.now, (9, 0), world.now - 70_000, world.now);
-    world.access(&mut front, 2, 0, 9);
-    assert!(!world.last(2).renew);
-    front.restore_fill(world.now, (8, 0), world.now + 1, world.now);
-    world.access(&mut front, 3, 0, 8);
-    assert_eq!(world.last(3).rank, 1, "a first sight");
-    // A flood stays within the table.
-    (100..200_000).for_each(|object| front.restore_fill(world.now, (object, 0), world.now - 1, world.now));
+fn a_restored_fill_counts_at_the_first_access_and_never_replaces_an_own_record() {
+    let (mut sim, mut front) = Simulation::new(settings(), &member_list(3, 2));
+    // Fresh for 8 s. Without the record, the first access would take the copy for new.
+    front.restore_fill(sim.now, (9, 0), sim.now - 70_000, sim.now - 10);
+    sim.access(&mut front, 1, 0, 9);
+    assert_eq!((sim.last_push(1).refresh, sim.last_push(1).rank), (true, 2));
+    sim.copy_age = Some(1_000);
+    sim.end_push(&mut front, 1, 0, Outcome::Handled, CacheStatus::Hit);
+    // A fill changes nothing if the front has a record of its own, or if it is in the future.
+    front.restore_fill(sim.now, (9, 0), sim.now - 70_000, sim.now);
+    sim.access(&mut front, 2, 0, 9);
+    assert!(!sim.last_push(2).refresh);
+    front.restore_fill(sim.now, (8, 0), sim.now + 1, sim.now);
+    sim.access(&mut front, 3, 0, 8);
+    assert_eq!(sim.last_push(3).rank, 1, "the first access to the object");
+    // More fills than the table has room for.
+    (100..200_000).for_each(|object| front.restore_fill(sim.now, (object, 0), sim.now - 1, sim.now));
 }
 
 #[test]
-fn without_notes_the_first_access_after_expiry_counts_as_the_fill() {
-    let set = Settings { status_reporting: StatusReporting::Never, ..settings() };
-    let (mut world, mut front) = World::new(set, &zone(3, 2));
-    for (id, (wait, renew)) in [(0, false), (81_000, true), (10, false)].iter().enumerate() {
-        world.pass(&mut front, *wait);
-        world.access(&mut front, id as u64, 0, 9);
-        assert_eq!(world.last(id as u64).renew, *renew, "access {id}");
-        world.end(&mut front, id as u64, 0, Outcome::Handled, CacheStatus::Untold);
+fn without_cache_status_the_first_access_after_expiry_counts_as_the_fill() {
+    let settings = Settings { status_reporting: StatusReporting::Never, ..settings() };
+    let (mut sim, mut front) = Simulation::new(settings, &member_list(3, 2));
+    for (id, (wait, refresh)) in [(0, false), (81_000, true), (10, false)].iter().enumerate() {
+        sim.advance(&mut front, *wait);
+        sim.access(&mut front, id as u64, 0, 9);
+        assert_eq!(sim.last_push(id as u64).refresh, *refresh, "access {id}");
+        sim.end_push(&mut front, id as u64, 0, Outcome::Handled, CacheStatus::Untold);
     }
 }
 
 #[test]
-fn all_fronts_name_one_parent_for_an_object_and_a_second_sight_is_kept_higher() {
-    let (mut here, mut front) = World::new(settings(), &zone(3, 3));
-    let mut away = zone(3, 3);
+fn all_fronts_name_one_parent_for_an_object_and_a_second_access_has_a_higher_rank() {
+    let (mut here, mut front) = Simulation::new(settings(), &member_list(3, 3));
+    let mut away = member_list(3, 3);
     away.iter_mut().filter(|m| m.kind == 0).for_each(|m| m.zone = 2 - m.zone);
-    let (mut there, mut other) = World::new(settings(), &away);
+    let (mut there, mut other) = Simulation::new(settings(), &away);
     for object in 0..30 {
         here.access(&mut front, object, 1, object);
         there.access(&mut other, object, 1, object);
-        assert_eq!(here.last(object).source, there.last(object).source);
-        assert!(here.last(object).source.starts_with("parent"));
-        here.end(&mut front, object, 0, Outcome::Handled, CacheStatus::Filled);
+        assert_eq!(here.last_push(object).source, there.last_push(object).source);
+        assert!(here.last_push(object).source.starts_with("parent"));
+        here.end_push(&mut front, object, 0, Outcome::Handled, CacheStatus::Filled);
         here.access(&mut front, 100 + object, 1, object);
-        assert_eq!((here.last(object).rank, here.last(100 + object).rank), (1, 2));
-        here.end(&mut front, 100 + object, 0, Outcome::Handled, CacheStatus::Hit);
-        there.end(&mut other, object, 0, Outcome::Handled, CacheStatus::Filled);
+        assert_eq!((here.last_push(object).rank, here.last_push(100 + object).rank), (1, 2));
+        here.end_push(&mut front, 100 + object, 0, Outcome::Handled, CacheStatus::Hit);
+        there.end_push(&mut other, object, 0, Outcome::Handled, CacheStatus::Filled);
     }
 }
 
 #[test]
-fn a_purge_binds_at_once_and_never_becomes_any_age() {
-    let (mut world, mut front) = World::new(settings(), &zone(2, 2));
-    world.purge(&mut front, Some(5), 0, 0);
-    world.access(&mut front, 1, 1, 5);
-    assert_eq!(world.last(1).age, 1);
-    world.pass(&mut front, 400);
-    world.access(&mut front, 2, 0, 5);
-    assert!((398..=400).contains(&world.last(2).age));
-}
-
-/// A parent that answers nothing, or refuses: its fills fail while all caches answer hits.
+fn a_purge_limits_the_age_at_once_and_never_permits_any_age() {
+    let (mut sim, mut front) = Simulation::new(settings(), &member_list(2, 2));
+    sim.purge(&mut front, Some(5), 0, 0);
+    sim.access(&mut front, 1, 1, 5);
+    assert_eq!(sim.last_push(1).max_age, 1);
+    sim.advance(&mut front, 400);
+    sim.access(&mut front, 2, 0, 5);
+    assert!((398..=400).contains(&sim.last_push(2).max_age));
+}
+
+/// A parent doesn't answer, or refuses all fills, while the caches answer hits: it is the parent that is ejected, and
+/// once it has recovered, it is used again.
 #[test]
-fn an_ill_parent_is_told_from_its_caches_and_found_again() {
-    for (notes, refuses) in
+fn an_unhealthy_parent_is_told_from_its_caches_and_used_again() {
+    for (status_reporting, refuses) in
         [(StatusReporting::All, false), (StatusReporting::Never, false), (StatusReporting::Never, true)]
     {
-        let (mut world, mut front) =
-            World::new(Settings { status_reporting: notes, ..settings() }, &zone(3, 2));
+        let (mut sim, mut front) =
+            Simulation::new(Settings { status_reporting, ..settings() }, &member_list(3, 2));
         let (mut named, mut declined) = ([0, 0, 0], 0);
         for id in 0..3_000 {
-            world.access(&mut front, id, 1, id % 97);
+            sim.access(&mut front, id, 1, id % 97);
             let phase = if id < 300 {
                 0
             } else if id < 1_500 {
@@ -283,455 +289,516 @@
             } else {
                 2
             };
-            let miss = id % 3 == 0;
-            let bad = |t: &Told| miss && phase == 1 && t.pushes.last().unwrap().source == "parent-0";
-            named[phase as usize] += u32::from(id % 500 > 300 && world.last(id).source == "parent-0");
-            while refuses && world.told[&id].finals == 0 && bad(&world.told[&id]) {
-                let push = world.told[&id].pushes.len() - 1;
-                world.end(&mut front, id, push, Outcome::Full, CacheStatus::Untold);
+            let is_miss = id % 3 == 0;
+            let fails = |record: &AccessRecord| {
+                is_miss && phase == 1 && record.pushes.last().unwrap().source == "parent-0"
+            };
+            named[phase as usize] += u32::from(id % 500 > 300 && sim.last_push(id).source == "parent-0");
+            while refuses && sim.accesses[&id].final_answers == 0 && fails(&sim.accesses[&id]) {
+                let push = sim.accesses[&id].pushes.len() - 1;
+                sim.end_push(&mut front, id, push, Outcome::Full, CacheStatus::Untold);
             }
-            declined += u32::from(world.told[&id].declined);
-            world.pass(&mut front, 200);
-            if world.told.get(&id).is_some_and(|t| t.finals == 0 && !bad(t)) {
-                let note = if miss { CacheStatus::Filled } else { CacheStatus::Hit };
-                let push = world.told[&id].pushes.len() - 1;
-                world.end(&mut front, id, push, Outcome::Handled, note);
+            declined += u32::from(sim.accesses[&id].declined);
+            sim.advance(&mut front, 200);
+            if sim.accesses.get(&id).is_some_and(|record| record.final_answers == 0 && !fails(record)) {
+                let cache_status = if is_miss { CacheStatus::Filled } else { CacheStatus::Hit };
+                let push = sim.accesses[&id].pushes.len() - 1;
+                sim.end_push(&mut front, id, push, Outcome::Handled, cache_status);
             }
         }
-        assert!(named[1] < 100, "{notes:?}: goes on naming an ill parent: {named:?}");
-        (9_000..9_020).for_each(|id| world.access(&mut front, id, 1, id));
-        let first = |id| world.told[&id].pushes.first().is_some_and(|p: &Out| p.source == "parent-0");
-        let again = (9_000..9_020).filter(|&id| first(id)).count();
-        assert!(again > 1, "{notes:?}: still on trial");
-        assert!(named[2] > 250, "{notes:?}: does not find it again: {named:?}");
-        assert!(declined < 20, "{notes:?}: its refusals are taken for the caches': {declined}");
+        assert!(named[1] < 100, "{status_reporting:?}: goes on naming an unhealthy parent: {named:?}");
+        (9_000..9_020).for_each(|id| sim.access(&mut front, id, 1, id));
+        let first = |id| sim.accesses[&id].pushes.first().is_some_and(|p: &SentPush| p.source == "parent-0");
+        let used_again = (9_000..9_020).filter(|&id| first(id)).count();
+        assert!(used_again > 1, "{status_reporting:?}: still on probation");
+        assert!(named[2] > 250, "{status_reporting:?}: doesn't use the recovered parent again: {named:?}");
+        assert!(
+            declined < 20,
+            "{status_reporting:?}: the caches are blamed for the parent's refusals: {declined} accesses declined"
+        );
     }
 }
 
 #[test]
-fn a_parent_with_too_much_out_is_passed_over_to_the_origin() {
-    let (mut world, mut front) = World::new(settings(), &zone(4, 1));
+fn fills_beyond_the_limit_of_a_parent_go_to_the_origin() {
+    let (mut sim, mut front) = Simulation::new(settings(), &member_list(4, 1));
     for id in 0..40 {
-        world.access(&mut front, id, 1, id % 7);
+        sim.access(&mut front, id, 1, id % 7);
     }
     let named = |source: &str| {
-        let first = |t: &&Told| t.pushes.first().is_some_and(|p| p.source == source);
-        world.told.values().filter(first).count()
+        let first = |record: &&AccessRecord| record.pushes.first().is_some_and(|p| p.source == source);
+        sim.accesses.values().filter(first).count()
     };
     assert_eq!((named("parent-0"), named("origin")), (20, 20));
 }
 
-/// A zone without caches sends straight over its link in, and no more than that link may fill.
+/// A zone without caches sends accesses directly to parents, over its inbound link: no more than the fill limit.
 #[test]
-fn straight_pushes_keep_the_limit_on_fills() {
-    let (mut world, mut front) = World::new(settings(), &zone(0, 3));
+fn pushes_that_bypass_the_caches_count_as_fills() {
+    let (mut sim, mut front) = Simulation::new(settings(), &member_list(0, 3));
     for id in 0..300 {
-        world.access(&mut front, id, 1, id);
+        sim.access(&mut front, id, 1, id);
     }
-    let out = world.told.values().filter(|t| t.finals == 0).count();
-    assert!((30..=50).contains(&out), "{out}");
+    let in_flight = sim.accesses.values().filter(|record| record.final_answers == 0).count();
+    assert!((30..=50).contains(&in_flight), "{in_flight} in flight");
 }
 
-/// A zone goes silent and answers again, empty: before any list says so it is asked little, looks included.
+/// All caches of a zone fall silent and answer again, empty. They get little load, lookups included, before any list
+/// says that they have restarted.
 #[test]
-fn a_zone_back_from_silence_is_taken_for_cold() {
-    let (mut world, mut front) = World::new(settings(), &zone(3, 2));
-    let (mut back, mut asked) = (0, 0);
+fn caches_that_answer_again_after_a_silence_are_cold() {
+    let (mut sim, mut front) = Simulation::new(settings(), &member_list(3, 2));
+    let (mut back_at, mut sent) = (0, 0);
     for id in 0..3_000 {
-        world.access(&mut front, id, 1, id % 50);
+        sim.access(&mut front, id, 1, id % 50);
         let (silent, empty) = ((1_500..1_800).contains(&id), id >= 1_800);
-        world.pass(&mut front, 100);
+        sim.advance(&mut front, 100);
         if id == 1_800 {
-            back = world.now;
+            back_at = sim.now;
         }
         for push in 0..6 {
-            let Some(t) = world.told.get(&id).filter(|t| t.finals == 0 && t.pushes.len() > push) else {
+            let Some(record) = sim
+                .accesses
+                .get(&id)
+                .filter(|record| record.final_answers == 0 && record.pushes.len() > push)
+            else {
                 break;
             };
-            if silent || t.pushes[push].ended.is_some() {
+            if silent || record.pushes[push].outcome.is_some() {
                 break;
             }
-            let look = t.pushes[push].cache == t.pushes[push].source;
-            asked += u32::from(empty && world.now < back + 20_000 && t.pushes[push].cache == "cache-0");
-            let outcome = if empty && look { Outcome::Miss } else { Outcome::Handled };
-            world.end(&mut front, id, push, outcome, CacheStatus::Filled);
+            let is_lookup = record.pushes[push].cache == record.pushes[push].source;
+            sent += u32::from(empty && sim.now < back_at + 20_000 && record.pushes[push].cache == "cache-0");
+            let outcome = if empty && is_lookup { Outcome::Miss } else { Outcome::Handled };
+            sim.end_push(&mut front, id, push, outcome, CacheStatus::Filled);
         }
     }
-    assert!((1..=20).contains(&asked), "a third of 200 accesses, and fills of what they miss: {asked}");
+    assert!(
+        (1..=20).contains(&sent),
+        "{sent} pushes in 2 s to a cold cache, which when warm gets a third of 200 accesses"
+    );
 }
 
-/// A tenth of all connections break everywhere, while the caches answer the rest: nobody has started anew, and
-/// nobody is left alone for it.
+/// A tenth of all connections break, at all caches alike, while they answer the rest: no cache is taken for
+/// restarted, and none is ejected.
 #[test]
-fn breaks_everywhere_are_no_restarts() {
-    let (mut world, mut front) = World::new(settings(), &zone(3, 2));
+fn connections_that_break_everywhere_are_not_restarts() {
+    let (mut sim, mut front) = Simulation::new(settings(), &member_list(3, 2));
     let mut declined = 0;
     for id in 0..2_000 {
-        world.access(&mut front, id, 1, id % 50);
-        // Each cache is silent to this front for over a second, as at a size where it has many fronts.
-        world.pass(&mut front, 5_000);
+        sim.access(&mut front, id, 1, id % 50);
+        // Each cache is silent to this front for more than a second, as where many fronts share the load.
+        sim.advance(&mut front, 5_000);
         for push in 0..3 {
-            let Some(t) = world.told.get(&id).filter(|t| t.finals == 0 && t.pushes.len() > push) else {
+            let Some(record) = sim
+                .accesses
+                .get(&id)
+                .filter(|record| record.final_answers == 0 && record.pushes.len() > push)
+            else {
                 break;
             };
-            if t.pushes[push].ended.is_none() {
+            if record.pushes[push].outcome.is_none() {
                 let outcome = if id % 10 == push as u64 { Outcome::Broken } else { Outcome::Handled };
-                world.end(&mut front, id, push, outcome, CacheStatus::Filled);
+                sim.end_push(&mut front, id, push, outcome, CacheStatus::Filled);
             }
         }
-        declined += u32::from(world.told.get(&id).is_some_and(|t| t.declined));
+        declined += u32::from(sim.accesses.get(&id).is_some_and(|record| record.declined));
     }
     assert_eq!(declined, 0);
-    assert!(world.logs < 100, "left alone {} times", world.logs);
+    assert!(sim.log_events < 100, "{} ejections", sim.log_events);
 }
 
-/// What a cold cache is sent stays within its budget in every window, misses without a source included.
+/// What a cold cache is sent stays within its budget in every window, also where there is no source and each lookup
+/// misses.
 #[test]
-fn a_cold_cache_is_sent_no_more_than_its_part() {
-    for flood in [false, true] {
-        let (mut world, mut front) = World::new(settings(), &zone(3, 2));
-        let mut times = Vec::new();
+fn a_cold_cache_is_sent_no_more_than_its_budget() {
+    for no_source in [false, true] {
+        let (mut sim, mut front) = Simulation::new(settings(), &member_list(3, 2));
+        let mut sent_times = Vec::new();
         for id in 0..6_000 {
             if id == 2_000 {
-                let mut back = member("cache-0", 0, 0);
-                back.started_at = Some(world.now);
-                let mut list = vec![back];
-                if flood {
-                    list.extend(zone(0, 2).into_iter().filter(|m| m.kind != 0));
-                    list[1..].iter_mut().for_each(|m| m.status = MemberStatus::Gone);
+                let mut restarted = member("cache-0", 0, 0);
+                restarted.started_at = Some(sim.now);
+                let mut changed = vec![restarted];
+                if no_source {
+                    changed.extend(member_list(0, 2).into_iter().filter(|m| m.kind != 0));
+                    changed[1..].iter_mut().for_each(|m| m.status = MemberStatus::Gone);
                 }
-                world.tell(&mut front, &list, false);
+                sim.send_list(&mut front, &changed, false);
             }
-            world.access(&mut front, id, 1, id);
-            world.pass(&mut front, 100);
+            sim.access(&mut front, id, 1, id);
+            sim.advance(&mut front, 100);
             for push in 0..6 {
-                let Some(t) = world.told.get(&id).filter(|t| t.finals == 0 && t.pushes.len() > push) else {
+                let Some(record) = sim
+                    .accesses
+                    .get(&id)
+                    .filter(|record| record.final_answers == 0 && record.pushes.len() > push)
+                else {
                     break;
                 };
-                if id >= 2_000 && t.pushes[push].cache == "cache-0" {
-                    times.push(t.pushes[push].at);
+                if id >= 2_000 && record.pushes[push].cache == "cache-0" {
+                    sent_times.push(record.pushes[push].sent_at);
                 }
-                let filled = t.pushes[push].cache != t.pushes[push].source;
+                let filled = record.pushes[push].cache != record.pushes[push].source;
                 let outcome = if filled { Outcome::Handled } else { Outcome::Miss };
-                world.end(&mut front, id, push, outcome, CacheStatus::Filled);
+                sim.end_push(&mut front, id, push, outcome, CacheStatus::Filled);
             }
         }
-        // The three caches share 6,000 accesses in 60 s: a warm one carries 67 in a window of 2 s, and the cold one
-        // may get three times its share of that, a fifth and rising (taken at the window's middle).
-        let start = times[0];
-        for &t in &times {
-            let sent = times.iter().filter(|&&u| u >= t && u < t + 20_000).count() as f64;
-            let share = 0.2 + 0.8 * (t + 10_000 - start) as f64 / 160_000.0;
-            assert!(sent <= 67.0 * 3.0 * share.min(1.0) + 2.0, "{sent} at {} ms", (t - start) / 10);
+        // The three caches share 6,000 accesses in 60 s: a warm one gets 67 in a window of 2 s, and the cold one may
+        // get three times its share of that, which rises from a fifth (taken at the middle of the window).
+        let first = sent_times[0];
+        for &window_start in &sent_times {
+            let sent =
+                sent_times.iter().filter(|&&u| u >= window_start && u < window_start + 20_000).count() as f64;
+            let share = 0.2 + 0.8 * (window_start + 10_000 - first) as f64 / 160_000.0;
+            assert!(
+                sent <= 67.0 * 3.0 * share.min(1.0) + 2.0,
+                "{sent} pushes in the window at {} ms",
+                (window_start - first) / 10
+            );
         }
-        assert!(times.len() > 20, "it is used at all");
+        assert!(sent_times.len() > 20, "the cold cache is hardly used: {} pushes", sent_times.len());
     }
 }
 
-/// Fills that come late fill the link: from then on caches are asked first, and what they lack is declined.
+/// Fills come too late, so the inbound link is full: from then on accesses are looked up first, and misses declined.
 #[test]
-fn a_full_link_in_is_left_to_hits() {
-    let (mut world, mut front) = World::new(settings(), &zone(3, 2));
+fn while_the_inbound_link_is_full_only_hits_are_served() {
+    let (mut sim, mut front) = Simulation::new(settings(), &member_list(3, 2));
     for id in 0..400 {
-        world.access(&mut front, id, 1, 1_000 + id);
-        world.pass(&mut front, 100);
+        sim.access(&mut front, id, 1, 1_000 + id);
+        sim.advance(&mut front, 100);
     }
-    let told = world.told.values().filter(|t| t.finals == 0);
-    assert!(told.clone().count() < 100, "fills pile up: {}", told.count());
-    world.told.retain(|_, t| t.finals == 0 && t.pushes[0].cache == t.pushes[0].source);
-    let looks: Vec<_> = world.told.keys().copied().collect();
-    assert!(!looks.is_empty(), "looks first");
-    for &id in &looks {
-        world.end(&mut front, id, 0, Outcome::Miss, CacheStatus::Untold);
+    let open = sim.accesses.values().filter(|record| record.final_answers == 0);
+    assert!(open.clone().count() < 100, "fills pile up: {}", open.count());
+    sim.accesses
+        .retain(|_, record| record.final_answers == 0 && record.pushes[0].cache == record.pushes[0].source);
+    let lookups: Vec<_> = sim.accesses.keys().copied().collect();
+    assert!(!lookups.is_empty(), "no access was looked up first");
+    for &id in &lookups {
+        sim.end_push(&mut front, id, 0, Outcome::Miss, CacheStatus::Untold);
     }
-    let filled = looks.iter().filter(|id| !world.told[id].declined).count();
-    assert!(2 * filled < looks.len(), "missed, past the limit: {filled} of {}", looks.len());
+    let filled = lookups.iter().filter(|id| !sim.accesses[id].declined).count();
+    assert!(2 * filled < lookups.len(), "filled beyond the limit: {filled} of {} misses", lookups.len());
 }
 
 #[test]
-fn no_cache_no_parent_or_nothing_at_all_still_gets_its_answer() {
-    for straight in [false, true] {
+fn an_access_ends_whichever_members_are_missing() {
+    for cache_bypass in [false, true] {
         for (caches, parents, origin) in
             [(0, 2, true), (0, 0, true), (1, 0, true), (1, 0, false), (0, 0, false)]
         {
-            let mut set = settings();
-            set.features = Features {
-                join_fills: false,
-                cache_bypass: straight,
-                cancel_pushes: false,
-                hedged_pushes: false,
-            };
+            let mut settings = settings();
+            settings.features =
+                Features { join_fills: false, cache_bypass, cancel_pushes: false, hedged_pushes: false };
             let members: Vec<_> =
-                zone(caches, parents).into_iter().filter(|m| origin || m.kind != 2).collect();
-            let (mut world, mut front) = World::new(set, &members);
-            world.access(&mut front, 1, 1, 1);
-            let served = caches > 0 || (straight && (parents > 0 || origin));
-            assert_eq!(world.told[&1].pushes.len(), usize::from(served));
-            assert_eq!(world.told[&1].declined, !served);
-            world.access(&mut front, 2, 3, 1);
-            assert_eq!(world.told[&2].pushes.len(), usize::from(origin && (straight || caches > 0)));
+                member_list(caches, parents).into_iter().filter(|m| origin || m.kind != 2).collect();
+            let (mut sim, mut front) = Simulation::new(settings, &members);
+            sim.access(&mut front, 1, 1, 1);
+            let served = caches > 0 || (cache_bypass && (parents > 0 || origin));
+            assert_eq!(sim.accesses[&1].pushes.len(), usize::from(served));
+            assert_eq!(sim.accesses[&1].declined, !served);
+            sim.access(&mut front, 2, 3, 1);
+            assert_eq!(sim.accesses[&2].pushes.len(), usize::from(origin && (cache_bypass || caches > 0)));
         }
     }
 }
 
 #[test]
-fn a_refused_list_call_is_made_again() {
-    let set = Settings { list_on_request: true, ..settings() };
-    let (mut world, mut front) = World::new(set, &zone(1, 1));
-    front.member_list_rejected(world.now, &mut world);
-    world.pass(&mut front, 30_000);
-    assert_eq!(world.follows, 2);
+fn a_rejected_member_list_request_is_made_again() {
+    let settings = Settings { list_on_request: true, ..settings() };
+    let (mut sim, mut front) = Simulation::new(settings, &member_list(1, 1));
+    front.member_list_rejected(sim.now, &mut sim);
+    sim.advance(&mut front, 30_000);
+    assert_eq!(sim.list_requests, 2);
 }
 
-/// The origin refuses behind every parent until it is asked less: fills fall to a few, parents are asked for what
-/// they hold, nothing is tried elsewhere, and fills rise again once they succeed.
+/// The origin refuses the fills of all parents until it gets fewer: the fill limit falls to a few, parents are asked
+/// only for what they hold, nothing is sent elsewhere, and the limit rises again once fills succeed.
 #[test]
-fn an_origin_that_refuses_is_asked_less_and_found_again() {
-    let (mut world, mut front) = World::new(settings(), &zone(3, 3));
-    let (mut asked, mut kept, mut late) = (0, 0, 0);
+fn an_origin_that_refuses_gets_fewer_fills_until_it_recovers() {
+    let (mut sim, mut front) = Simulation::new(settings(), &member_list(3, 3));
+    let (mut origin_fills, mut only_if_cached, mut filled_again) = (0, 0, 0);
     for id in 0..6_000 {
-        world.access(&mut front, id, 1, 1_000_000 + id);
-        world.pass(&mut front, 100);
+        sim.access(&mut front, id, 1, 1_000_000 + id);
+        sim.advance(&mut front, 100);
         for push in 0..8 {
-            let Some(t) = world.told.get(&id).filter(|t| t.finals == 0 && t.pushes.len() > push) else {
+            let Some(record) = sim
+                .accesses
+                .get(&id)
+                .filter(|record| record.final_answers == 0 && record.pushes.len() > push)
+            else {
                 break;
             };
-            let (p, refuses) = (&t.pushes[push], (1_000..4_000).contains(&id));
-            let (outcome, note) = match () {
+            let (p, refuses) = (&record.pushes[push], (1_000..4_000).contains(&id));
+            let (outcome, cache_status) = match () {
                 _ if p.cache == p.source => (Outcome::Miss, CacheStatus::Untold),
-                _ if p.kept_only => (Outcome::Miss, CacheStatus::SourceLacks),
+                _ if p.only_if_cached => (Outcome::Miss, CacheStatus::SourceLacks),
                 _ if refuses => (Outcome::Full, CacheStatus::OriginFailed),
                 _ => (Outcome::Handled, CacheStatus::FilledByOrigin),
             };
-            let settled = (2_000..4_000).contains(&id);
-            asked += u32::from(settled && note == CacheStatus::OriginFailed);
-            kept += u32::from(settled && p.kept_only);
-            late += u32::from(id >= 5_500 && outcome == Outcome::Handled);
-            world.end(&mut front, id, push, outcome, note);
+            let steady = (2_000..4_000).contains(&id);
+            origin_fills += u32::from(steady && cache_status == CacheStatus::OriginFailed);
+            only_if_cached += u32::from(steady && p.only_if_cached);
+            filled_again += u32::from(id >= 5_500 && outcome == Outcome::Handled);
+            sim.end_push(&mut front, id, push, outcome, cache_status);
         }
     }
-    assert!((5..400).contains(&asked), "asked {asked} times of 2000");
-    assert!(kept > 1_000, "parents asked for what they hold {kept} times");
-    assert!(late > 450, "{late} of 500 filled again");
+    assert!((5..400).contains(&origin_fills), "{origin_fills} fills sent to the origin for 2000 accesses");
+    assert!(only_if_cached > 1_000, "{only_if_cached} pushes ask parents only for what they hold");
+    assert!(filled_again > 450, "{filled_again} of 500 filled again");
 }
 
-/// Rule 4 with sixty fronts: a parent that has just started is not pushed over by one first push from each.
+/// Rule 4, a cold member is not overloaded, with 60 fronts: the first push of each together must not be too much for
+/// a parent that has just started.
 #[test]
-fn many_fronts_do_not_push_a_cold_parent_over_together() {
-    let mut named = 0;
+fn many_fronts_together_do_not_overload_a_cold_parent() {
+    let mut cold_fills = 0;
     for seed in 0..60 {
-        let set = Settings { zone_fronts: 5, ..settings() };
-        let (mut world, mut front) = World::seeded(set, &zone(3, 3), seed);
-        let mut back = 0;
+        let settings = Settings { zone_fronts: 5, ..settings() };
+        let (mut sim, mut front) = Simulation::seeded(settings, &member_list(3, 3), seed);
+        let mut restarted_at = 0;
         for id in 0..260 {
             if id == 200 {
                 let mut cold = member("parent-0", 1, 1);
-                cold.started_at = Some(world.now);
-                back = world.now;
-                world.tell(&mut front, &[cold], false);
+                cold.started_at = Some(sim.now);
+                restarted_at = sim.now;
+                sim.send_list(&mut front, &[cold], false);
             }
-            world.access(&mut front, id, 1, 1_000 * seed + id);
-            world.pass(&mut front, 2_000);
+            sim.access(&mut front, id, 1, 1_000 * seed + id);
+            sim.advance(&mut front, 2_000);
             for push in 0..3 {
-                let Some(t) = world.told.get(&id).filter(|t| t.finals == 0 && t.pushes.len() > push) else {
+                let Some(record) = sim
+                    .accesses
+                    .get(&id)
+                    .filter(|record| record.final_answers == 0 && record.pushes.len() > push)
+                else {
                     break;
                 };
-                let p = &t.pushes[push];
-                let look = p.cache == p.source;
-                named += u32::from(id >= 200 && p.at < back + 20_000 && p.source == "parent-0");
-                let outcome = if look { Outcome::Miss } else { Outcome::Handled };
-                world.end(&mut front, id, push, outcome, CacheStatus::Filled);
+                let p = &record.pushes[push];
+                let is_lookup = p.cache == p.source;
+                cold_fills +=
+                    u32::from(id >= 200 && p.sent_at < restarted_at + 20_000 && p.source == "parent-0");
+                let outcome = if is_lookup { Outcome::Miss } else { Outcome::Handled };
+                sim.end_push(&mut front, id, push, outcome, CacheStatus::Filled);
             }
         }
     }
-    // Each front names each parent for a third of five accesses a second, 0.2 s each: 20 transfers in all. Cold, a
-    // tenth of that, twice over, is 8 transfer seconds in a window of 2 s: 40 pushes.
-    assert!((5..=40).contains(&named), "{named} fills in two seconds");
+    // Each front names each parent for a third of 5 accesses per second of 0.2 s each: 20 concurrent transfers in
+    // all. A cold parent may get twice a tenth of that: 8 s of transfers in a window of 2 s, so 40 pushes.
+    assert!((5..=40).contains(&cold_fills), "{cold_fills} fills through the cold parent in 2 s");
 }
 
-/// A fifth of all pushes vanish while their caches answer the rest at once: the access is sent again in time.
+/// A fifth of all pushes get no answer, while the caches answer the rest at once: the access is sent again in time.
 #[test]
 fn a_lost_push_is_sent_again() {
-    let (mut world, mut front) = World::new(settings(), &zone(3, 2));
+    let (mut sim, mut front) = Simulation::new(settings(), &member_list(3, 2));
     let mut in_time = 0;
     for id in 0..2_000 {
-        world.access(&mut front, id, 1, id % 60);
-        world.pass(&mut front, 400);
-        let out = |t: &Told| {
-            let open =
-                |(n, p): (usize, &Out)| p.ended.is_none() && !(t.access.id + n as u64).is_multiple_of(5);
-            let push = t.pushes.iter().enumerate().position(open)?;
-            Some((t.access.id, push)).filter(|_| t.finals == 0)
+        sim.access(&mut front, id, 1, id % 60);
+        sim.advance(&mut front, 400);
+        let answered = |record: &AccessRecord| {
+            let gets_answer = |(n, p): (usize, &SentPush)| {
+                p.outcome.is_none() && !(record.access.id + n as u64).is_multiple_of(5)
+            };
+            let push = record.pushes.iter().enumerate().position(gets_answer)?;
+            Some((record.access.id, push)).filter(|_| record.final_answers == 0)
         };
-        let all: Vec<_> = world.told.values().filter_map(out).collect();
-        for (at, push) in all {
-            in_time += u32::from(id >= 1_000 && world.now < world.told[&at].pushes[0].at + 4_000);
-            world.end(&mut front, at, push, Outcome::Handled, CacheStatus::Hit);
+        let answers: Vec<_> = sim.accesses.values().filter_map(answered).collect();
+        for (access, push) in answers {
+            in_time += u32::from(id >= 1_000 && sim.now < sim.accesses[&access].pushes[0].sent_at + 4_000);
+            sim.end_push(&mut front, access, push, Outcome::Handled, CacheStatus::Hit);
         }
     }
     assert!(in_time > 900, "{in_time} of 1000 answered within the soft limit");
 }
 
-/// A few answers never come, from all caches alike, and the others are quick.
+/// A few answers never come, from all caches alike, while the others are fast.
 #[test]
-fn a_stuck_push_gets_a_second_copy_and_lowers_no_limit() {
-    let (mut world, mut front) = World::new(settings(), &zone(3, 2));
+fn an_access_whose_push_is_stuck_is_sent_a_second_time_and_lowers_no_limit() {
+    let (mut sim, mut front) = Simulation::new(settings(), &member_list(3, 2));
     let mut in_time = 0;
     for id in 0..2_000 {
-        world.access(&mut front, id, 1, id % 60);
-        world.pass(&mut front, 400);
-        for at in id.saturating_sub(30)..=id {
-            let Some(t) = world.told.get(&at).filter(|t| t.finals == 0) else { continue };
-            let open = |(n, p): (usize, &Out)| p.ended.is_none() && !(at + 5 * n as u64).is_multiple_of(12);
-            let Some(push) = t.pushes.iter().enumerate().position(open) else { continue };
-            in_time += u32::from(id >= 1_000 && world.now < t.pushes[0].at + 3_200);
-            let note = if at % 3 == 0 { CacheStatus::Filled } else { CacheStatus::Hit };
-            world.end(&mut front, at, push, Outcome::Handled, note);
+        sim.access(&mut front, id, 1, id % 60);
+        sim.advance(&mut front, 400);
+        for earlier in id.saturating_sub(30)..=id {
+            let Some(record) = sim.accesses.get(&earlier).filter(|record| record.final_answers == 0) else {
+                continue;
+            };
+            let gets_answer = |(n, p): (usize, &SentPush)| {
+                p.outcome.is_none() && !(earlier + 5 * n as u64).is_multiple_of(12)
+            };
+            let Some(push) = record.pushes.iter().enumerate().position(gets_answer) else { continue };
+            in_time += u32::from(id >= 1_000 && sim.now < record.pushes[0].sent_at + 3_200);
+            let cache_status = if earlier % 3 == 0 { CacheStatus::Filled } else { CacheStatus::Hit };
+            sim.end_push(&mut front, earlier, push, Outcome::Handled, cache_status);
         }
     }
     assert!(in_time > 940, "{in_time} of 1000 answered in four fifths of the soft limit");
 }
 
-/// One fill in eight hangs until its time is up, though its cache gives others, a few of them late: what hangs
-/// must not hold the room of what could be filled.
+/// One fill in eight hangs until it times out, though its cache answers others, a few of them late: a fill that hangs
+/// must not use the capacity of those that could succeed.
 #[test]
-fn fills_that_hang_do_not_hold_room_until_their_time_is_up() {
-    let (mut world, mut front) = World::new(
+fn fills_that_hang_do_not_use_capacity_until_they_time_out() {
+    let (mut sim, mut front) = Simulation::new(
         Settings {
             zone_fronts: 4,
             features: Features { hedged_pushes: false, ..settings().features },
             ..settings()
         },
-        &zone(3, 2),
+        &member_list(3, 2),
     );
     let mut handled = 0;
     for id in 0..3_000u64 {
-        world.access(&mut front, id, 1, id);
-        world.pass(&mut front, 50);
-        for at in id.saturating_sub(200)..=id {
-            let Some(t) = world.told.get(&at).filter(|t| t.finals == 0) else { continue };
-            let Some(push) = t.pushes.iter().position(|p| p.ended.is_none()) else { continue };
-            let p = &t.pushes[push];
-            let takes = if at % 40 == 1 { 4_400 } else { 2_000 };
+        sim.access(&mut front, id, 1, id);
+        sim.advance(&mut front, 50);
+        for earlier in id.saturating_sub(200)..=id {
+            let Some(record) = sim.accesses.get(&earlier).filter(|record| record.final_answers == 0) else {
+                continue;
+            };
+            let Some(push) = record.pushes.iter().position(|p| p.outcome.is_none()) else { continue };
+            let p = &record.pushes[push];
+            let fill_time = if earlier % 40 == 1 { 4_400 } else { 2_000 };
             if p.source == p.cache {
-                world.end(&mut front, at, push, Outcome::Miss, CacheStatus::Untold);
-            } else if at % 8 > 0 && world.now >= p.at + takes {
-                handled += u32::from(at >= 1_000);
-                world.end(&mut front, at, push, Outcome::Handled, CacheStatus::Filled);
+                sim.end_push(&mut front, earlier, push, Outcome::Miss, CacheStatus::Untold);
+            } else if earlier % 8 > 0 && sim.now >= p.sent_at + fill_time {
+                handled += u32::from(earlier >= 1_000);
+                sim.end_push(&mut front, earlier, push, Outcome::Handled, CacheStatus::Filled);
             }
         }
     }
     assert!(handled > 1_620, "{handled} of 2000 handled");
 }
 
-/// Another front of the crew stops, and its clients come: nothing is late, so next to nothing is declined.
+/// Another front of the zone stops and its clients come to this one: nothing is late, so hardly anything is declined.
 #[test]
-fn limits_follow_a_surge_that_makes_nothing_late() {
-    let (mut world, mut front) = World::new(Settings { zone_fronts: 4, ..settings() }, &zone(3, 2));
+fn limits_rise_in_a_surge_that_makes_nothing_late() {
+    let (mut sim, mut front) = Simulation::new(Settings { zone_fronts: 4, ..settings() }, &member_list(3, 2));
     let (mut id, mut declined) = (0, 0);
     for step in 0..900 {
         for _ in 0..if step < 300 { 1 } else { 3 } {
-            world.access(&mut front, id, 1, id % 60);
-            declined += u32::from(world.told[&id].declined);
+            sim.access(&mut front, id, 1, id % 60);
+            declined += u32::from(sim.accesses[&id].declined);
             id += 1;
         }
-        world.pass(&mut front, 100);
-        let due = |t: &Told| {
-            let push = t.pushes.iter().position(|p| p.ended.is_none() && world.now >= p.at + 1_200)?;
-            Some((t.access.id, push)).filter(|_| t.finals == 0)
+        sim.advance(&mut front, 100);
+        let answered = |record: &AccessRecord| {
+            let push =
+                record.pushes.iter().position(|p| p.outcome.is_none() && sim.now >= p.sent_at + 1_200)?;
+            Some((record.access.id, push)).filter(|_| record.final_answers == 0)
         };
-        let all: Vec<_> = world.told.values().filter_map(due).collect();
-        all.into_iter()
-            .for_each(|(at, push)| world.end(&mut front, at, push, Outcome::Handled, CacheStatus::Filled));
+        let answers: Vec<_> = sim.accesses.values().filter_map(answered).collect();
+        answers.into_iter().for_each(|(access, push)| {
+            sim.end_push(&mut front, access, push, Outcome::Handled, CacheStatus::Filled)
+        });
     }
     assert!(declined < 30, "{declined} of {id} declined");
 }
 
 /// No cache of the zone can be reached any more.
 #[test]
-fn accesses_go_straight_while_no_cache_can_be_reached() {
-    let (mut world, mut front) = World::new(settings(), &zone(3, 2));
-    let (mut straight, mut wasted) = (0, 0);
+fn accesses_bypass_the_caches_while_none_can_be_reached() {
+    let (mut sim, mut front) = Simulation::new(settings(), &member_list(3, 2));
+    let (mut bypassed, mut wasted) = (0, 0);
     for id in 0..400 {
-        world.access(&mut front, id, 1, id % 60);
+        sim.access(&mut front, id, 1, id % 60);
         for push in 0..8 {
-            let Some(p) = world.told[&id].pushes.get(push).filter(|_| world.told[&id].finals == 0) else {
+            let Some(p) = sim.accesses[&id].pushes.get(push).filter(|_| sim.accesses[&id].final_answers == 0)
+            else {
                 break;
             };
             let cache = p.cache.starts_with("cache");
-            straight += u32::from(!cache);
+            bypassed += u32::from(!cache);
             wasted += u32::from(cache);
             let outcome = if cache { Outcome::Unreachable } else { Outcome::Handled };
-            world.end(&mut front, id, push, outcome, CacheStatus::Filled);
+            sim.end_push(&mut front, id, push, outcome, CacheStatus::Filled);
         }
-        world.pass(&mut front, 400);
+        sim.advance(&mut front, 400);
     }
-    assert!(straight > 370 && wasted < 120, "{straight} of 400 straight, {wasted} pushes wasted");
+    assert!(bypassed > 370 && wasted < 120, "{bypassed} of 400 bypassed the caches, {wasted} pushes wasted");
 }
 
 #[test]
-fn an_access_that_two_caches_fail_goes_no_further() {
-    let (mut world, mut front) = World::new(settings(), &zone(3, 2));
+fn an_access_that_failed_at_two_caches_is_not_sent_again() {
+    let (mut sim, mut front) = Simulation::new(settings(), &member_list(3, 2));
     for id in 0..200 {
-        world.access(&mut front, id, 1, id % 60);
+        sim.access(&mut front, id, 1, id % 60);
         for push in 0..8 {
-            if world.told[&id].finals == 0 && world.told[&id].pushes.len() > push {
+            if sim.accesses[&id].final_answers == 0 && sim.accesses[&id].pushes.len() > push {
                 let outcome = if id % 2 == 0 { Outcome::Error } else { Outcome::Handled };
-                world.end(&mut front, id, push, outcome, CacheStatus::Untold);
+                sim.end_push(&mut front, id, push, outcome, CacheStatus::Untold);
             }
         }
-        let t = &world.told[&id];
-        assert!(t.finals == 1 && t.pushes.len() <= 2, "{} pushes for what a client made up", t.pushes.len());
-        world.pass(&mut front, 400);
+        let record = &sim.accesses[&id];
+        assert!(
+            record.final_answers == 1 && record.pushes.len() <= 2,
+            "{} pushes for an access that always fails",
+            record.pushes.len()
+        );
+        sim.advance(&mut front, 400);
     }
 }
 
-/// One of twenty fronts, while every fill comes late: its part of the zone's limit goes far under one fill at a time.
+/// One of twenty fronts, while every fill is late: its part of the zone's fill limit falls far below one fill at a
+/// time.
 #[test]
-fn a_front_of_many_fills_only_its_part() {
-    let (mut world, mut front) = World::new(Settings { zone_fronts: 20, ..settings() }, &zone(3, 2));
+fn one_of_many_fronts_fills_only_its_part() {
+    let (mut sim, mut front) =
+        Simulation::new(Settings { zone_fronts: 20, ..settings() }, &member_list(3, 2));
     let mut filled = 0;
     for id in 0..600 {
-        world.access(&mut front, id, 1, id);
-        world.pass(&mut front, 500);
-        for at in id.saturating_sub(13)..=id {
-            let Some(t) = world.told.get(&at).filter(|t| t.finals == 0) else { continue };
-            let push = t.pushes.len() - 1;
-            let look = t.pushes[push].cache == t.pushes[push].source;
-            if look {
-                world.end(&mut front, at, push, Outcome::Miss, CacheStatus::Untold);
-            } else if world.now > t.pushes[push].at + 6_000 {
+        sim.access(&mut front, id, 1, id);
+        sim.advance(&mut front, 500);
+        for earlier in id.saturating_sub(13)..=id {
+            let Some(record) = sim.accesses.get(&earlier).filter(|record| record.final_answers == 0) else {
+                continue;
+            };
+            let push = record.pushes.len() - 1;
+            let is_lookup = record.pushes[push].cache == record.pushes[push].source;
+            if is_lookup {
+                sim.end_push(&mut front, earlier, push, Outcome::Miss, CacheStatus::Untold);
+            } else if sim.now > record.pushes[push].sent_at + 6_000 {
                 filled += u32::from(id >= 400);
-                world.end(&mut front, at, push, Outcome::Handled, CacheStatus::Filled);
+                sim.end_push(&mut front, earlier, push, Outcome::Handled, CacheStatus::Filled);
             }
         }
     }
-    assert!((1..=30).contains(&filled), "{filled} of 200 filled in ten seconds, late");
+    assert!((1..=30).contains(&filled), "{filled} of 200 filled, late, in 10 s");
 }
 
-/// Both parents fall silent while the origin answers: they don't hide each other, and it takes over.
+/// Both parents fall silent while the origin answers: both are found to be outliers, and the origin takes over.
 #[test]
 fn two_silent_parents_do_not_hide_each_other() {
-    for notes in [StatusReporting::All, StatusReporting::Never] {
-        let (mut world, mut front) =
-            World::new(Settings { status_reporting: notes, zone_fronts: 5, ..settings() }, &zone(3, 2));
+    for status_reporting in [StatusReporting::All, StatusReporting::Never] {
+        let (mut sim, mut front) =
+            Simulation::new(Settings { status_reporting, zone_fronts: 5, ..settings() }, &member_list(3, 2));
         let mut in_time = 0;
         for id in 0..1_200 {
-            world.access(&mut front, id, 1, id);
-            world.pass(&mut front, 1_000);
-            let answers = |p: &Out| id < 200 || p.source == "origin" || p.source == p.cache;
-            let out = |t: &Told| {
-                Some((t.access.id, t.pushes.iter().position(|p| p.ended.is_none() && answers(p))?))
+            sim.access(&mut front, id, 1, id);
+            sim.advance(&mut front, 1_000);
+            let answers = |p: &SentPush| id < 200 || p.source == "origin" || p.source == p.cache;
+            let answered = |record: &AccessRecord| {
+                Some((
+                    record.access.id,
+                    record.pushes.iter().position(|p| p.outcome.is_none() && answers(p))?,
+                ))
             };
-            let all: Vec<_> = world.told.values().filter(|t| t.finals == 0).filter_map(out).collect();
-            for (at, push) in all {
-                let p = &world.told[&at].pushes[push];
-                let (look, first) = (p.source == p.cache, world.told[&at].pushes[0].at);
-                in_time += u32::from(at >= 600 && !look && world.now < first + 5_000);
-                let outcome = if look { Outcome::Miss } else { Outcome::Handled };
-                world.end(&mut front, at, push, outcome, CacheStatus::Filled);
+            let pushes: Vec<_> = sim
+                .accesses
+                .values()
+                .filter(|record| record.final_answers == 0)
+                .filter_map(answered)
+                .collect();
+            for (access, push) in pushes {
+                let p = &sim.accesses[&access].pushes[push];
+                let (is_lookup, first_sent_at) =
+                    (p.source == p.cache, sim.accesses[&access].pushes[0].sent_at);
+                in_time += u32::from(access >= 600 && !is_lookup && sim.now < first_sent_at + 5_000);
+                let outcome = if is_lookup { Outcome::Miss } else { Outcome::Handled };
+                sim.end_push(&mut front, access, push, outcome, CacheStatus::Filled);
             }
         }
-        assert!(in_time > 400, "{notes:?}: {in_time} of 600 by way of the origin");
+        assert!(in_time > 400, "{status_reporting:?}: {in_time} of 600 filled from the origin in time");
     }
 }
