--- a/crates/cli/src/check.rs
+++ b/crates/cli/src/check.rs
@@ -46,15 +46,15 @@
             None => report(Ok("settings: sound; the hierarchy is off".into())),
             Some(hierarchy) => {
                 let mut shape = Shape::new();
-                files.shape.iter().for_each(|c| drop(shape.hear(c)));
-                let asides = shape.asides();
+                files.shape.iter().for_each(|c| drop(shape.apply(c)));
+                let asides = shape.pending_changes();
                 report(Ok(format!(
                     "settings: sound; the hierarchy is on, {} members in {}",
                     shape.len(),
                     hierarchy.shape
                 )));
                 for aside in asides {
-                    report(Err(format!("{}: {}: {}", hierarchy.shape, aside.member, aside.why)));
+                    report(Err(format!("{}: {}: {}", hierarchy.shape, aside.member, aside.reason)));
                 }
             }
         },
--- a/crates/cli/src/shape.rs
+++ b/crates/cli/src/shape.rs
@@ -4,9 +4,9 @@
 use std::fmt::Write;
 use std::path::{Path, PathBuf};
 
-use doorgrade_hierarchy::homes::{Home, least, moved};
+use doorgrade_hierarchy::homes::{Home, min_moved_share, moved_share};
 use doorgrade_hierarchy::shape::Member;
-use doorgrade_hierarchy::{Aside, Heard, Shape, Standing, Why};
+use doorgrade_hierarchy::{ApplyOutcome, PendingChange, PendingReason, Shape, Standing};
 use doorgrade_operator::{Settings, files};
 use serde_json::{Value, json};
 
@@ -31,7 +31,7 @@
 fn read(path: &Path) -> Result<(Shape, Vec<String>), String> {
     let (mut shape, mut refused) = (Shape::new(), Vec::new());
     for change in files::shape(path).map_err(|e| e.to_string())? {
-        if let Heard::Refused(why) = shape.hear(&change) {
+        if let ApplyOutcome::Rejected(why) = shape.apply(&change) {
             refused.push(format!("{}: {why}", change.member));
         }
     }
@@ -45,38 +45,38 @@
     }
 }
 
-fn why(of: &Why) -> Value {
+fn why(of: &PendingReason) -> Value {
     match of {
-        Why::Ring(ring) => json!({"ring": ring}),
-        Why::LowerTier { source, tier, own } => {
-            json!({"lower_tier": {"source": source, "tier": tier, "own": own}})
+        PendingReason::Cycle(ring) => json!({"ring": ring}),
+        PendingReason::LowerTier { source, tier, own_tier } => {
+            json!({"lower_tier": {"source": source, "tier": tier, "own": own_tier}})
         }
-        Why::NoSource(sources) => json!({"no_source": sources}),
+        PendingReason::NoSource(sources) => json!({"no_source": sources}),
     }
 }
 
-fn aside(of: &Aside) -> Value {
+fn aside(of: &PendingChange) -> Value {
     let (member, incarnation, number) = (&of.member, of.incarnation, of.number);
-    json!({"member": member, "incarnation": incarnation, "number": number, "why": why(&of.why)})
+    json!({"member": member, "incarnation": incarnation, "number": number, "why": why(&of.reason)})
 }
 
 fn object(shape: &Shape) -> Value {
     let cut_off = shape.cut_off();
     let member = |m: &Member<'_>| {
         json!({"member": m.name, "tier": m.tier, "standing": standing(m.standing), "incarnation": m.incarnation,
-            "number": m.number, "fills_from": m.fills_from, "newest_in_force": m.newest,
+            "number": m.number, "fills_from": m.fills_from, "newest_in_force": m.newest_in_force,
             "reaches_archive": cut_off.binary_search(&m.name).is_err()})
     };
     let members: Vec<Value> = shape.members().iter().map(member).collect();
-    let asides: Vec<Value> = shape.asides().iter().map(aside).collect();
-    json!({"members": members, "aside": asides, "depth": shape.depth(), "dead": shape.dead().0})
+    let asides: Vec<Value> = shape.pending_changes().iter().map(aside).collect();
+    json!({"members": members, "aside": asides, "depth": shape.depth(), "dead": shape.tombstones().0})
 }
 
 fn table(shape: &Shape) -> String {
     let head = ["member", "tier", "standing", "incarnation", "number", "fills from"].map(String::from);
     let row = |m: &Member<'_>| {
         let sources = if m.fills_from.is_empty() { "-".into() } else { m.fills_from.join(", ") };
-        let mark = if m.newest { "" } else { " (not as told)" };
+        let mark = if m.newest_in_force { "" } else { " (not as told)" };
         vec![
             m.name.to_owned(),
             m.tier.to_string(),
@@ -114,7 +114,7 @@
         }
         if m.fills_from.is_empty() && !m.root {
             notes.push("cut off from its sources".into());
-        } else if !m.newest {
+        } else if !m.newest_in_force {
             notes.push("not as told".into());
         }
         let _ = writeln!(text, "{line}{} ({})", m.name, notes.join("; "));
@@ -151,11 +151,11 @@
     for line in refused {
         let _ = writeln!(text, "refused: {line}");
     }
-    for aside in shape.asides() {
-        let Aside { member, incarnation, number, why } = &aside;
+    for aside in shape.pending_changes() {
+        let PendingChange { member, incarnation, number, reason: why } = &aside;
         let _ =
             writeln!(text, "not in force: change {number} of {member} (incarnation {incarnation}): {why}");
-        if let Why::Ring(names) = why {
+        if let PendingReason::Cycle(names) = why {
             text.push_str(&ring(names));
         }
     }
@@ -240,7 +240,7 @@
     let (mut shares, none) = (Vec::new(), Vec::new());
     for tier in was.keys().chain(is.keys()).collect::<BTreeSet<_>>() {
         let (a, b) = (was.get(tier).unwrap_or(&none), is.get(tier).unwrap_or(&none));
-        shares.push((*tier, moved(a, b), least(a, b)));
+        shares.push((*tier, moved_share(a, b), min_moved_share(a, b)));
     }
     let differ = !rows.is_empty();
     if as_json {
--- a/crates/control-client/src/lib.rs
+++ b/crates/control-client/src/lib.rs
@@ -17,7 +17,7 @@
 pub mod seal_keys;
 pub mod worker;
 
-use doorgrade_hierarchy::homes::Kept;
+use doorgrade_hierarchy::homes::SavedList;
 use doorgrade_recall::{Fill, Purge};
 pub use doorgrade_stream::clock;
 
@@ -26,7 +26,7 @@
 pub enum Learned {
     Fill(Fill),
     Purge(Purge),
-    Homes(Vec<Kept>),
+    Homes(Vec<SavedList>),
 }
 
 /// Why a part of the control side does not start; the text names the block and, where there is one, the key.
--- a/crates/control-client/src/memory.rs
+++ b/crates/control-client/src/memory.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 
 use doorgrade::{Offering, Ticks};
-use doorgrade_hierarchy::homes::Kept;
+use doorgrade_hierarchy::homes::SavedList;
 use doorgrade_operator::files;
 use doorgrade_operator::neighbours::Recall;
 use doorgrade_recall::{
@@ -26,7 +26,7 @@
     format: u16,
     front: Box<str>,
     taken: Ticks,
-    lists: Vec<Kept>,
+    lists: Vec<SavedList>,
 }
 
 const HOMES_FORMAT: u16 = 1;
@@ -75,8 +75,8 @@
     tally: Tally,
     /// What was found at the start, for the instance to hear before it serves.
     found: (Vec<Fill>, Vec<Purge>),
-    found_homes: Option<(Ticks, Vec<Kept>)>,
-    homes: Vec<Kept>,
+    found_homes: Option<(Ticks, Vec<SavedList>)>,
+    homes: Vec<SavedList>,
     failed: Option<String>,
 }
 
@@ -137,7 +137,7 @@
         self.found = (fills, purges);
     }
 
-    fn load_homes(&self) -> Option<(Ticks, Vec<Kept>)> {
+    fn load_homes(&self) -> Option<(Ticks, Vec<SavedList>)> {
         let bytes = match self.store.as_ref()?.read(HOMES) {
             Ok(bytes) => bytes?,
             Err(trouble) => {
@@ -158,7 +158,7 @@
     }
 
     /// Homes of objects as they were before, and when that was written.
-    pub fn homes(&self) -> Option<(Ticks, Vec<Kept>)> {
+    pub fn homes(&self) -> Option<(Ticks, Vec<SavedList>)> {
         self.found_homes.clone()
     }
 
--- a/crates/control-client/src/neighbours/mod.rs
+++ b/crates/control-client/src/neighbours/mod.rs
@@ -15,7 +15,7 @@
 use std::path::{Path, PathBuf};
 
 use doorgrade::{Offering, Ticks};
-use doorgrade_hierarchy::homes::Kept;
+use doorgrade_hierarchy::homes::SavedList;
 use doorgrade_operator::files;
 use doorgrade_operator::neighbours::{Neighbours, Recall};
 use doorgrade_recall::{Fill, Purge};
@@ -123,7 +123,7 @@
     }
 
     /// Homes of objects as they were before, and when that was written.
-    pub fn homes(&self) -> Option<(Ticks, Vec<Kept>)> {
+    pub fn homes(&self) -> Option<(Ticks, Vec<SavedList>)> {
         self.remember.as_ref().and_then(Remember::homes)
     }
 
--- a/crates/front/src/reducer/clients.rs
+++ b/crates/front/src/reducer/clients.rs
@@ -326,7 +326,7 @@
                 self.by_id.remove(&taken.request.call);
             }
             if let Some(tiers) = &mut self.tiers {
-                tiers.guide.done(self.now, access);
+                tiers.guide.access_done(self.now, access);
             }
         }
     }
--- a/crates/front/src/reducer/outlet.rs
+++ b/crates/front/src/reducer/outlet.rs
@@ -21,7 +21,7 @@
         taken.sent.push(Sent::new(p, self.now));
         if let Some(tiers) = &mut self.tiers {
             let [cache, source] = [p.cache, p.source].map(doorgrade::hash::text);
-            tiers.guide.pushed(self.now, p.access, number, cache, source, p.only_if_cached);
+            tiers.guide.push_sent(self.now, p.access, number, cache, source, p.only_if_cached);
         }
         self.timers.set(self.now + p.timeout, Timer::PushOver(p.access, number));
         let cache = push::number(p.cache).unwrap_or(u32::MAX);
--- a/crates/front/src/reducer/tiers.rs
+++ b/crates/front/src/reducer/tiers.rs
@@ -1,9 +1,9 @@
 //! The reducer's dealings with a hierarchy of parents: what it is told, and what it says of an access.
 
 use doorgrade::{Access, AccessId, FillRoutes, Member, PushResult, Ticks};
-use doorgrade_hierarchy::aim::aim;
-use doorgrade_hierarchy::homes::Kept;
-use doorgrade_hierarchy::{Change, Guide, Heard, Rules, Shape, guide, via};
+use doorgrade_hierarchy::homes::{HomesChange, SavedList};
+use doorgrade_hierarchy::reconcile::reconcile;
+use doorgrade_hierarchy::{ApplyOutcome, Change, FillRouter, RouterConfig, Shape, cdn_loop};
 
 use super::{Learned, Work};
 use crate::config::Config;
@@ -12,7 +12,7 @@
 const RINGS_TOLD: Ticks = 10_000;
 
 pub(super) struct Tiers {
-    pub(super) guide: Guide,
+    pub(super) guide: FillRouter,
     /// What each push says that it has come through, if it is to say so.
     pub(super) via: Option<String>,
     name: String,
@@ -28,16 +28,16 @@
     pub(super) fn new(config: &Config, now: Ticks) -> Option<Tiers> {
         let own = config.files.settings.hierarchy.as_ref()?;
         let told = &config.told.settings;
-        let rules = Rules {
+        let rules = RouterConfig {
             tier: own.tier,
-            spread: own.hand_over_ms * 10,
-            cold_from: told.parent_cold.initial_share,
-            cold_lasts: told.parent_cold.duration,
-            crew: told.zone_fronts,
+            handover_duration: own.hand_over_ms * 10,
+            cold_initial_share: told.parent_cold.initial_share,
+            cold_duration: told.parent_cold.duration,
+            zone_fronts: told.zone_fronts,
             shield: own.shield,
         };
         Some(Tiers {
-            guide: Guide::new(rules, now),
+            guide: FillRouter::new(rules, now),
             via: None,
             name: config.name.clone(),
             loop_header: own.loop_header,
@@ -47,9 +47,9 @@
     }
 }
 
-fn tell(moved: Option<guide::Moved>) {
-    if let Some(moved) = moved.filter(|m| m.moved > 0.0) {
-        let (share, least) = (100.0 * moved.moved, 100.0 * moved.least);
+fn tell(moved: Option<HomesChange>) {
+    if let Some(moved) = moved.filter(|m| m.moved_share > 0.0) {
+        let (share, least) = (100.0 * moved.moved_share, 100.0 * moved.min_moved_share);
         tracing::info!("homes: {share:.1}% of the objects move ({least:.1}% is the least possible)");
     }
 }
@@ -60,31 +60,34 @@
         let Some(tiers) = &mut self.tiers else { return };
         let leads = whole.then(|| {
             let mut wanted = Shape::new();
-            changes.iter().for_each(|c| drop(wanted.hear(c)));
-            aim(tiers.guide.shape(), &wanted)
+            changes.iter().for_each(|c| drop(wanted.apply(c)));
+            reconcile(tiers.guide.shape(), &wanted)
         });
         let changes = leads.as_deref().unwrap_or(changes);
         let before = tiers.guide.shape().revision;
-        let (heard, moved) = tiers.guide.hear(self.now, changes);
+        let (heard, moved) = tiers.guide.apply_changes(self.now, changes);
         for (change, heard) in changes.iter().zip(heard) {
             let member = &change.member;
             match heard {
-                Heard::Refused(why) => {
+                ApplyOutcome::Rejected(why) => {
                     tracing::warn!(member = %member, "shape: change of {member} refused: {why}")
                 }
-                Heard::Aside(_) | Heard::Taken | Heard::Known | Heard::Late { .. } => {}
+                ApplyOutcome::Pending(_)
+                | ApplyOutcome::Applied
+                | ApplyOutcome::Duplicate
+                | ApplyOutcome::Superseded { .. } => {}
             }
         }
         // What waits at the end is what is worth a line; on the way much waits for the next line of a file.
-        for aside in tiers.guide.shape().asides() {
-            tracing::warn!(member = %aside.member, "shape: change {} of {} is not in force: {}", aside.number, aside.member, aside.why);
+        for aside in tiers.guide.shape().pending_changes() {
+            tracing::warn!(member = %aside.member, "shape: change {} of {} is not in force: {}", aside.number, aside.member, aside.reason);
         }
         if tiers.guide.shape().revision != before {
             let shape = tiers.guide.shape();
             tracing::info!("shape: {} members, {} deep", shape.len(), shape.depth());
         }
         let depth = tiers.guide.depth();
-        tiers.via = tiers.loop_header.then(|| via::begin(&tiers.name, depth));
+        tiers.via = tiers.loop_header.then(|| cdn_loop::initial_header(&tiers.name, depth));
         tell(moved);
         self.learn_homes(moved.is_some());
     }
@@ -95,14 +98,14 @@
         else {
             return;
         };
-        learned.push(Learned::Homes(tiers.guide.kept()));
+        learned.push(Learned::Homes(tiers.guide.save_homes()));
     }
 
     /// Homes from before the start. The list after it has been told.
-    pub(super) fn recall_homes(&mut self, taken: Ticks, kept: Vec<Kept>) {
+    pub(super) fn recall_homes(&mut self, taken: Ticks, kept: Vec<SavedList>) {
         let Some(tiers) = &mut self.tiers else { return };
-        let since = kept.first().map_or(0, |k| self.now.saturating_sub(k.begun) / 10);
-        let recalled = tiers.guide.recall(self.now, taken, &kept);
+        let since = kept.first().map_or(0, |k| self.now.saturating_sub(k.started_at) / 10);
+        let recalled = tiers.guide.restore_homes(self.now, taken, &kept);
         match recalled {
             Ok(lists) => {
                 tracing::info!(
@@ -118,7 +121,7 @@
         if let Some(tiers) = &mut self.tiers {
             let ours = |m: &&Member| tiers.kinds.contains(&Some(m.kind));
             let parents: Vec<Member> = members.iter().filter(ours).cloned().collect();
-            let moved = tiers.guide.listed(self.now, &parents, whole);
+            let moved = tiers.guide.update_members(self.now, &parents, whole);
             tell(moved);
             self.learn_homes(moved.is_some());
         }
@@ -129,7 +132,7 @@
         if let Some(taken) = self.accesses.get_mut(&access.id) {
             taken.soft_at = until;
         }
-        tiers.guide.ways(self.now, access, until)
+        tiers.guide.fill_routes(self.now, access, until)
     }
 
     /// A push has ended.
@@ -138,12 +141,12 @@
         let taken = self.accesses.get(&access);
         let late = taken.is_some_and(|t| self.now > t.soft_at);
         let renews = taken.and_then(|t| t.sent.get(ended.push)).is_some_and(|s| s.renews);
-        tiers.guide.ended(self.now, access, ended, late, renews);
+        tiers.guide.push_ended(self.now, access, ended, late, renews);
         if let Some(ring) = ring {
-            tiers.guide.rings += 1;
+            tiers.guide.cycles += 1;
             if self.now >= tiers.ring_told + RINGS_TOLD {
                 tiers.ring_told = self.now;
-                let count = tiers.guide.rings;
+                let count = tiers.guide.cycles;
                 tracing::warn!(ring, count, "a fill came round in a ring, {ring}: cut, and sent another way");
             }
         }
--- a/crates/front/src/reducer/types.rs
+++ b/crates/front/src/reducer/types.rs
@@ -5,7 +5,7 @@
 
 use doorgrade::{AccessId, Offering, Ticks};
 use doorgrade_control_client::Learned;
-use doorgrade_hierarchy::homes::Kept;
+use doorgrade_hierarchy::homes::SavedList;
 use doorgrade_recall::{Fill, Purge};
 use rustc_hash::FxHashMap;
 
@@ -67,7 +67,7 @@
     /// What was known before the start, or is known to neighbours, and holds.
     Recall(Vec<Fill>, Vec<Purge>),
     /// Homes of objects as they were before the start, and when that was written.
-    Homes(Ticks, Vec<Kept>),
+    Homes(Ticks, Vec<SavedList>),
 }
 
 /// One thing to do.
--- a/crates/hierarchy/src/lib.rs
+++ b/crates/hierarchy/src/lib.rs
@@ -1,27 +1,30 @@
-//! A hierarchy of caches that changes shape while it is in use. Decides, without I/O, clock, threads or chance:
+//! A hierarchy of caches whose topology changes while it is in use. Pure decisions: no I/O, clock, threads or
+//! random numbers.
 //!
-//! - [`shape`]: which members there are, in which tier, and from whom each fills, out of numbered changes that
-//!   come in any order, twice, late or not at all. The same changes give the same shape. A change that would
-//!   close a loop of members filling from each other is set aside and named with its whole ring.
-//! - [`homes`]: at which member of a tier an object's fills meet, and how a change of the list is handed over:
-//!   which share moves, who is asked for what it holds, and when each object goes.
-//! - [`shield`]: what a front may send the archive, by whatever way, and what becomes of the rest.
-//! - [`order`]: the order in which the members of a tier stand, kept edge by edge; that is the check for loops.
-//! - [`guide`]: all of it together, for one front: which sources an access may name now, in which order.
-//! - [`aim`]: what leads from a shape in use to one that comes whole; which shapes would do harm.
-//! - [`via`]: whether a fill has come round in a ring that no single shape shows (RFC 8586).
+//! - [`shape`]: the members, their tiers, and the sources that each fills from, merged from numbered changes that
+//!   may arrive in any order, more than once, late or never. The same set of changes gives the same shape. A
+//!   change that would make members fill from each other in a cycle stays pending and is reported with the whole
+//!   cycle.
+//! - [`homes`]: which member of a tier is the home of an object, and how objects are handed over when the members
+//!   change: which share moves, which old homes are asked for their copies, and when each object moves.
+//! - [`shield`]: a rate limit on the fills that a front sends to the archive, directly or through parents.
+//! - [`order`]: a topological order of the members of a tier, updated edge by edge; it detects cycles.
+//! - [`router`]: combines these for one front: the sources that an access may be filled from now, in order.
+//! - [`reconcile`]: the changes that lead from the current shape to a desired one, and the checks of a desired
+//!   shape.
+//! - [`cdn_loop`]: detects fills that go round in a cycle that no single shape shows (RFC 8586).
 //!
-//! It knows only what it was told: not what a member holds, nor what other fronts believe or send. Times are
-//! whole tenths of a millisecond and are handed in.
+//! All of it decides by what this front was told: it does not know what a member holds, nor what other fronts
+//! know or send. Times are whole tenths of a millisecond and are passed in.
 #![forbid(unsafe_code)]
 
-pub mod aim;
-pub mod guide;
+pub mod cdn_loop;
 pub mod homes;
 pub mod order;
+pub mod reconcile;
+pub mod router;
 pub mod shape;
 pub mod shield;
-pub mod via;
 
-pub use guide::{Guide, Rules};
-pub use shape::{Aside, Change, Heard, Shape, Standing, Told, Why};
+pub use router::{FillRouter, RouterConfig};
+pub use shape::{ApplyOutcome, Change, ChangeKind, PendingChange, PendingReason, Shape, Standing};
--- a/crates/hierarchy/src/order.rs
+++ b/crates/hierarchy/src/order.rs
@@ -1,113 +1,115 @@
-//! A topological order kept up to date edge by edge (Pearce and Kelly, "A dynamic topological sort algorithm
-//! for directed acyclic graphs", 2006), over members of one tier. An edge that agrees with the order costs one
-//! comparison; one that does not, a search of the part between its ends in the order, and nothing outside it.
+//! A topological order that is updated edge by edge (Pearce and Kelly, "A dynamic topological sort algorithm for
+//! directed acyclic graphs", 2006), over the members of one tier. An edge that agrees with the order costs one
+//! comparison. One that does not costs a search of the nodes between its ends in the order, and of no others.
 
 use arrayvec::ArrayVec;
 
-pub const MOST_SOURCES: usize = 8;
+pub const MAX_SOURCES: usize = 8;
 
 #[derive(Default)]
 struct Node {
-    /// Smaller is nearer to the sources: whoever fills from another stands behind it.
-    place: u64,
-    above: ArrayVec<u32, MOST_SOURCES>,
-    below: Vec<u32>,
-    /// The search that came here last.
-    seen: u64,
+    /// A node's position is greater than those of its sources.
+    position: u64,
+    sources: ArrayVec<u32, MAX_SOURCES>,
+    dependents: Vec<u32>,
+    /// The number of the last search that visited this node.
+    visited_by: u64,
 }
 
 #[derive(Default)]
-pub struct Order {
+pub struct TopologicalOrder {
     nodes: Vec<Node>,
-    next: u64,
-    searches: u64,
-    /// What the searches of one edge find, kept so that none allocates.
-    up: Vec<u32>,
-    down: Vec<u32>,
-    places: Vec<u64>,
-    /// Nodes looked at by searches since the start: what the checks cost.
-    pub looked: u64,
+    last_position: u64,
+    search_count: u64,
+    /// Buffers for the searches of one edge, kept so that a search does not allocate.
+    upstream: Vec<u32>,
+    downstream: Vec<u32>,
+    positions: Vec<u64>,
+    /// Nodes visited by all searches so far: the cost of the cycle checks.
+    pub nodes_visited: u64,
 }
 
-impl Order {
-    /// Makes a node stand at the end of the order, without edges.
-    pub fn open(&mut self, node: u32) {
+impl TopologicalOrder {
+    /// Puts a node at the end of the order, without edges.
+    pub fn add_node(&mut self, node: u32) {
         if self.nodes.len() <= node as usize {
             self.nodes.resize_with(node as usize + 1, Node::default);
         }
-        self.next += 1;
-        self.nodes[node as usize] = Node { place: self.next, ..Node::default() };
+        self.last_position += 1;
+        self.nodes[node as usize] = Node { position: self.last_position, ..Node::default() };
     }
 
-    /// Takes all edges from a node to its sources away; the order stays good.
-    pub fn cut(&mut self, node: u32) {
-        for above in std::mem::take(&mut self.nodes[node as usize].above) {
-            let below = &mut self.nodes[above as usize].below;
-            if let Some(at) = below.iter().position(|&b| b == node) {
-                below.swap_remove(at);
+    /// Removes all edges from a node to its sources. The order stays valid.
+    pub fn remove_sources(&mut self, node: u32) {
+        for source in std::mem::take(&mut self.nodes[node as usize].sources) {
+            let dependents = &mut self.nodes[source as usize].dependents;
+            if let Some(index) = dependents.iter().position(|&d| d == node) {
+                dependents.swap_remove(index);
             }
         }
     }
 
-    /// Adds an edge from a node to a source, or says that it would close a loop and adds nothing.
-    pub fn add(&mut self, node: u32, source: u32) -> Result<(), Loop> {
+    /// Adds an edge from a node to a source; fails and adds nothing if it would close a cycle.
+    pub fn add_edge(&mut self, node: u32, source: u32) -> Result<(), CycleError> {
         if node == source || !self.reorder(node, source) {
-            return Err(Loop);
+            return Err(CycleError);
         }
-        self.nodes[node as usize].above.push(source);
-        self.nodes[source as usize].below.push(node);
+        self.nodes[node as usize].sources.push(source);
+        self.nodes[source as usize].dependents.push(node);
         Ok(())
     }
 
+    /// Moves nodes so that the source comes before the node; false if the source depends on the node.
     fn reorder(&mut self, node: u32, source: u32) -> bool {
-        let (first, last) = (self.nodes[node as usize].place, self.nodes[source as usize].place);
+        let (first, last) = (self.nodes[node as usize].position, self.nodes[source as usize].position);
         if last < first {
             return true;
         }
-        // What the source stands on, as far as it is behind the node, must come before it.
-        let (mut up, mut down) = (std::mem::take(&mut self.up), std::mem::take(&mut self.down));
-        let sound = self.search(&mut up, source, Some(node), |n| (&n.above[..], n.place > first));
-        if sound {
-            self.search(&mut down, node, None, |n| (&n.below[..], n.place < last));
-            up.sort_unstable_by_key(|&n| self.nodes[n as usize].place);
-            down.sort_unstable_by_key(|&n| self.nodes[n as usize].place);
+        // Everything upstream of the source that is now behind the node has to move before it.
+        let (mut up, mut down) = (std::mem::take(&mut self.upstream), std::mem::take(&mut self.downstream));
+        let acyclic = self.search(&mut up, source, Some(node), |n| (&n.sources[..], n.position > first));
+        if acyclic {
+            self.search(&mut down, node, None, |n| (&n.dependents[..], n.position < last));
+            up.sort_unstable_by_key(|&n| self.nodes[n as usize].position);
+            down.sort_unstable_by_key(|&n| self.nodes[n as usize].position);
             let moved = || up.iter().chain(&down);
-            self.places.clear();
-            self.places.extend(moved().map(|&n| self.nodes[n as usize].place));
-            self.places.sort_unstable();
-            for (&node, &place) in moved().zip(&self.places) {
-                self.nodes[node as usize].place = place;
+            self.positions.clear();
+            self.positions.extend(moved().map(|&n| self.nodes[n as usize].position));
+            self.positions.sort_unstable();
+            for (&node, &position) in moved().zip(&self.positions) {
+                self.nodes[node as usize].position = position;
             }
         }
-        (self.up, self.down) = (up, down);
-        sound
+        (self.upstream, self.downstream) = (up, down);
+        acyclic
     }
 
-    /// All that is reached from a node within bounds; false if that is the node not to be reached.
+    /// Collects the nodes reachable from `start`; false if `forbidden` is one of them. `expand` gives the edges of
+    /// a node that the search follows, and whether the node is within the search's bounds.
     fn search(
         &mut self,
         found: &mut Vec<u32>,
-        from: u32,
-        but: Option<u32>,
-        go: impl Fn(&Node) -> (&[u32], bool),
+        start: u32,
+        forbidden: Option<u32>,
+        expand: impl Fn(&Node) -> (&[u32], bool),
     ) -> bool {
-        self.searches += 1;
+        self.search_count += 1;
         found.clear();
-        found.push(from);
-        self.nodes[from as usize].seen = self.searches;
-        let mut at = 0;
-        while let Some(&node) = found.get(at) {
-            at += 1;
-            self.looked += 1;
-            let count = go(&self.nodes[node as usize]).0.len();
-            for n in 0..count {
-                let next = go(&self.nodes[node as usize]).0[n];
-                if Some(next) == but {
+        found.push(start);
+        self.nodes[start as usize].visited_by = self.search_count;
+        let mut index = 0;
+        while let Some(&node) = found.get(index) {
+            index += 1;
+            self.nodes_visited += 1;
+            let edge_count = expand(&self.nodes[node as usize]).0.len();
+            for n in 0..edge_count {
+                let next = expand(&self.nodes[node as usize]).0[n];
+                if Some(next) == forbidden {
                     return false;
                 }
-                let there = &self.nodes[next as usize];
-                if there.seen != self.searches && go(there).1 {
-                    self.nodes[next as usize].seen = self.searches;
+                let next_node = &self.nodes[next as usize];
+                if next_node.visited_by != self.search_count && expand(next_node).1 {
+                    self.nodes[next as usize].visited_by = self.search_count;
                     found.push(next);
                 }
             }
@@ -116,43 +118,44 @@
     }
 }
 
+/// The edge would close a cycle.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Loop;
+pub struct CycleError;
 
 #[cfg(test)]
 mod tests {
     use super::*;
 
     #[test]
-    fn random_edges_keep_the_order_and_only_loops_are_refused() {
+    fn random_edges_keep_the_order_and_only_cycles_are_rejected() {
         let mut rng = fastrand::Rng::with_seed(5);
         for _ in 0..200 {
             let count = rng.u32(2..24);
-            let (mut order, mut edges) = (Order::default(), Vec::new());
-            (0..count).for_each(|n| order.open(n));
+            let (mut order, mut edges) = (TopologicalOrder::default(), Vec::new());
+            (0..count).for_each(|n| order.add_node(n));
             for _ in 0..80 {
                 let (node, source) = (rng.u32(0..count), rng.u32(0..count));
                 if rng.u8(0..5) == 0 {
-                    order.cut(node);
+                    order.remove_sources(node);
                     edges.retain(|e: &(u32, u32)| e.0 != node);
-                } else if order.nodes[node as usize].above.len() < MOST_SOURCES {
-                    let reaches = |from: u32| {
-                        let (mut seen, mut stack) = (vec![from], vec![from]);
+                } else if order.nodes[node as usize].sources.len() < MAX_SOURCES {
+                    let reaches_node = |start: u32| {
+                        let (mut visited, mut stack) = (vec![start], vec![start]);
                         while let Some(n) = stack.pop() {
-                            let next = edges.iter().filter(|e| e.0 == n && !seen.contains(&e.1));
+                            let next = edges.iter().filter(|e| e.0 == n && !visited.contains(&e.1));
                             let next: Vec<_> = next.map(|e| e.1).collect();
-                            seen.extend(&next);
+                            visited.extend(&next);
                             stack.extend(next);
                         }
-                        seen.contains(&node)
+                        visited.contains(&node)
                     };
-                    assert_eq!(order.add(node, source).is_err(), reaches(source));
-                    if !reaches(source) {
+                    assert_eq!(order.add_edge(node, source).is_err(), reaches_node(source));
+                    if !reaches_node(source) {
                         edges.push((node, source));
                     }
                 }
-                let place = |n: u32| order.nodes[n as usize].place;
-                assert!(edges.iter().all(|&(n, s)| place(s) < place(n)));
+                let position = |n: u32| order.nodes[n as usize].position;
+                assert!(edges.iter().all(|&(n, s)| position(s) < position(n)));
             }
         }
     }
--- a/crates/hierarchy/src/shape.rs
+++ b/crates/hierarchy/src/shape.rs
@@ -1,23 +1,25 @@
-//! Which members there are and from whom each fills, out of numbered changes.
+//! The members of a hierarchy and the sources that each fills from, merged from numbered changes.
 //!
-//! **What is merged.** A member is known by its name; each start of it is an incarnation, and each change it
-//! tells has a number within that. A change says the member's tier, its standing and the list of sources it
-//! fills from, whole: the newest stands, older ones are kept a few deep to fall back on. That an incarnation
-//! has ended (`Told::Gone`) is final for it and all before it. So the shape is a function of the set of changes
-//! heard, whatever their order and however often they came: see `in_force`.
+//! **Merging.** A member is identified by its name. Each start of it is an incarnation, and each change that it
+//! announces has a number within the incarnation. A change carries the member's complete state: tier, standing
+//! and list of sources. The newest change counts; a few older ones are kept to fall back on. `ChangeKind::Gone`
+//! is final for its incarnation and all earlier ones. So the shape is a function of the set of changes applied,
+//! whatever their order and however often each arrived.
 //!
-//! **What is in force.** Of a member's changes the newest that can be used. One can't be used while none of its
-//! sources is known and in service, while a source stands in a lower tier than the member, or while it would
-//! close a loop. Since no edge leads to a lower tier, all members of a ring stand in one tier, and only edges
-//! within a tier can close one. Of a ring, the change with the greatest number gives way (of equal ones that of
-//! the greatest name): where numbers come from one sequence that is the newest, else one that all fronts agree
-//! on. Its member keeps what it told before. When what it waited for is heard, it is taken at once.
+//! **In force.** Of a member's changes, the newest usable one is in force. A change is unusable while none of its
+//! sources is known and in service, while a source is in a lower tier than the member, or while it would close a
+//! cycle. Since no edge leads to a lower tier, all members of a cycle are in one tier, and only edges within a
+//! tier can close one. Of the changes in a cycle, the one with the greatest number is set back (on a tie, that of
+//! the greatest name): where numbers come from one sequence this is the newest change, else one that all fronts
+//! agree on. Its member falls back to its previous change. Once the obstacle is gone, the pending change takes
+//! force by itself.
 //!
-//! **What is forgotten.** The dead are kept by name and incarnation, `MOST_DEAD` of them, those of the lowest
-//! incarnations go first. From then on no unknown member of such an incarnation is taken in, so that late word
-//! of the dead never brings them back; a live one that nobody had told of by then has to take a new incarnation.
+//! **Tombstones.** Ended members are kept by name and incarnation, at most `MAX_TOMBSTONES` of them; those of the
+//! lowest incarnations are dropped first. From then on no unknown member of an incarnation up to the dropped one
+//! is accepted, so that a late change never revives an ended member. A live member that nobody had announced by
+//! then has to start a new incarnation.
 
-mod rings;
+mod cycles;
 mod types;
 mod view;
 
@@ -26,221 +28,228 @@
 use arrayvec::ArrayVec;
 use rustc_hash::FxHashMap;
 
-pub use crate::order::MOST_SOURCES;
-use crate::order::Order;
-pub use types::{Aside, Change, Heard, Member, Refusal, Standing, Told, Why};
+pub use crate::order::MAX_SOURCES;
+use crate::order::TopologicalOrder;
+pub use types::{
+    ApplyOutcome, Change, ChangeKind, Member, PendingChange, PendingReason, Rejection, Standing,
+};
 
-/// More members than any installation has named, times ten; reckoned at half a kilobyte each, 64 MB in all.
-pub const MOST_MEMBERS: usize = 1 << 17;
-/// Twelve bytes and a name each: some days of a large installation's restarts.
-pub const MOST_DEAD: usize = 1 << 16;
-/// Changes kept of one member: the newest, and what to fall back on.
-pub const DEPTH: usize = 4;
-pub const MOST_TIERS: u8 = 16;
-pub const MOST_NAME: usize = 64;
+/// Ten times as many members as any installation has named; at about half a kilobyte each, 64 MB in all.
+pub const MAX_MEMBERS: usize = 1 << 17;
+/// Each takes twelve bytes and a name. Enough for some days of restarts in a large installation.
+pub const MAX_TOMBSTONES: usize = 1 << 16;
+/// Changes kept of one member: the newest, and those to fall back on.
+pub const MAX_CHANGES_PER_MEMBER: usize = 4;
+pub const MAX_TIERS: u8 = 16;
+/// In bytes.
+pub const MAX_NAME_LEN: usize = 64;
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Kept {
+struct StoredChange {
+    /// Incarnation and number: the greater is the newer.
     stamp: (u64, u64),
     tier: u8,
     standing: Standing,
-    /// Slots of its sources, in the order told.
-    sources: ArrayVec<u32, MOST_SOURCES>,
+    /// Slots of its sources, in the order given.
+    sources: ArrayVec<u32, MAX_SOURCES>,
 }
 
-/// Whatever is named: a member, or a source that nobody has told of.
+/// A name in use: a live member, or a source that some member names but nobody has announced.
 #[derive(Default)]
 struct Slot {
     name: Box<str>,
-    /// Newest first; empty where it is no live member.
-    words: ArrayVec<Kept, DEPTH>,
-    /// Which of the words is in force; as many as there are words where none is.
-    stands: usize,
+    /// Newest first; empty if this is not a live member.
+    changes: ArrayVec<StoredChange, MAX_CHANGES_PER_MEMBER>,
+    /// Index of the change in force; the number of changes if none is.
+    in_force: usize,
     /// The sources in force.
-    sources: ArrayVec<u32, MOST_SOURCES>,
-    /// Members that name it in any word kept, and how often.
+    sources: ArrayVec<u32, MAX_SOURCES>,
+    /// Members that name this one in any change kept, and in how many.
     named_by: FxHashMap<u32, u32>,
 }
 
 impl Slot {
-    fn live(&self) -> bool {
-        !self.words.is_empty()
+    fn is_live(&self) -> bool {
+        !self.changes.is_empty()
     }
 
     /// May be filled from.
-    fn serves(&self) -> bool {
-        self.words.first().is_some_and(|w| w.standing == Standing::InService)
+    fn in_service(&self) -> bool {
+        self.changes.first().is_some_and(|c| c.standing == Standing::InService)
     }
 
     fn tier(&self) -> u8 {
-        self.words.first().map_or(0, |w| w.tier)
+        self.changes.first().map_or(0, |c| c.tier)
     }
 }
 
 #[derive(Default)]
 pub struct Shape {
     slots: Vec<Slot>,
-    free: Vec<u32>,
+    free_slots: Vec<u32>,
     by_name: FxHashMap<Box<str>, u32>,
-    live: usize,
-    order: Order,
-    /// Members whose place in a ring keeps a word of theirs out of force.
-    ringed: BTreeSet<u32>,
-    /// Members whose newest word is not in force, for whatever reason.
-    aside: BTreeSet<u32>,
-    dead: FxHashMap<Box<str>, u64>,
-    dead_by_age: BTreeSet<(u64, Box<str>)>,
-    floor: u64,
-    most_dead: usize,
+    live_count: usize,
+    order: TopologicalOrder,
+    /// Members that have a change set back because it would close a cycle.
+    set_back: BTreeSet<u32>,
+    /// Members whose newest change is not in force, for whatever reason.
+    pending: BTreeSet<u32>,
+    /// The last ended incarnation by name.
+    tombstones: FxHashMap<Box<str>, u64>,
+    tombstones_by_incarnation: BTreeSet<(u64, Box<str>)>,
+    /// Tombstones up to this incarnation may have been dropped.
+    forgotten_up_to: u64,
+    max_tombstones: usize,
     /// Grows with each change of what is in force.
     pub revision: u64,
 }
 
 impl Shape {
     pub fn new() -> Shape {
-        Shape { most_dead: MOST_DEAD, ..Shape::default() }
+        Shape { max_tombstones: MAX_TOMBSTONES, ..Shape::default() }
     }
 
-    /// With room for fewer of the dead.
-    pub fn remembering(most_dead: usize) -> Shape {
-        Shape { most_dead, ..Shape::default() }
+    pub fn with_max_tombstones(max_tombstones: usize) -> Shape {
+        Shape { max_tombstones, ..Shape::default() }
     }
 
-    // ---- what is told
+    // ---- applying changes
 
-    pub fn hear(&mut self, change: &Change) -> Heard {
-        match self.take(change) {
-            Ok(heard) => heard,
-            Err(refusal) => Heard::Refused(refusal),
+    pub fn apply(&mut self, change: &Change) -> ApplyOutcome {
+        match self.try_apply(change) {
+            Ok(outcome) => outcome,
+            Err(rejection) => ApplyOutcome::Rejected(rejection),
         }
     }
 
-    fn take(&mut self, change: &Change) -> Result<Heard, Refusal> {
-        let Change { member, incarnation, number, told } = change;
+    fn try_apply(&mut self, change: &Change) -> Result<ApplyOutcome, Rejection> {
+        let Change { member, incarnation, number, kind } = change;
         check_name(member)?;
-        let Told::Stands { tier, standing, fills_from } = told else {
-            return Ok(self.end(member, *incarnation));
+        let ChangeKind::Present { tier, standing, fills_from } = kind else {
+            return Ok(self.end_incarnation(member, *incarnation));
         };
-        if *tier >= MOST_TIERS {
-            return Err(Refusal::Tier(*tier));
+        if *tier >= MAX_TIERS {
+            return Err(Rejection::InvalidTier(*tier));
         }
-        if fills_from.len() > MOST_SOURCES {
-            return Err(Refusal::Sources(fills_from.len()));
+        if fills_from.len() > MAX_SOURCES {
+            return Err(Rejection::TooManySources(fills_from.len()));
         }
         fills_from.iter().try_for_each(|s| check_name(s))?;
         if fills_from.contains(member) {
-            return Err(Refusal::Itself);
+            return Err(Rejection::SelfSource);
         }
-        if let Some(&ended) = self.dead.get(member).filter(|&&ended| *incarnation <= ended) {
-            return Err(Refusal::Dead { ended });
+        if let Some(&ended) = self.tombstones.get(member).filter(|&&ended| *incarnation <= ended) {
+            return Err(Rejection::IncarnationEnded { ended });
         }
-        let known = self.by_name.get(member).copied().filter(|&s| self.slots[s as usize].live());
-        let older = |s: u32| self.slots[s as usize].words.first().is_some_and(|w| *incarnation < w.stamp.0);
-        if known.is_none_or(older) && *incarnation <= self.floor {
-            return Err(Refusal::Forgotten { up_to: self.floor });
+        let known = self.by_name.get(member).copied().filter(|&s| self.slots[s as usize].is_live());
+        let older = |s: u32| self.slots[s as usize].changes.first().is_some_and(|c| *incarnation < c.stamp.0);
+        if known.is_none_or(older) && *incarnation <= self.forgotten_up_to {
+            return Err(Rejection::IncarnationForgotten { up_to: self.forgotten_up_to });
         }
-        if known.is_none() && self.live >= MOST_MEMBERS {
-            return Err(Refusal::Room);
+        if known.is_none() && self.live_count >= MAX_MEMBERS {
+            return Err(Rejection::TooManyMembers);
         }
         let stamp = (*incarnation, *number);
-        let slot = self.slot(member);
-        // A source named twice is one.
+        let slot = self.slot_for(member);
+        // A source that is named twice counts once.
         let mut sources = ArrayVec::new();
         for source in fills_from {
-            let at = self.slot(source);
-            if !sources.contains(&at) {
-                sources.push(at);
+            let source_slot = self.slot_for(source);
+            if !sources.contains(&source_slot) {
+                sources.push(source_slot);
             }
         }
-        let word = Kept { stamp, tier: *tier, standing: *standing, sources };
-        // Before any other word is dropped: a name that both mention must not be given back in between.
-        for &source in &word.sources {
+        let stored = StoredChange { stamp, tier: *tier, standing: *standing, sources };
+        // Counted before any other change is removed: a source that both name must not be released in between.
+        for &source in &stored.sources {
             *self.slots[source as usize].named_by.entry(slot).or_default() += 1;
         }
-        let words = &self.slots[slot as usize].words;
-        let newest = words.first().map(|w| w.stamp);
-        let at = words.iter().position(|w| w.stamp <= stamp).unwrap_or(words.len());
-        let mut heard = Ok(Heard::Taken);
-        if let Some(same) = words.get(at).filter(|w| w.stamp == stamp) {
-            if *same == word {
-                self.unname(slot, &word.sources);
-                return Ok(Heard::Known);
+        let changes = &self.slots[slot as usize].changes;
+        let newest = changes.first().map(|c| c.stamp);
+        let index = changes.iter().position(|c| c.stamp <= stamp).unwrap_or(changes.len());
+        let mut outcome = Ok(ApplyOutcome::Applied);
+        if let Some(same) = changes.get(index).filter(|c| c.stamp == stamp) {
+            if *same == stored {
+                self.remove_references(slot, &stored.sources);
+                return Ok(ApplyOutcome::Duplicate);
             }
-            // The greater stands: a choice, but the same for all who hear both.
-            heard = Err(Refusal::Contradicts);
-            if *same > word {
-                self.unname(slot, &word.sources);
-                return heard;
+            // The greater one is kept: arbitrary, but the same on all fronts that receive both.
+            outcome = Err(Rejection::Conflict);
+            if *same > stored {
+                self.remove_references(slot, &stored.sources);
+                return outcome;
             }
-            self.drop_word(slot, at);
-        } else if at == DEPTH {
-            self.unname(slot, &word.sources);
-            return Ok(late(newest));
-        } else if words.is_full() {
-            self.drop_word(slot, DEPTH - 1);
+            self.remove_change(slot, index);
+        } else if index == MAX_CHANGES_PER_MEMBER {
+            self.remove_references(slot, &stored.sources);
+            return Ok(superseded(newest));
+        } else if changes.is_full() {
+            self.remove_change(slot, MAX_CHANGES_PER_MEMBER - 1);
         }
-        let born = !self.slots[slot as usize].live();
-        if born {
-            self.live += 1;
-            self.order.open(slot);
+        let is_new = !self.slots[slot as usize].is_live();
+        if is_new {
+            self.live_count += 1;
+            self.order.add_node(slot);
         }
-        let looks = |s: &Slot| (s.serves(), s.tier());
-        let before = looks(&self.slots[slot as usize]);
-        self.slots[slot as usize].words.insert(at, word);
-        let seen = before != looks(&self.slots[slot as usize]);
-        self.settle(slot, born || seen);
-        heard?;
-        if at > 0 {
-            return Ok(late(newest));
+        let visible_state = |s: &Slot| (s.in_service(), s.tier());
+        let before = visible_state(&self.slots[slot as usize]);
+        self.slots[slot as usize].changes.insert(index, stored);
+        let visibly_changed = before != visible_state(&self.slots[slot as usize]);
+        self.update_in_force(slot, is_new || visibly_changed);
+        outcome?;
+        if index > 0 {
+            return Ok(superseded(newest));
         }
-        Ok(self.why(slot).map_or(Heard::Taken, Heard::Aside))
+        Ok(self.pending_reason(slot).map_or(ApplyOutcome::Applied, ApplyOutcome::Pending))
     }
 
-    /// An incarnation has ended.
-    fn end(&mut self, member: &str, incarnation: u64) -> Heard {
-        let ended = self.dead.get(member).copied();
-        if ended.is_some_and(|ended| incarnation <= ended) || ended.is_none() && incarnation <= self.floor {
+    fn end_incarnation(&mut self, member: &str, incarnation: u64) -> ApplyOutcome {
+        let ended = self.tombstones.get(member).copied();
+        if ended.is_some_and(|ended| incarnation <= ended)
+            || ended.is_none() && incarnation <= self.forgotten_up_to
+        {
             let known = self.by_name.get(member).map(|&s| &self.slots[s as usize]);
-            // A live one may be older than what is forgotten; its end must still be heard.
-            if !known.is_some_and(|s| s.words.iter().any(|w| w.stamp.0 <= incarnation)) {
-                return Heard::Known;
+            // A live member's incarnation may be below `forgotten_up_to`; its end still has to take effect.
+            if !known.is_some_and(|s| s.changes.iter().any(|c| c.stamp.0 <= incarnation)) {
+                return ApplyOutcome::Duplicate;
             }
         }
         if let Some(old) = ended {
-            self.dead_by_age.remove(&(old, member.into()));
+            self.tombstones_by_incarnation.remove(&(old, member.into()));
         }
-        self.dead.insert(member.into(), incarnation);
-        self.dead_by_age.insert((incarnation, member.into()));
-        while self.dead.len() > self.most_dead
-            && let Some((age, name)) = self.dead_by_age.pop_first()
+        self.tombstones.insert(member.into(), incarnation);
+        self.tombstones_by_incarnation.insert((incarnation, member.into()));
+        while self.tombstones.len() > self.max_tombstones
+            && let Some((oldest, name)) = self.tombstones_by_incarnation.pop_first()
         {
-            self.dead.remove(&name);
-            self.floor = self.floor.max(age);
+            self.tombstones.remove(&name);
+            self.forgotten_up_to = self.forgotten_up_to.max(oldest);
         }
-        let Some(&slot) = self.by_name.get(member) else { return Heard::Taken };
-        let was = self.slots[slot as usize].live();
-        while self.slots[slot as usize].words.last().is_some_and(|w| w.stamp.0 <= incarnation) {
-            let last = self.slots[slot as usize].words.len() - 1;
-            self.drop_word(slot, last);
+        let Some(&slot) = self.by_name.get(member) else { return ApplyOutcome::Applied };
+        let was_live = self.slots[slot as usize].is_live();
+        while self.slots[slot as usize].changes.last().is_some_and(|c| c.stamp.0 <= incarnation) {
+            let last = self.slots[slot as usize].changes.len() - 1;
+            self.remove_change(slot, last);
         }
-        if was {
-            if !self.slots[slot as usize].live() {
-                self.live -= 1;
+        if was_live {
+            if !self.slots[slot as usize].is_live() {
+                self.live_count -= 1;
             }
-            self.settle(slot, true);
-            self.tidy(slot);
+            self.update_in_force(slot, true);
+            self.release_if_unused(slot);
         }
-        Heard::Taken
+        ApplyOutcome::Applied
     }
 
     // ---- names and slots
 
-    fn slot(&mut self, name: &str) -> u32 {
+    /// The slot of a name; allocates one if there is none.
+    fn slot_for(&mut self, name: &str) -> u32 {
         if let Some(&slot) = self.by_name.get(name) {
             return slot;
         }
         let new = Slot { name: name.into(), ..Slot::default() };
-        let slot = match self.free.pop() {
+        let slot = match self.free_slots.pop() {
             Some(slot) => {
                 self.slots[slot as usize] = new;
                 slot
@@ -250,22 +259,22 @@
                 (self.slots.len() - 1) as u32
             }
         };
-        self.order.open(slot);
+        self.order.add_node(slot);
         self.by_name.insert(name.into(), slot);
         slot
     }
 
-    /// Gives a slot back that is neither a member nor named by one.
-    fn tidy(&mut self, slot: u32) {
+    /// Releases a slot that is neither a live member nor named by one.
+    fn release_if_unused(&mut self, slot: u32) {
         let s = &self.slots[slot as usize];
-        if !s.live() && s.named_by.is_empty() && self.by_name.remove(&s.name).is_some() {
+        if !s.is_live() && s.named_by.is_empty() && self.by_name.remove(&s.name).is_some() {
             self.slots[slot as usize] = Slot::default();
-            self.free.push(slot);
+            self.free_slots.push(slot);
         }
     }
 
-    /// A member names these no more in a word that was dropped, or never taken.
-    fn unname(&mut self, slot: u32, sources: &[u32]) {
+    /// Takes back one count per source that a member's change named; the change was removed or never stored.
+    fn remove_references(&mut self, slot: u32, sources: &[u32]) {
         for &source in sources {
             let named_by = &mut self.slots[source as usize].named_by;
             if let Some(count) = named_by.get_mut(&slot) {
@@ -274,108 +283,110 @@
                     named_by.remove(&slot);
                 }
             }
-            self.tidy(source);
+            self.release_if_unused(source);
         }
     }
 
-    fn drop_word(&mut self, slot: u32, at: usize) {
-        let word = self.slots[slot as usize].words.remove(at);
-        self.unname(slot, &word.sources);
+    fn remove_change(&mut self, slot: u32, index: usize) {
+        let change = self.slots[slot as usize].changes.remove(index);
+        self.remove_references(slot, &change.sources);
     }
 
     // ---- what is in force
 
-    /// Whether a word could be used if no loop stood in the way.
-    fn usable(&self, own: u8, word: &Kept) -> bool {
-        let mut served = word.sources.is_empty();
-        for source in word.sources.iter().map(|&s| &self.slots[s as usize]).filter(|s| s.serves()) {
-            if source.tier() < own {
+    /// Whether a change is usable apart from cycles, for a member in tier `own_tier`.
+    fn is_usable(&self, own_tier: u8, change: &StoredChange) -> bool {
+        let mut has_source = change.sources.is_empty();
+        for source in change.sources.iter().map(|&s| &self.slots[s as usize]).filter(|s| s.in_service()) {
+            if source.tier() < own_tier {
                 return false;
             }
-            served = true;
+            has_source = true;
         }
-        served
+        has_source
     }
 
-    /// The first word from `from` on that can be used, loops aside.
-    fn first_usable(&self, slot: u32, from: usize) -> usize {
+    /// The first change, from index `start` on, that is usable apart from cycles.
+    fn first_usable(&self, slot: u32, start: usize) -> usize {
         let s = &self.slots[slot as usize];
-        let usable = |&n: &usize| self.usable(s.tier(), &s.words[n]);
-        (from..s.words.len()).find(usable).unwrap_or(s.words.len())
+        let usable = |&n: &usize| self.is_usable(s.tier(), &s.changes[n]);
+        (start..s.changes.len()).find(usable).unwrap_or(s.changes.len())
     }
 
-    /// Takes the edges of a member's word in force, as they are now, without a look at loops.
-    fn hang(&mut self, slot: u32, stands: usize) {
+    /// Puts a member's change into force, with those of its sources that are in service, without a check for
+    /// cycles.
+    fn set_in_force(&mut self, slot: u32, in_force: usize) {
         let s = &self.slots[slot as usize];
-        let sources = s.words.get(stands).map(|w| {
-            let serving = w.sources.iter().copied().filter(|&x| self.slots[x as usize].serves());
-            serving.collect::<ArrayVec<u32, MOST_SOURCES>>()
+        let sources = s.changes.get(in_force).map(|c| {
+            let in_service = c.sources.iter().copied().filter(|&x| self.slots[x as usize].in_service());
+            in_service.collect::<ArrayVec<u32, MAX_SOURCES>>()
         });
         let s = &mut self.slots[slot as usize];
         let sources = sources.unwrap_or_default();
-        if s.sources != sources || s.stands != stands {
+        if s.sources != sources || s.in_force != in_force {
             self.revision += 1;
         }
-        (s.stands, s.sources) = (stands, sources);
-        if s.live() && s.stands != 0 {
-            self.aside.insert(slot);
+        (s.in_force, s.sources) = (in_force, sources);
+        if s.is_live() && s.in_force != 0 {
+            self.pending.insert(slot);
         } else {
-            self.aside.remove(&slot);
+            self.pending.remove(&slot);
         }
     }
 
-    /// Puts a member's edges within its tier into the order; false where they close a loop.
-    fn order_edges(&mut self, slot: u32) -> bool {
-        self.order.cut(slot);
+    /// Adds a member's edges within its tier to the topological order; false if they close a cycle.
+    fn add_to_order(&mut self, slot: u32) -> bool {
+        self.order.remove_sources(slot);
         let s = &self.slots[slot as usize];
         let tier = s.tier();
-        let level = s.sources.iter().copied().filter(|&x| self.slots[x as usize].tier() == tier);
-        for source in level.collect::<ArrayVec<u32, MOST_SOURCES>>() {
-            if self.order.add(slot, source).is_err() {
-                self.order.cut(slot);
+        let same_tier = s.sources.iter().copied().filter(|&x| self.slots[x as usize].tier() == tier);
+        for source in same_tier.collect::<ArrayVec<u32, MAX_SOURCES>>() {
+            if self.order.add_edge(slot, source).is_err() {
+                self.order.remove_sources(slot);
                 return false;
             }
         }
         true
     }
 
-    /// Brings into force what a change of one member asks for. `seen`: others that name it are concerned.
-    fn settle(&mut self, slot: u32, seen: bool) {
+    /// Decides anew what is in force after a change of one member; `visibly_changed`: members that name it are
+    /// affected, too.
+    fn update_in_force(&mut self, slot: u32, visibly_changed: bool) {
         let mut changed = BTreeSet::from([slot]);
-        if seen {
+        if visibly_changed {
             changed.extend(self.slots[slot as usize].named_by.keys());
         }
-        // Rings may be undone by it, so what gave way in one begins again.
-        let ringed = std::mem::take(&mut self.ringed);
-        let mut sound = ringed.is_empty();
-        changed.extend(ringed);
-        changed.iter().for_each(|&c| self.order.cut(c));
+        // The change may undo a cycle, so members that were set back for one start again from their newest change.
+        let set_back = std::mem::take(&mut self.set_back);
+        let mut acyclic = set_back.is_empty();
+        changed.extend(set_back);
+        changed.iter().for_each(|&c| self.order.remove_sources(c));
         for &c in &changed {
-            let stands = self.first_usable(c, 0);
-            self.hang(c, stands);
+            let in_force = self.first_usable(c, 0);
+            self.set_in_force(c, in_force);
         }
-        if sound {
-            sound = changed.iter().all(|&c| self.order_edges(c));
+        if acyclic {
+            acyclic = changed.iter().all(|&c| self.add_to_order(c));
         }
-        if !sound {
-            changed.iter().for_each(|&c| self.order.cut(c));
-            self.break_rings(&mut changed);
+        if !acyclic {
+            changed.iter().for_each(|&c| self.order.remove_sources(c));
+            self.break_cycles(&mut changed);
             for &c in &changed {
-                let fits = self.order_edges(c);
-                debug_assert!(fits, "rings were broken");
+                let added = self.add_to_order(c);
+                debug_assert!(added, "all cycles are broken");
             }
         }
     }
 }
 
-fn late(newest: Option<(u64, u64)>) -> Heard {
+fn superseded(newest: Option<(u64, u64)>) -> ApplyOutcome {
     let (incarnation, number) = newest.unwrap_or_default();
-    Heard::Late { incarnation, number }
+    ApplyOutcome::Superseded { incarnation, number }
 }
 
-/// Names stand in headers, logs and files: letters, digits and a few marks that mean nothing there.
-fn check_name(name: &str) -> Result<(), Refusal> {
-    let plain = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.');
-    let good = !name.is_empty() && name.len() <= MOST_NAME && name.bytes().all(plain);
-    if good { Ok(()) } else { Err(Refusal::Name) }
+/// Names appear in headers, logs and files: only characters that have no special meaning in any of them.
+fn check_name(name: &str) -> Result<(), Rejection> {
+    let allowed = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.');
+    let valid = !name.is_empty() && name.len() <= MAX_NAME_LEN && name.bytes().all(allowed);
+    if valid { Ok(()) } else { Err(Rejection::InvalidName) }
 }
--- a/crates/hierarchy/src/shape/types.rs
+++ b/crates/hierarchy/src/shape/types.rs
@@ -1,8 +1,8 @@
-//! Changes of a shape, what came of them, and members as they stand.
+//! Changes to a shape, the outcome of applying one, and members as a shape shows them.
 
 use std::fmt;
 
-use super::{MOST_MEMBERS, MOST_NAME, MOST_SOURCES, MOST_TIERS};
+use super::{MAX_MEMBERS, MAX_NAME_LEN, MAX_SOURCES, MAX_TIERS};
 
 /// Whether a member may be filled from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -11,85 +11,85 @@
     Draining,
 }
 
-/// What a change tells of its member.
+/// What a change says about its member.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Told {
-    /// Tier 0 is nearest to the clients, the archive stands in the highest and fills from nobody.
-    Stands { tier: u8, standing: Standing, fills_from: Vec<Box<str>> },
-    /// This incarnation, and any before it, has ended.
+pub enum ChangeKind {
+    /// The member's complete state. Tier 0 is nearest to the clients; the archive is in the highest tier and
+    /// fills from nobody.
+    Present { tier: u8, standing: Standing, fills_from: Vec<Box<str>> },
+    /// This incarnation and all earlier ones have ended.
     Gone,
 }
 
-/// What is told of one member: the numbers say which of two changes is the newer.
+/// A change to one member. Of two changes, the one with the greater `(incarnation, number)` is the newer.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Change {
     pub member: Box<str>,
     pub incarnation: u64,
     pub number: u64,
-    pub told: Told,
+    pub kind: ChangeKind,
 }
 
-/// Why a change was not taken at all. It changes nothing else.
+/// Why a change was rejected. A rejected change has no effect on the shape, except that of two conflicting
+/// changes the greater one is kept.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Refusal {
-    Name,
-    Itself,
-    Tier(u8),
-    Sources(usize),
-    /// Another change of the same number was told; which of the two stands does not depend on their order.
-    Contradicts,
-    /// Its incarnation, or a later one, has ended.
-    Dead {
+pub enum Rejection {
+    InvalidName,
+    SelfSource,
+    InvalidTier(u8),
+    TooManySources(usize),
+    /// Another change has the same incarnation and number. Which of the two is kept does not depend on the order
+    /// in which they arrive.
+    Conflict,
+    /// This incarnation of the member, or a later one, has ended.
+    IncarnationEnded {
         ended: u64,
     },
-    /// Nothing is known of it, and the dead of this incarnation are forgotten.
-    Forgotten {
+    /// The member is unknown, and tombstones of its incarnation have been dropped: it may have ended.
+    IncarnationForgotten {
         up_to: u64,
     },
-    Room,
+    TooManyMembers,
 }
 
-/// Why a change that was taken in is not in force.
+/// Why an accepted change is not in force.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Why {
-    /// The members of the ring it would close, each filling from the next; the first is its own.
-    Ring(Vec<Box<str>>),
-    LowerTier {
-        source: Box<str>,
-        tier: u8,
-        own: u8,
-    },
+pub enum PendingReason {
+    /// It would close a cycle: the members of it, each filling from the next, the change's own member first.
+    Cycle(Vec<Box<str>>),
+    /// A source is in a lower tier than the member.
+    LowerTier { source: Box<str>, tier: u8, own_tier: u8 },
     /// None of its sources is known and in service.
     NoSource(Vec<Box<str>>),
 }
 
-/// A change that was taken in and is not in force.
+/// An accepted change that is not in force.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Aside {
+pub struct PendingChange {
     pub member: Box<str>,
     pub incarnation: u64,
     pub number: u64,
-    pub why: Why,
+    pub reason: PendingReason,
 }
 
-/// What came of a change.
+/// The outcome of applying a change.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Heard {
-    /// It stands, and is in force.
-    Taken,
-    /// It was known.
-    Known,
-    /// Newer word of the member is known already (of another incarnation: that one).
-    Late {
+pub enum ApplyOutcome {
+    /// It is the newest change of its member, and in force.
+    Applied,
+    /// It was known already.
+    Duplicate,
+    /// A newer change of the member is known: this is the newest one's incarnation and number.
+    Superseded {
         incarnation: u64,
         number: u64,
     },
-    /// It stands, but can't be in force yet.
-    Aside(Why),
-    Refused(Refusal),
+    /// It is the newest change of its member, but can't be in force yet.
+    Pending(PendingReason),
+    Rejected(Rejection),
 }
 
-/// One member as it stands.
+/// A live member of a shape.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member<'a> {
     pub name: &'a str,
@@ -97,45 +97,47 @@
     pub number: u64,
     pub tier: u8,
     pub standing: Standing,
-    /// In force; empty for the archive, and for a member cut off from all its sources.
+    /// The sources in force; empty for the archive, and for a member that is cut off from all its sources.
     pub fills_from: Vec<&'a str>,
-    /// It told of no sources.
+    /// Its newest change names no sources.
     pub root: bool,
     /// Its newest change is in force.
-    pub newest: bool,
+    pub newest_in_force: bool,
 }
 
-impl fmt::Display for Refusal {
+impl fmt::Display for Rejection {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Refusal::Name => {
-                write!(f, "a name that is not 1 to {MOST_NAME} letters, digits, '-', '_' or '.'")
+            Rejection::InvalidName => {
+                write!(f, "a name that is not 1 to {MAX_NAME_LEN} letters, digits, '-', '_' or '.'")
+            }
+            Rejection::SelfSource => f.write_str("it fills from itself"),
+            Rejection::InvalidTier(tier) => write!(f, "tier {tier}: expected 0 to {}", MAX_TIERS - 1),
+            Rejection::TooManySources(count) => {
+                write!(f, "{count} sources: expected {MAX_SOURCES} at the most")
             }
-            Refusal::Itself => f.write_str("it fills from itself"),
-            Refusal::Tier(tier) => write!(f, "tier {tier}: expected 0 to {}", MOST_TIERS - 1),
-            Refusal::Sources(count) => write!(f, "{count} sources: expected {MOST_SOURCES} at the most"),
-            Refusal::Contradicts => f.write_str("another change of the same incarnation and number was told"),
-            Refusal::Dead { ended } => write!(f, "incarnation {ended} of it has ended"),
-            Refusal::Forgotten { up_to } => {
+            Rejection::Conflict => f.write_str("another change of the same incarnation and number was told"),
+            Rejection::IncarnationEnded { ended } => write!(f, "incarnation {ended} of it has ended"),
+            Rejection::IncarnationForgotten { up_to } => {
                 write!(f, "the dead up to incarnation {up_to} are forgotten: expected a later incarnation")
             }
-            Refusal::Room => write!(f, "no room for more than {MOST_MEMBERS} members"),
+            Rejection::TooManyMembers => write!(f, "no room for more than {MAX_MEMBERS} members"),
         }
     }
 }
 
-impl fmt::Display for Why {
+impl fmt::Display for PendingReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Why::Ring(ring) => {
+            PendingReason::Cycle(cycle) => {
                 f.write_str("it would close a ring: ")?;
-                ring.iter().try_for_each(|name| write!(f, "{name} -> "))?;
-                f.write_str(ring.first().map_or("", |n| n))
+                cycle.iter().try_for_each(|name| write!(f, "{name} -> "))?;
+                f.write_str(cycle.first().map_or("", |n| n))
             }
-            Why::LowerTier { source, tier, own } => {
-                write!(f, "its source {source} stands in tier {tier}, below its own tier {own}")
+            PendingReason::LowerTier { source, tier, own_tier } => {
+                write!(f, "its source {source} stands in tier {tier}, below its own tier {own_tier}")
             }
-            Why::NoSource(sources) => {
+            PendingReason::NoSource(sources) => {
                 write!(f, "none of its sources is known and in service: {}", sources.join(", "))
             }
         }
--- a/crates/hierarchy/src/shape/view.rs
+++ b/crates/hierarchy/src/shape/view.rs
@@ -1,26 +1,31 @@
-//! What a shape shows of itself.
+//! Queries of a shape.
 
-use super::{Aside, Change, Member, Shape, Slot, Told};
+use super::{Change, ChangeKind, Member, PendingChange, Shape, Slot};
 
 impl Shape {
-    /// Changes that stand but are not in force, by their members' names.
-    pub fn asides(&self) -> Vec<Aside> {
-        let mut asides: Vec<Aside> = self
-            .aside
+    /// The newest changes that are not in force, by member name.
+    pub fn pending_changes(&self) -> Vec<PendingChange> {
+        let mut pending: Vec<PendingChange> = self
+            .pending
             .iter()
             .filter_map(|&slot| {
                 let s = &self.slots[slot as usize];
-                let (incarnation, number) = s.words.first()?.stamp;
-                Some(Aside { member: s.name.clone(), incarnation, number, why: self.why(slot)? })
+                let (incarnation, number) = s.changes.first()?.stamp;
+                Some(PendingChange {
+                    member: s.name.clone(),
+                    incarnation,
+                    number,
+                    reason: self.pending_reason(slot)?,
+                })
             })
             .collect();
-        asides.sort_by(|a, b| a.member.cmp(&b.member));
-        asides
+        pending.sort_by(|a, b| a.member.cmp(&b.member));
+        pending
     }
 
     fn view(&self, slot: u32) -> Option<Member<'_>> {
         let s = &self.slots[slot as usize];
-        let newest = s.words.first()?;
+        let newest = s.changes.first()?;
         Some(Member {
             name: &s.name,
             incarnation: newest.stamp.0,
@@ -29,7 +34,7 @@
             standing: newest.standing,
             fills_from: s.sources.iter().map(|&x| &*self.slots[x as usize].name).collect(),
             root: newest.sources.is_empty(),
-            newest: s.stands == 0,
+            newest_in_force: s.in_force == 0,
         })
     }
 
@@ -37,53 +42,55 @@
         self.view(*self.by_name.get(name)?)
     }
 
-    /// All live members, the highest tier first, by name within it.
+    /// All live members, the highest tier first, by name within a tier.
     pub fn members(&self) -> Vec<Member<'_>> {
         let mut all: Vec<_> = (0..self.slots.len() as u32).filter_map(|n| self.view(n)).collect();
         all.sort_by(|a, b| (b.tier, a.name).cmp(&(a.tier, b.name)));
         all
     }
 
+    /// The number of live members.
     pub fn len(&self) -> usize {
-        self.live
+        self.live_count
     }
 
     pub fn is_empty(&self) -> bool {
-        self.live == 0
+        self.live_count == 0
     }
 
     /// The least incarnation that a member of this name may start under now.
     pub fn free_incarnation(&self, name: &str) -> u64 {
-        let ended = self.dead.get(name).map_or(0, |ended| ended.saturating_add(1));
-        let forgotten = if self.floor > 0 { self.floor.saturating_add(1) } else { 0 };
-        ended.max(forgotten)
+        let after_ended = self.tombstones.get(name).map_or(0, |ended| ended.saturating_add(1));
+        let after_forgotten =
+            if self.forgotten_up_to > 0 { self.forgotten_up_to.saturating_add(1) } else { 0 };
+        after_ended.max(after_forgotten)
     }
 
-    /// Names held of the dead, and the incarnation up to which the dead are forgotten.
-    pub fn dead(&self) -> (usize, u64) {
-        (self.dead.len(), self.floor)
+    /// The number of tombstones, and the incarnation up to which others have been dropped.
+    pub fn tombstones(&self) -> (usize, u64) {
+        (self.tombstones.len(), self.forgotten_up_to)
     }
 
-    /// Slots in use, for members and for names that somebody mentions.
-    pub fn names(&self) -> usize {
+    /// The number of names in use, by members and by changes that name them as sources.
+    pub fn name_count(&self) -> usize {
         self.by_name.len()
     }
 
-    /// The most members that a fill can come through, the first and the last included: a fill that has come
-    /// through more goes round a ring that this shape doesn't show. At least 1.
+    /// The most members that a fill can pass through, the first and the last included, and at least 1. A fill that
+    /// has passed through more goes round in a cycle that this shape does not show.
     pub fn depth(&self) -> usize {
         let mut depth: Vec<u32> = vec![0; self.slots.len()];
         let mut path: Vec<(u32, usize)> = Vec::new();
-        for root in 0..self.slots.len() as u32 {
-            path.push((root, 0));
-            while let Some((node, at)) = path.pop() {
+        for start in 0..self.slots.len() as u32 {
+            path.push((start, 0));
+            while let Some((node, next_source)) = path.pop() {
                 let s = &self.slots[node as usize];
-                if depth[node as usize] > 0 || !s.live() {
+                if depth[node as usize] > 0 || !s.is_live() {
                     continue;
                 }
-                if let Some(&next) = s.sources.get(at) {
-                    path.push((node, at + 1));
-                    path.push((next, 0));
+                if let Some(&source) = s.sources.get(next_source) {
+                    path.push((node, next_source + 1));
+                    path.push((source, 0));
                 } else {
                     depth[node as usize] =
                         1 + s.sources.iter().map(|&x| depth[x as usize]).max().unwrap_or(0);
@@ -93,57 +100,57 @@
         depth.into_iter().max().unwrap_or(0).max(1) as usize
     }
 
-    /// Live members whose fills can't end at a root, by name: one walk over all.
+    /// Live members whose fills can't end at a root, by name. Takes one walk over all members.
     pub fn cut_off(&self) -> Vec<&str> {
-        // Of each slot whether it reaches one, once that is known; nothing in force leads round.
+        // Whether each slot reaches a root, once that is known. The edges in force have no cycles.
         let mut reaches: Vec<Option<bool>> = vec![None; self.slots.len()];
         let mut path: Vec<u32> = Vec::new();
         for start in 0..self.slots.len() as u32 {
             path.push(start);
             while let Some(&node) = path.last() {
                 let s = &self.slots[node as usize];
-                let root = s.serves() && s.words.first().is_some_and(|w| w.sources.is_empty());
+                let root = s.in_service() && s.changes.first().is_some_and(|c| c.sources.is_empty());
                 let unknown = s.sources.iter().copied().find(|&x| reaches[x as usize].is_none());
                 match unknown.filter(|_| !root && reaches[node as usize].is_none()) {
-                    Some(above) => path.push(above),
+                    Some(source) => path.push(source),
                     None => {
-                        let above = s.sources.iter().any(|&x| reaches[x as usize] == Some(true));
-                        reaches[node as usize].get_or_insert(root || above);
+                        let through_source = s.sources.iter().any(|&x| reaches[x as usize] == Some(true));
+                        reaches[node as usize].get_or_insert(root || through_source);
                         path.pop();
                     }
                 }
             }
         }
-        let cut = |(s, reaches): &(&Slot, &Option<bool>)| s.live() && **reaches != Some(true);
+        let is_cut_off = |(s, reaches): &(&Slot, &Option<bool>)| s.is_live() && **reaches != Some(true);
         let mut names: Vec<&str> =
-            self.slots.iter().zip(&reaches).filter(cut).map(|(s, _)| &*s.name).collect();
+            self.slots.iter().zip(&reaches).filter(is_cut_off).map(|(s, _)| &*s.name).collect();
         names.sort_unstable();
         names
     }
 
-    /// Whether a fill that a member asks its sources for can end at a root.
+    /// Whether a fill through this member can end at a root.
     pub fn reaches_root(&self, name: &str) -> bool {
         self.member(name).is_some() && !self.cut_off().contains(&name)
     }
 
-    /// All that is known, as changes: whoever hears them all ends with this shape.
+    /// The whole shape as changes: applied to an empty shape, they give an equal one.
     pub fn changes(&self) -> Vec<Change> {
         let mut all = Vec::new();
-        for s in self.slots.iter().filter(|s| s.live()) {
-            for w in &s.words {
-                let fills_from = w.sources.iter().map(|&x| self.slots[x as usize].name.clone()).collect();
-                let told = Told::Stands { tier: w.tier, standing: w.standing, fills_from };
-                let (incarnation, number) = w.stamp;
-                all.push(Change { member: s.name.clone(), incarnation, number, told });
+        for s in self.slots.iter().filter(|s| s.is_live()) {
+            for c in &s.changes {
+                let fills_from = c.sources.iter().map(|&x| self.slots[x as usize].name.clone()).collect();
+                let kind = ChangeKind::Present { tier: c.tier, standing: c.standing, fills_from };
+                let (incarnation, number) = c.stamp;
+                all.push(Change { member: s.name.clone(), incarnation, number, kind });
             }
         }
-        let ends = self.dead.iter().map(|(member, &incarnation)| Change {
+        let ended = self.tombstones.iter().map(|(member, &incarnation)| Change {
             member: member.clone(),
             incarnation,
             number: 0,
-            told: Told::Gone,
+            kind: ChangeKind::Gone,
         });
-        all.extend(ends);
+        all.extend(ended);
         all.sort();
         all
     }
--- a/crates/lab/src/check.rs
+++ b/crates/lab/src/check.rs
@@ -3,8 +3,8 @@
 
 use std::time::Instant;
 
-use doorgrade_hierarchy::order::Order;
-use doorgrade_hierarchy::{Change, Heard, Shape, Standing, Told};
+use doorgrade_hierarchy::order::TopologicalOrder;
+use doorgrade_hierarchy::{ApplyOutcome, Change, ChangeKind, Shape, Standing};
 use fastrand::Rng;
 
 use crate::{Figures, How};
@@ -56,17 +56,17 @@
 
     fn change(&self, n: usize, number: u64) -> Change {
         let fills_from = self.sources[n].iter().map(|&s| self.names[s].as_str().into()).collect();
-        let told = Told::Stands { tier: self.tiers[n], standing: Standing::InService, fills_from };
-        Change { member: self.names[n].as_str().into(), incarnation: 1, number, told }
+        let kind = ChangeKind::Present { tier: self.tiers[n], standing: Standing::InService, fills_from };
+        Change { member: self.names[n].as_str().into(), incarnation: 1, number, kind }
     }
 
     /// Puts a member's edges within its tier into the order; false if they close a loop.
-    fn hang(&self, order: &mut Order, n: usize) -> bool {
-        order.cut(n as u32);
+    fn hang(&self, order: &mut TopologicalOrder, n: usize) -> bool {
+        order.remove_sources(n as u32);
         let mut level = self.sources[n].iter().filter(|&&s| self.tiers[s] == self.tiers[n]);
-        let sound = level.all(|&s| order.add(n as u32, s as u32).is_ok());
+        let sound = level.all(|&s| order.add_edge(n as u32, s as u32).is_ok());
         if !sound {
-            order.cut(n as u32);
+            order.remove_sources(n as u32);
         }
         sound
     }
@@ -131,10 +131,10 @@
     let per = |at: Instant| at.elapsed().as_secs_f64() / changes as f64;
 
     // The check alone. What would close a loop stays out.
-    let mut order = Order::default();
-    (0..count as u32).for_each(|n| order.open(n));
+    let mut order = TopologicalOrder::default();
+    (0..count as u32).for_each(|n| order.add_node(n));
     (0..count).for_each(|n| assert!(world.hang(&mut order, n), "no loop to begin with"));
-    let before = order.looked;
+    let before = order.nodes_visited;
     let mut sound = Vec::with_capacity(changes);
     let at = Instant::now();
     for (n, sources) in &told {
@@ -145,12 +145,12 @@
             world.hang(&mut order, *n);
         }
     }
-    let (checked, looked) = (per(at), (order.looked - before) as f64 / changes as f64);
+    let (checked, looked) = (per(at), (order.nodes_visited - before) as f64 / changes as f64);
 
     // All that hearing a change takes. The sources first: whoever comes before its source waits for it.
     world.sources.clone_from(&first);
     let mut shape = Shape::new();
-    (0..count).for_each(|n| drop(shape.hear(&world.change(n, 1))));
+    (0..count).for_each(|n| drop(shape.apply(&world.change(n, 1))));
     let mut words = Vec::with_capacity(changes);
     for (number, ((n, sources), sound)) in told.iter().zip(&sound).enumerate() {
         let old = std::mem::replace(&mut world.sources[*n], sources.clone());
@@ -163,7 +163,7 @@
     }
     let at = Instant::now();
     for (change, sound) in &words {
-        let taken = shape.hear(change) == Heard::Taken;
+        let taken = shape.apply(change) == ApplyOutcome::Applied;
         assert_eq!(taken, *sound, "the shape and the order disagree");
     }
     let heard = per(at);
--- a/crates/lab/src/returns.rs
+++ b/crates/lab/src/returns.rs
@@ -19,7 +19,7 @@
 use std::sync::atomic::Ordering::SeqCst;
 use std::time::{Duration, Instant};
 
-use doorgrade_hierarchy::homes::{Home, first};
+use doorgrade_hierarchy::homes::{Home, home_of};
 use doorgrade_standins::feed::record;
 use doorgrade_standins::links::{ANY, Links, Way};
 use doorgrade_standins::member::{Answered, Cold};
@@ -191,7 +191,7 @@
         let mut ages = Rng::with_seed(seed ^ 0xa9e5);
         let homes: Vec<Home> = caches.iter().map(|c| Home::named(&c.id, 1.0)).collect();
         for key in 1..=OBJECTS as u64 {
-            let home = first(&homes, key).map(|h| h.key);
+            let home = home_of(&homes, key).map(|h| h.key);
             let home = caches.iter().find(|c| Some(doorgrade::hash::text(&c.id)) == home);
             let path = format!("/data/{}/{key:016x}/0", CLASSES[0].name);
             home.into_iter().for_each(|h| h.preload(&path, ages.u64(0..FRESH_MS)));
--- a/crates/lab/src/shape.rs
+++ b/crates/lab/src/shape.rs
@@ -13,8 +13,8 @@
 use std::sync::atomic::Ordering::SeqCst;
 use std::time::{Duration, Instant};
 
-use doorgrade_hierarchy::homes::{Home, first, least, moved};
-use doorgrade_hierarchy::{Change, Standing, Told};
+use doorgrade_hierarchy::homes::{Home, home_of, min_moved_share, moved_share};
+use doorgrade_hierarchy::{Change, ChangeKind, Standing};
 use doorgrade_operator::shape::write;
 use doorgrade_standins::feed::record;
 use doorgrade_standins::member::Cold;
@@ -160,8 +160,8 @@
 
 fn stands(member: &str, number: u64, tier: u8, sources: &[&str]) -> Change {
     let fills_from = sources.iter().map(|&s| s.into()).collect();
-    let told = Told::Stands { tier, standing: Standing::InService, fills_from };
-    Change { member: member.into(), incarnation: 1, number, told }
+    let kind = ChangeKind::Present { tier, standing: Standing::InService, fills_from };
+    Change { member: member.into(), incarnation: 1, number, kind }
 }
 
 fn first_shape() -> Vec<Change> {
@@ -239,7 +239,7 @@
     for (class, count) in [(0, 100u64), (1, 1_500)] {
         for key in 1..=count {
             let path = format!("/data/{}/{key:016x}/0", CLASSES[class].name);
-            let home = first(&homes, key).map(|h| h.key);
+            let home = home_of(&homes, key).map(|h| h.key);
             let home = site.trunks.iter().find(|t| Some(doorgrade::hash::text(&t.id)) == home);
             home.into_iter().for_each(|h| h.preload(&path, ages.u64(0..FRESH_MS)));
         }
@@ -419,7 +419,7 @@
         figures.put(&format!("{name}rings_reported"), o.rings_reported);
     }
     let homes = |count: usize| -> Vec<Home> { TRUNKS[..count].iter().map(|t| Home::named(t, 1.0)).collect() };
-    figures.ratio("moved_share", moved(&homes(4), &homes(6)));
-    figures.ratio("moved_share_least", least(&homes(4), &homes(6)));
+    figures.ratio("moved_share", moved_share(&homes(4), &homes(6)));
+    figures.ratio("moved_share_least", min_moved_share(&homes(4), &homes(6)));
     Ok(figures)
 }
--- a/crates/operator/src/settings.rs
+++ b/crates/operator/src/settings.rs
@@ -95,7 +95,7 @@
 
 /// What a hierarchy's block says besides whether it is on and where its shape stands.
 pub(crate) fn hierarchy(own: &Block<'_>, shape: &str) -> Hierarchy {
-    let most = u64::from(doorgrade_hierarchy::shape::MOST_TIERS) - 1;
+    let most = u64::from(doorgrade_hierarchy::shape::MAX_TIERS) - 1;
     Hierarchy {
         shape: shape.into(),
         tier: own.whole("tier", 1..=most).unwrap_or(1) as u8,
--- a/crates/operator/src/shape.rs
+++ b/crates/operator/src/shape.rs
@@ -13,8 +13,8 @@
 
 use std::fmt::Write;
 
-use doorgrade_hierarchy::shape::{MOST_MEMBERS, MOST_SOURCES, MOST_TIERS};
-use doorgrade_hierarchy::{Change, Heard, Shape, Standing, Told};
+use doorgrade_hierarchy::shape::{MAX_MEMBERS, MAX_SOURCES, MAX_TIERS};
+use doorgrade_hierarchy::{ApplyOutcome, Change, ChangeKind, Shape, Standing};
 
 use crate::doc::{Block, Doc, Problems};
 
@@ -26,23 +26,23 @@
 
 fn change(name: &str, block: &Block<'_>, gone: bool) -> Option<Change> {
     let incarnation = block.required("incarnation", block.whole("incarnation", 0..=u64::MAX));
-    let (number, told) = if gone {
-        (Some(0), Some(Told::Gone))
+    let (number, kind) = if gone {
+        (Some(0), Some(ChangeKind::Gone))
     } else {
         let number = block.required("number", block.whole("number", 0..=u64::MAX));
-        let tier = block.required("tier", block.whole("tier", 0..=u64::from(MOST_TIERS) - 1));
+        let tier = block.required("tier", block.whole("tier", 0..=u64::from(MAX_TIERS) - 1));
         let standing = block.word("standing", &STANDINGS).unwrap_or(Standing::InService);
         let sources = block.texts("fills_from").unwrap_or_default();
-        if sources.len() > MOST_SOURCES {
-            block.complain("fills_from", format_args!("expected {MOST_SOURCES} sources at the most"));
+        if sources.len() > MAX_SOURCES {
+            block.complain("fills_from", format_args!("expected {MAX_SOURCES} sources at the most"));
         }
         if sources.contains(&name) {
             block.complain("fills_from", "it names the member itself: expected others");
         }
         let fills_from = sources.into_iter().map(Into::into).collect();
-        (number, tier.map(|tier| Told::Stands { tier: tier as u8, standing, fills_from }))
+        (number, tier.map(|tier| ChangeKind::Present { tier: tier as u8, standing, fills_from }))
     };
-    Some(Change { member: name.into(), incarnation: incarnation?, number: number?, told: told? })
+    Some(Change { member: name.into(), incarnation: incarnation?, number: number?, kind: kind? })
 }
 
 /// The changes that a file tells, in its order.
@@ -65,7 +65,7 @@
     for (kind, gone) in [("member", false), ("gone", true)] {
         for (labels, block) in root.blocks(kind, 1) {
             if let Some(change) = change(labels[0], &block, gone) {
-                if let Heard::Refused(why) = probe.hear(&change) {
+                if let ApplyOutcome::Rejected(why) = probe.apply(&change) {
                     block.complain_of_all(why);
                 }
                 changes.push(change);
@@ -73,7 +73,7 @@
             block.done();
         }
     }
-    if changes.len() > MOST_MEMBERS * 8 {
+    if changes.len() > MAX_MEMBERS * 8 {
         root.complain_of_all("more changes than a shape keeps");
     }
     changes
@@ -82,8 +82,8 @@
 /// The changes as a file that reads as them.
 pub fn write(changes: &[Change]) -> String {
     let mut text = String::new();
-    for Change { member, incarnation, number, told } in changes {
-        let Told::Stands { tier, standing, fills_from } = told else {
+    for Change { member, incarnation, number, kind } in changes {
+        let ChangeKind::Present { tier, standing, fills_from } = kind else {
             let _ = writeln!(text, "gone \"{member}\" {{ incarnation = {incarnation} }}");
             continue;
         };
--- a/crates/operator/src/version.rs
+++ b/crates/operator/src/version.rs
@@ -17,7 +17,7 @@
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
 
-use doorgrade_hierarchy::aim::{Harm, harms};
+use doorgrade_hierarchy::reconcile::{ShapeFault, faults};
 use doorgrade_hierarchy::{Change, Shape};
 
 use crate::doc::{Doc, Problems};
@@ -87,14 +87,14 @@
     /// The shape on its own; empty where there is none.
     pub fn wanted(&self) -> Shape {
         let mut shape = Shape::new();
-        self.shape.iter().flatten().for_each(|c| drop(shape.hear(c)));
+        self.shape.iter().flatten().for_each(|c| drop(shape.apply(c)));
         shape
     }
 
     /// What could be read, but would do harm.
-    pub fn harms(&self) -> Vec<Harm> {
+    pub fn harms(&self) -> Vec<ShapeFault> {
         match (&self.hierarchy, &self.shape) {
-            (Some(own), Some(_)) => harms(&self.wanted(), own.tier, MOST_HARMS),
+            (Some(own), Some(_)) => faults(&self.wanted(), own.tier, MOST_HARMS),
             _ => Vec::new(),
         }
     }
--- a/crates/operator/tests/files.rs
+++ b/crates/operator/tests/files.rs
@@ -1,6 +1,6 @@
 //! The operators' files: what is read, and that each fault is named with its place.
 
-use doorgrade_hierarchy::{Change, Shape, Standing, Told};
+use doorgrade_hierarchy::{Change, ChangeKind, Shape, Standing};
 use doorgrade_operator::settings::{Format, Level};
 use doorgrade_operator::{Settings, shape};
 use proptest::prelude::*;
@@ -86,11 +86,11 @@
     fn a_shape_is_written_as_it_is_read(numbers in prop::collection::vec((0..9u8, 1..4u64, 1..9u64, 0..9u8), 0..20)) {
         let mut known = Shape::new();
         for (member, incarnation, number, source) in numbers {
-            let told = match source {
-                8 => Told::Gone,
-                s => Told::Stands { tier: 1, standing: Standing::Draining, fills_from: vec![format!("m-{s}").into()] },
+            let kind = match source {
+                8 => ChangeKind::Gone,
+                s => ChangeKind::Present { tier: 1, standing: Standing::Draining, fills_from: vec![format!("m-{s}").into()] },
             };
-            known.hear(&Change { member: format!("m-{member}").into(), incarnation, number, told });
+            known.apply(&Change { member: format!("m-{member}").into(), incarnation, number, kind });
         }
         let changes = known.changes();
         let mut read = shape::read("s.hcl", &shape::write(&changes)).unwrap();
--- a/crates/standins/src/member/fill.rs
+++ b/crates/standins/src/member/fill.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use doorgrade::hash;
-use doorgrade_hierarchy::homes::{Home, first};
-use doorgrade_hierarchy::via::{self, Cut};
+use doorgrade_hierarchy::cdn_loop::{self, LoopError};
+use doorgrade_hierarchy::homes::{Home, home_of};
 
 use super::Inner;
 use super::shelf::Copy;
@@ -54,19 +54,19 @@
         sources.retain(|s| lock(&self.directory).contains_key(s));
         let key = hash::text(&head.path);
         let homes: Vec<Home> = sources.iter().map(|s| Home::named(s, 1.0)).collect();
-        let chosen = first(&homes, key)?.key;
+        let chosen = home_of(&homes, key)?.key;
         sources.into_iter().find(|s| hash::text(s) == chosen)
     }
 
     /// Asks the source and keeps what it gives.
     pub fn fill(&self, head: &Head) -> Had {
         let Some(source) = self.source(head) else { return Had::Lacks };
-        let via = match via::pass_on(head.field("cdn-loop"), &self.spec.id) {
+        let via = match cdn_loop::forward_header(head.field("cdn-loop"), &self.spec.id) {
             Ok(via) => via,
             Err(cut) => {
                 self.counts.rings.fetch_add(1, SeqCst);
                 return Had::Cut(match cut {
-                    Cut::Ring(ring) => ring.join(", "),
+                    LoopError::Cycle(ring) => ring.join(", "),
                     other => other.to_string(),
                 });
             }
