--- a/crates/hierarchy/src/homes.rs
+++ b/crates/hierarchy/src/homes.rs
@@ -188,7 +188,8 @@
     /// The keys of old homes to be asked for their copy, the latest first.
     pub old_homes: ArrayVec<u64, MAX_LISTS>,
     pub home: Option<u64>,
-    /// The object moved to its home while old homes are still asked: the home is not expected to hold it.
+    /// The object has moved to its home so recently that old homes are still asked: the home probably does not hold
+    /// it yet.
     pub recently_moved: bool,
 }
 
@@ -320,7 +321,7 @@
     /// The homes of an object now; `alive` tells by a member's key whether it may still be asked.
     pub fn route(&self, now: Ticks, object: u64, alive: impl Fn(u64) -> bool) -> HomeRoute {
         let mut route = HomeRoute::default();
-        // When the object left the older lists: a home that it would have moved to later never was its home.
+        // When the object left the homes of older lists: one that it would have moved to only later never was its home.
         let mut left_at = now;
         for (n, list) in self.lists.iter().enumerate() {
             let Some(home) = home_of(&list.homes, object) else { continue };
--- a/crates/hierarchy/src/router.rs
+++ b/crates/hierarchy/src/router.rs
@@ -195,10 +195,10 @@
         if !self.homes.in_handover(now) {
             self.taken_over.clear();
         }
-        let mut homes = self.homes.route(now, access.object, |key| self.is_listed(key));
-        if homes.home.is_some() && self.taken_over.get(&access.object).copied() == homes.home {
+        let mut found = self.homes.route(now, access.object, |key| self.is_listed(key));
+        if found.home.is_some() && self.taken_over.get(&access.object).copied() == found.home {
             // The home has taken the object over: the old homes are not needed any more.
-            (homes.old_homes, homes.recently_moved) = Default::default();
+            (found.old_homes, found.recently_moved) = Default::default();
         }
         let mut routes = FillRoutes { hierarchical: true, ..FillRoutes::default() };
         let mut add_route = |key, only_if_cached, via_parent| {
@@ -207,20 +207,20 @@
                 let _ = routes.order.try_push(route);
             }
         };
-        if let Some(home) = homes.home {
+        if let Some(home) = found.home {
             // The push goes to the new home, which fills from an old one and keeps the copy. While the new home has
             // no capacity left, the old one is the source itself.
-            homes.old_homes.iter().for_each(|&h| add_route(h, true, Some(home)));
+            found.old_homes.iter().for_each(|&h| add_route(h, true, Some(home)));
         }
         let mut add = |key, only_if_cached| add_route(key, only_if_cached, None);
-        homes.old_homes.iter().for_each(|&h| add(h, true));
-        let home_cut_off = homes.home.is_none_or(|h| self.cut_off.contains(&h));
-        let probability = match homes.home {
-            Some(home) if !homes.recently_moved && !home_cut_off => self.shield.archive_probability(home),
+        found.old_homes.iter().for_each(|&h| add(h, true));
+        let home_cut_off = found.home.is_none_or(|h| self.cut_off.contains(&h));
+        let probability = match found.home {
+            Some(home) if !found.recently_moved && !home_cut_off => self.shield.archive_probability(home),
             _ => 1.0,
         };
         let state = self.accesses.entry(access.id).or_default();
-        (state.object, state.home, state.archive_probability) = (access.object, homes.home, probability);
+        (state.object, state.home, state.archive_probability) = (access.object, found.home, probability);
         let has_waited = state.queued > 0.0;
         self.shield.dequeue(std::mem::take(&mut state.queued));
         let admission = match self.config.shield {
@@ -229,13 +229,13 @@
         };
         // What a home holds costs the archive nothing, whatever the budget.
         if admission != Admission::Admit || home_cut_off {
-            homes.home.iter().for_each(|&h| add(h, true));
+            found.home.iter().for_each(|&h| add(h, true));
         }
         if admission == Admission::Admit {
-            homes.home.filter(|_| !home_cut_off).iter().for_each(|&h| add(h, false));
+            found.home.filter(|_| !home_cut_off).iter().for_each(|&h| add(h, false));
             // In case the home is unfit: the latest old home is the likeliest to hold the object, then the second home.
-            let old = homes.old_homes.first().copied();
-            let second = homes::home_without(self.homes.newest(), access.object, homes.home).map(|h| h.key);
+            let old = found.old_homes.first().copied();
+            let second = homes::home_without(self.homes.newest(), access.object, found.home).map(|h| h.key);
             let reaches_archive = |key: &u64| !self.cut_off.contains(key);
             [old, second].into_iter().flatten().filter(reaches_archive).for_each(|key| add(key, false));
             self.roots.iter().for_each(|&root| add(root, false));
--- a/crates/hierarchy/src/shape.rs
+++ b/crates/hierarchy/src/shape.rs
@@ -9,9 +9,9 @@
 //! **In force.** Of a member's changes, the newest usable one is in force. A change is unusable while none of its
 //! sources is known and in service, while a source is in a lower tier than the member, or while it would close a
 //! cycle. Since no edge leads to a lower tier, all members of a cycle are in one tier, and only edges within a
-//! tier can close one. Of the changes in a cycle, the one with the greatest number is set back (on a tie, that of
+//! tier can close one. Of the changes in a cycle, the one with the greatest number is skipped (on a tie, that of
 //! the greatest name): where numbers come from one sequence this is the newest change, else one that all fronts
-//! agree on. Its member falls back to its previous change. Once the obstacle is gone, the pending change takes
+//! agree on. Its member falls back to its previous change. Once the obstacle is gone, the skipped change comes into
 //! force by itself.
 //!
 //! **Tombstones.** Ended members are kept by name and incarnation, at most `MAX_TOMBSTONES` of them; those of the
@@ -90,8 +90,8 @@
     by_name: FxHashMap<Box<str>, u32>,
     live_count: usize,
     order: TopologicalOrder,
-    /// Members that have a change set back because it would close a cycle.
-    set_back: BTreeSet<u32>,
+    /// Members that have a change skipped because it would close a cycle.
+    skipped_for_cycle: BTreeSet<u32>,
     /// Members whose newest change is not in force, for whatever reason.
     pending: BTreeSet<u32>,
     /// The last ended incarnation by name.
@@ -356,10 +356,10 @@
         if visibly_changed {
             changed.extend(self.slots[slot as usize].named_by.keys());
         }
-        // The change may undo a cycle, so members that were set back for one start again from their newest change.
-        let set_back = std::mem::take(&mut self.set_back);
-        let mut acyclic = set_back.is_empty();
-        changed.extend(set_back);
+        // The change may undo a cycle, so members with a change skipped start again from their newest one.
+        let skipped = std::mem::take(&mut self.skipped_for_cycle);
+        let mut acyclic = skipped.is_empty();
+        changed.extend(skipped);
         changed.iter().for_each(|&c| self.order.remove_sources(c));
         for &c in &changed {
             let in_force = self.first_usable(c, 0);
--- a/crates/hierarchy/src/shape/cycles.rs
+++ b/crates/hierarchy/src/shape/cycles.rs
@@ -7,10 +7,10 @@
 use super::{PendingReason, Shape};
 
 impl Shape {
-    /// Breaks all cycles: in each, the change with the greatest number is set back to the next usable change of its
-    /// member, until no cycle is left. Every cycle contains an edge of a member in `changed`, since the edges of the
-    /// other members form none. So the result is the same as if all members were searched, and does not depend on
-    /// the order in which changes arrived.
+    /// Breaks all cycles: skips the change with the greatest number in each, so that its member falls back to its next
+    /// usable change, until no cycle is left. Every cycle contains an edge of a member in `changed`, since the edges
+    /// of the other members form none. So the result is the same as if all members were searched, and does not depend
+    /// on the order in which changes arrived.
     pub(super) fn break_cycles(&mut self, changed: &mut BTreeSet<u32>) {
         loop {
             let cycles = self.cyclic_components(changed);
@@ -27,7 +27,7 @@
                 changed.insert(newest);
                 let next = self.first_usable(newest, self.slots[newest as usize].in_force + 1);
                 self.set_in_force(newest, next);
-                self.set_back.insert(newest);
+                self.skipped_for_cycle.insert(newest);
             }
         }
     }
@@ -104,7 +104,7 @@
         if in_service().next().is_none() {
             return Some(PendingReason::NoSource(newest.sources.iter().map(|&x| name(x)).collect()));
         }
-        // The cycle may include changes of other members that were set back, too.
+        // The cycle may lead through skipped changes of other members, too.
         let cycle = self.shortest_cycle(slot, false).or_else(|| self.shortest_cycle(slot, true));
         Some(PendingReason::Cycle(cycle.unwrap_or_else(|| vec![slot]).into_iter().map(name).collect()))
     }
--- a/crates/hierarchy/src/shield.rs
+++ b/crates/hierarchy/src/shield.rs
@@ -91,7 +91,9 @@
     /// By the key of a parent: how likely a fill from it reaches the archive.
     archive_probability: FxHashMap<u64, f64>,
     max_parents: usize,
+    /// Reservations made so far.
     pub sent: u64,
+    /// How often a fill was told to wait or rejected so far.
     pub held_back: u64,
 }
 
--- a/crates/hierarchy/tests/homes.rs
+++ b/crates/hierarchy/tests/homes.rs
@@ -34,7 +34,10 @@
         let counted = (0..20_000).filter(differ).count() as f64 / 20_000.0;
         let (computed, minimum) = (moved_share(&old, &new), min_moved_share(&old, &new));
         prop_assert!((counted - computed).abs() < 0.02, "counted {counted}, computed {computed}");
-        prop_assert!(minimum <= computed + 1e-9 && computed <= 2.0 * minimum + 1e-9, "minimum {minimum}, computed {computed}");
+        prop_assert!(
+            minimum <= computed + 1e-9 && computed <= 2.0 * minimum + 1e-9,
+            "minimum {minimum}, computed {computed}"
+        );
     }
 
     /// With lists that change at any time, each object has a home, no dead member and no member twice is asked for a
--- a/crates/hierarchy/tests/shape.rs
+++ b/crates/hierarchy/tests/shape.rs
@@ -80,7 +80,7 @@
             break;
         }
         let number = |m: &str| changes[m][in_force[m]].0.1;
-        let set_back: Vec<&str> = cyclic
+        let skipped: Vec<&str> = cyclic
             .iter()
             .copied()
             .filter(|&m| {
@@ -88,7 +88,7 @@
                 cycle.clone().all(|&o| (number(o), o) <= (number(m), m))
             })
             .collect();
-        for m in set_back {
+        for m in skipped {
             in_force.insert(m, next(m, in_force[m] + 1));
         }
     }
@@ -193,7 +193,7 @@
     assert_eq!(shape.member("b").unwrap().fills_from, ["a"]);
     assert_eq!(shape.pending_changes().len(), 1);
     assert_eq!(shape.apply(&present("b", 1, 2, 1, &["up"])), ApplyOutcome::Applied);
-    assert_eq!(shape.member("a").unwrap().fills_from, ["b"], "the pending change takes force by itself");
+    assert_eq!(shape.member("a").unwrap().fills_from, ["b"], "the pending change comes into force by itself");
     assert!(shape.pending_changes().is_empty());
     assert_eq!(shape.depth(), 4);
 }
