--- a/crates/hierarchy/src/homes.rs
+++ b/crates/hierarchy/src/homes.rs
@@ -9,8 +9,8 @@
 //! determined by a hash, so that all fronts agree without communication. Before that time, its old home stays its
 //! home. From then on the new one is, but for a good while the old home is asked first for the copy that it may
 //! hold, so that nothing is fetched again that is there already; copies that become stale there are fetched through
-//! the new home, as they would have been anyway. A member that starts cold takes over objects at the rate at which
-//! its capacity grows. An old home that is gone has nothing to give: its objects move at once, and the load that
+//! the new home, as they would have been anyway. A member that starts cold takes over objects at a rate proportional
+//! to its growing capacity. An old home that is gone has nothing to give: its objects move at once, and the load that
 //! this puts on the archive is limited by the shield. A change in the middle of a handover starts another one from
 //! the state then reached. Each ends at its own time, and the oldest is dropped if there are too many.
 
@@ -23,13 +23,13 @@
 /// Member lists in use at once: the newest, and those that its objects are handed over from. When there are more,
 /// the oldest is dropped, and objects that only its homes hold are fetched again.
 pub const MAX_LISTS: usize = 8;
-/// Changes within this fraction of a handover's duration are merged into one: the changes of a tier arrive member by
-/// member.
-const MERGE_FRACTION: u64 = 50;
+/// Changes within 1 / `MERGE_DIVISOR` of a handover's duration are merged into one, since the changes of a tier arrive
+/// member by member.
+const MERGE_DIVISOR: u64 = 50;
 
 /// How many times the handover's duration an old home is asked for its copy after an object has moved. Objects with
-/// few accesses come to their new home only then, at the cost of one round trip, once each. At so low a rate of
-/// access a cache or a parent has probably dropped its copy by the end of that time, too.
+/// few accesses come to their new home only then, at the cost of one round trip, once each. With fewer accesses than
+/// one in that time, a cache or a parent has probably dropped its copy anyway.
 const LINGER_FACTOR: u64 = 20;
 
 /// A member of a tier as a possible home.
@@ -232,7 +232,7 @@
             self.lists.clear();
         }
         let newest = self.lists.first().filter(|_| self.lists.len() > 1);
-        if newest.is_some_and(|l| now < l.started_at + l.duration / MERGE_FRACTION) {
+        if newest.is_some_and(|l| now < l.started_at + l.duration / MERGE_DIVISOR) {
             self.lists.remove(0);
         }
         if self.lists.is_full() {
--- a/crates/hierarchy/src/router.rs
+++ b/crates/hierarchy/src/router.rs
@@ -1,9 +1,9 @@
 //! The sources that one front's accesses may be filled from now, in the order in which to try them.
 //!
 //! The router is told of changes of the shape, of the members that the front can reach, and of each push and its
-//! result. Before a push it gives the [`FillRoutes`] of the access. The decision module chooses among them by health,
-//! limits and cold budgets, and never uses a source that is not among them. Usually they are the object's home, a
-//! second home in case the first is unfit, then the archive.
+//! result. Before a push it gives the [`FillRoutes`] of the access. The decision module (`doorgrade`) chooses among them
+//! by health, limits and cold budgets, and never uses a source that is not among them. Usually they are the object's
+//! home, a second home in case the first is unfit, then the archive.
 
 use arrayvec::ArrayVec;
 use doorgrade::{
--- a/crates/hierarchy/src/shield.rs
+++ b/crates/hierarchy/src/shield.rs
@@ -8,9 +8,10 @@
 //!
 //! **Its size.** Fronts share no state, so each limits its own part: a little above its average rate
 //! (`average_rate`), times a factor (`rate_factor`) that falls and rises by whether the archive responds in time, as
-//! the decision module's own limits do. So a change of shape can raise the load by a quarter, not several times. A
-//! true rise of demand is followed by a quarter each half minute, and the average of the last hours is not forgotten
-//! at once (`peak_rate`). Until a front has learned its average it uses an initial rate.
+//! the limits of the decision module (`doorgrade`) do. So a change of shape can raise the load by a quarter, not
+//! several times. If demand really rises, the limit follows by a quarter each half minute, and the highest average of
+//! the last hours is not forgotten at once (`peak_rate`). Until a front has learned its average it uses an initial
+//! rate.
 //!
 //! **Over budget.** Other fills are asked only of members that hold a copy. If none does, the access waits for
 //! budget, provided that its turn comes within its soft limit and behind those already queued; else it is declined at
