--- a/crates/cli/src/keys.rs
+++ b/crates/cli/src/keys.rs
@@ -96,12 +96,12 @@
     let mut rows = vec![["file", "for", "stands"].map(str::to_owned).to_vec()];
     let mut list: Vec<Value> = Vec::new();
     for Dated { file, of, span } in &all {
-        let word = span.word(now());
+        let word = span.warning(now());
         wrong |= word.is_some();
-        let days = span.to.saturating_sub(now()) / doorgrade_trust::TICKS_PER_DAY;
+        let days = span.not_after.saturating_sub(now()) / doorgrade_trust::TICKS_PER_DAY;
         let stands = word.map_or(format!("good for {days} days"), |word| word.to_string());
-        list.push(json!({"file": file.display().to_string(), "for": of, "from_ms": span.from / 10,
-            "to_ms": span.to / 10, "stands": stands, "due": word.is_some()}));
+        list.push(json!({"file": file.display().to_string(), "for": of, "from_ms": span.not_before / 10,
+            "to_ms": span.not_after / 10, "stands": stands, "due": word.is_some()}));
         rows.push(vec![file.display().to_string(), of.to_string(), stands]);
     }
     say(&if as_json { format!("{}\n", json!({"certificates": list})) } else { columns(&rows) })?;
--- a/crates/control-client/src/seal_keys.rs
+++ b/crates/control-client/src/seal_keys.rs
@@ -17,7 +17,7 @@
     let name = file.display().to_string();
     let text = std::fs::read_to_string(file).map_err(|e| format!("{name}: can't be read: {e}"))?;
     let keys = control::seal_keys(&name, &text).map_err(|problems| problems.to_string())?;
-    rotation::check(&keys).map_err(|objection| format!("{name}: {objection}"))?;
+    rotation::check(&keys).map_err(|error| format!("{name}: {error}"))?;
     Ok(keys)
 }
 
--- a/crates/control/src/ask.rs
+++ b/crates/control/src/ask.rs
@@ -9,7 +9,7 @@
 use doorgrade_operator::settings::Manage;
 use doorgrade_stream::wire::{Ended, Reader, Writer};
 use doorgrade_stream::{MOST_WITH_CONTENT, OPERATORS};
-use doorgrade_trust::pace;
+use doorgrade_trust::timeouts;
 use doorgrade_versions::service::{Answer, Ask, Filter, Line, Row};
 use tokio::io::{ReadHalf, WriteHalf};
 use tokio::net::TcpStream;
@@ -37,7 +37,7 @@
     pub async fn at(at: SocketAddr, name: &str, paths: &Paths) -> Result<Asker, String> {
         let tls = client(paths, OPERATORS).map_err(|t| t.to_string())?.made;
         let server = ServerName::try_from(name.to_owned()).map_err(|e| format!("{name}: {e}"))?;
-        let made = timeout(Duration::from_micros(pace::HANDSHAKE * 100), async {
+        let made = timeout(Duration::from_micros(timeouts::HANDSHAKE * 100), async {
             let stream = TcpStream::connect(at).await?;
             stream.set_nodelay(true)?;
             TlsConnector::from(tls).connect(server, stream).await
--- a/crates/control/src/core.rs
+++ b/crates/control/src/core.rs
@@ -189,7 +189,7 @@
             }
             Event::Keys(keys) => match self.service.set_keys(keys) {
                 Ok(()) => tracing::info!("the keys that seal were read anew"),
-                Err(objection) => tracing::error!("the keys that seal stay as they are: {objection}"),
+                Err(error) => tracing::error!("the keys that seal stay as they are: {error}"),
             },
             Event::Stop => {}
         }
--- a/crates/control/src/door.rs
+++ b/crates/control/src/door.rs
@@ -10,7 +10,7 @@
 use doorgrade_keys::rustls::ServerConfig;
 use doorgrade_stream::wire::{Ended, Reader, Writer};
 use doorgrade_stream::{FRONTS, MOST_FIRST, MOST_WITH_CONTENT, MOST_WORD, OPERATORS};
-use doorgrade_trust::{pace, peer};
+use doorgrade_trust::{peer, timeouts};
 use doorgrade_versions::message::{ToFront, ToService};
 use doorgrade_versions::service::{Answer, Ask, Role};
 use tokio::net::{TcpListener, TcpStream};
@@ -107,7 +107,7 @@
         protocol: &[u8],
     ) -> Result<(TlsStream<TcpStream>, Vec<String>), String> {
         let _greeting = Counted::new(&self.greeting, MOST_GREETING).ok_or("too many are at the door")?;
-        let within = Duration::from_micros(pace::HANDSHAKE * 100);
+        let within = Duration::from_micros(timeouts::HANDSHAKE * 100);
         let _ = stream.set_nodelay(true);
         let made = timeout(within, TlsAcceptor::from(tls).accept(stream)).await;
         let stream = made.map_err(|_| "its handshake took too long")?.map_err(|e| e.to_string())?;
--- a/crates/keys/src/make.rs
+++ b/crates/keys/src/make.rs
@@ -59,7 +59,7 @@
 
 /// A new secret for sealing, in hex digits.
 pub fn secret() -> Result<String, Trouble> {
-    let mut bytes = [0; doorgrade_trust::rotation::LEAST_BYTES];
+    let mut bytes = [0; doorgrade_trust::rotation::MIN_SECRET_BYTES];
     getrandom::fill(&mut bytes).map_err(|e| Trouble::new(Path::new("a new secret"), e))?;
     Ok(bytes.iter().map(|b| format!("{b:02x}")).collect())
 }
--- a/crates/keys/src/papers.rs
+++ b/crates/keys/src/papers.rs
@@ -5,7 +5,7 @@
 
 use doorgrade_operator::control::Papers;
 use doorgrade_trust::Ticks;
-use doorgrade_trust::expiry::Span;
+use doorgrade_trust::expiry::Validity;
 use rustls::client::Resumption;
 use rustls::pki_types::pem::PemObject;
 use rustls::pki_types::{CertificateDer, PrivateKeyDer};
@@ -41,7 +41,7 @@
     pub file: PathBuf,
     /// Its subject.
     pub of: Box<str>,
-    pub span: Span,
+    pub span: Validity,
 }
 
 /// What was made of files, and what in them will end.
@@ -95,7 +95,7 @@
     let one = |der| {
         let parsed = parse(path, der)?;
         let (from, to) = (parsed.validity().not_before, parsed.validity().not_after);
-        let span = Span { from: tenths(from.timestamp()), to: tenths(to.timestamp()) };
+        let span = Validity { not_before: tenths(from.timestamp()), not_after: tenths(to.timestamp()) };
         Ok(Dated { file: path.into(), of: parsed.subject().to_string().into(), span })
     };
     all.iter().map(one).collect()
@@ -116,7 +116,7 @@
                 GeneralName::DNSName(name) => Some((*name).to_owned()),
                 _ => None,
             });
-            names.extend(dns.take(doorgrade_trust::peer::MOST_NAMES));
+            names.extend(dns.take(doorgrade_trust::peer::MAX_NAMES));
         }
     }
     names
--- a/crates/keys/src/reload.rs
+++ b/crates/keys/src/reload.rs
@@ -6,7 +6,7 @@
 use std::time::SystemTime;
 
 use doorgrade_trust::Ticks;
-use doorgrade_trust::expiry::{Watched, Word};
+use doorgrade_trust::expiry::{ExpiryWatch, Warning};
 
 use crate::Trouble;
 use crate::papers::{Dated, Loaded};
@@ -19,7 +19,7 @@
     read: Box<dyn Fn() -> Result<Loaded<T>, Trouble> + Send + Sync>,
     loaded: RwLock<Loaded<T>>,
     stamp: Stamp,
-    watched: BTreeMap<(PathBuf, Box<str>), Watched>,
+    watched: BTreeMap<(PathBuf, Box<str>), ExpiryWatch>,
 }
 
 fn stamp(files: &[PathBuf]) -> Stamp {
@@ -53,8 +53,8 @@
         let mut old = std::mem::take(&mut self.watched);
         for Dated { file, of, span } in dated {
             let key = (file, of);
-            let mut watched = old.remove(&key).unwrap_or_else(|| Watched::new(span));
-            watched.renewed(span);
+            let mut watched = old.remove(&key).unwrap_or_else(|| ExpiryWatch::new(span));
+            watched.replace(span);
             self.watched.insert(key, watched);
         }
     }
@@ -86,9 +86,9 @@
     }
 
     /// What there is to say now of what will end, once for each step.
-    pub fn due(&mut self, now: Ticks) -> Vec<(PathBuf, Box<str>, Word)> {
+    pub fn due(&mut self, now: Ticks) -> Vec<(PathBuf, Box<str>, Warning)> {
         let words = self.watched.iter_mut().filter_map(|((file, of), watched)| {
-            let word = watched.due(now)?;
+            let word = watched.take_warning(now)?;
             Some((file.clone(), of.clone(), word))
         });
         words.collect()
--- a/crates/stream/src/follow.rs
+++ b/crates/stream/src/follow.rs
@@ -9,7 +9,7 @@
 
 use doorgrade_keys::rustls::ClientConfig;
 use doorgrade_keys::rustls::pki_types::ServerName;
-use doorgrade_trust::pace;
+use doorgrade_trust::timeouts;
 use doorgrade_versions::front::{Content, Effect, Front, Line};
 use doorgrade_versions::message::{ToFront, ToService};
 use doorgrade_versions::seal::{Keys, Seal};
@@ -89,7 +89,7 @@
     name: ServerName<'static>,
     tls: Arc<ClientConfig>,
 ) -> Result<Link, (SocketAddr, String)> {
-    let within = Duration::from_micros(pace::HANDSHAKE * 100);
+    let within = Duration::from_micros(timeouts::HANDSHAKE * 100);
     let made = timeout(within, async {
         let stream = TcpStream::connect(at).await?;
         stream.set_nodelay(true)?;
--- a/crates/stream/src/wire.rs
+++ b/crates/stream/src/wire.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 use std::time::Duration;
 
-use doorgrade_trust::pace::Pace;
+use doorgrade_trust::timeouts::PeerTimeout;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
@@ -34,15 +34,15 @@
     }
 }
 
-fn left(pace: &Pace) -> Duration {
+fn left(pace: &PeerTimeout) -> Duration {
     const NEVER: Duration = Duration::from_secs(86_400 * 365);
-    pace.until().map_or(NEVER, |at| Duration::from_micros(at.saturating_sub(now()) * 100))
+    pace.deadline().map_or(NEVER, |at| Duration::from_micros(at.saturating_sub(now()) * 100))
 }
 
 pub struct Reader<R> {
     stream: R,
     frames: Frames,
-    pace: Pace,
+    pace: PeerTimeout,
 }
 
 /// Read at once at most: a frame's bytes are put by as they come.
@@ -51,8 +51,8 @@
 impl<R: AsyncRead + Unpin> Reader<R> {
     /// `first`: a first word of at most so many bytes is owed at once.
     pub fn new(stream: R, first: Option<usize>, most: usize) -> Self {
-        let mut pace = Pace::begin(now());
-        pace.shook_hands(now(), first.is_some());
+        let mut pace = PeerTimeout::new(now());
+        pace.handshake_done(now(), first.is_some());
         Reader { stream, frames: Frames::new(first.unwrap_or(most)), pace }
     }
 
@@ -65,9 +65,9 @@
         let mut piece = [0; PIECE];
         loop {
             if let Some(message) = self.frames.take().map_err(Ended::Broken)? {
-                self.pace.moved(now(), 0, true);
+                self.pace.transferred(now(), 0, true);
                 if self.frames.begun() {
-                    self.pace.moved(now(), 0, false);
+                    self.pace.transferred(now(), 0, false);
                 }
                 return Ok(message);
             }
@@ -79,7 +79,7 @@
                 0 => return Err(Ended::Closed),
                 count => {
                     self.frames.put(&piece[..count]);
-                    self.pace.moved(now(), count as u64, false);
+                    self.pace.transferred(now(), count as u64, false);
                 }
             }
         }
@@ -100,13 +100,13 @@
     pub async fn write<T: Serialize>(&mut self, message: &T) -> Result<(), Ended> {
         let long = Broken::Long { bytes: u32::MAX as usize, most: crate::MOST_WITH_CONTENT };
         let bytes = frame(message).ok_or(Ended::Broken(long))?;
-        let mut pace = Pace::begin(now());
-        pace.shook_hands(now(), false);
-        pace.moved(now(), 0, false);
+        let mut pace = PeerTimeout::new(now());
+        pace.handshake_done(now(), false);
+        pace.transferred(now(), 0, false);
         for piece in bytes.chunks(PIECE) {
             let wrote = timeout(left(&pace), self.stream.write_all(piece)).await;
             wrote.map_err(|_| Ended::Slow)?.map_err(Ended::Failed)?;
-            pace.moved(now(), piece.len() as u64, false);
+            pace.transferred(now(), piece.len() as u64, false);
         }
         let flushed = timeout(left(&pace), self.stream.flush()).await;
         flushed.map_err(|_| Ended::Slow)?.map_err(Ended::Failed)?;
--- a/crates/trust/src/expiry.rs
+++ b/crates/trust/src/expiry.rs
@@ -1,26 +1,27 @@
-//! What expires is announced weeks ahead, once for each of some steps and then daily, whoever restarts meanwhile: a
-//! line depends on the time alone and on what was said by this start of the program.
+//! Warnings before a certificate expires: weeks ahead, on given days and then daily. A warning depends only on the time
+//! and on what this process has already reported, so that a restart repeats it and suppresses none.
 
 use std::fmt;
 
 use crate::{TICKS_PER_DAY, TICKS_PER_SECOND, Ticks};
 
-/// Days before the end at which a line is due. Six weeks pass change freezes and holidays; below a week each day.
-pub const STEPS: [u64; 10] = [42, 28, 14, 7, 6, 5, 4, 3, 2, 1];
+/// Days before the expiry on which a warning is due. Six weeks outlast change freezes and holidays; in the last week
+/// there is one each day.
+pub const WARNING_DAYS: [u64; 10] = [42, 28, 14, 7, 6, 5, 4, 3, 2, 1];
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Word {
-    /// It is good for so long still, and a step was passed.
-    Soon(Ticks),
-    /// It was good until then.
-    Ended(Ticks),
-    /// It will be good from then on.
-    NotYet(Ticks),
+pub enum Warning {
+    /// It expires in this time, and one of the warning days was reached.
+    ExpiresIn(Ticks),
+    /// It expired this long ago.
+    ExpiredFor(Ticks),
+    /// It becomes valid in this time.
+    ValidIn(Ticks),
 }
 
-impl fmt::Display for Word {
+impl fmt::Display for Warning {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let span = |t: &Ticks| match (
+        let duration = |t: &Ticks| match (
             t / TICKS_PER_DAY,
             t / (3_600 * TICKS_PER_SECOND),
             t / (60 * TICKS_PER_SECOND),
@@ -30,88 +31,89 @@
             (.., minutes) => format!("{minutes} minutes"),
         };
         match self {
-            Word::Soon(left) => write!(f, "expires in {}", span(left)),
-            Word::Ended(ago) => write!(f, "expired {} ago", span(ago)),
-            Word::NotYet(until) => write!(f, "is good only in {}", span(until)),
+            Warning::ExpiresIn(left) => write!(f, "expires in {}", duration(left)),
+            Warning::ExpiredFor(ago) => write!(f, "expired {} ago", duration(ago)),
+            Warning::ValidIn(wait) => write!(f, "is not valid for another {}", duration(wait)),
         }
     }
 }
 
-/// How a span of time stands.
+/// The validity period of a certificate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Span {
-    pub from: Ticks,
-    pub to: Ticks,
+pub struct Validity {
+    pub not_before: Ticks,
+    pub not_after: Ticks,
 }
 
-impl Span {
-    pub fn good(&self, now: Ticks) -> bool {
-        self.from <= now && now < self.to
+impl Validity {
+    pub fn contains(&self, now: Ticks) -> bool {
+        self.not_before <= now && now < self.not_after
     }
 
-    /// The step that it stands at: 0 before all of them, then one more for each that was passed; one past the
-    /// last for each day after its end.
-    fn step(&self, now: Ticks) -> u64 {
-        let passed = |days: &&u64| now + **days * TICKS_PER_DAY >= self.to;
-        let passed = STEPS.iter().filter(passed).count() as u64;
-        match now.checked_sub(self.to) {
-            Some(ago) => STEPS.len() as u64 + 1 + ago / TICKS_PER_DAY,
-            None => passed,
+    /// How many warnings have become due: one for each of `WARNING_DAYS` reached, then one at the expiry and one for
+    /// each day after it.
+    fn warnings_due(&self, now: Ticks) -> u64 {
+        let reached = |days: &&u64| now + **days * TICKS_PER_DAY >= self.not_after;
+        let reached = WARNING_DAYS.iter().filter(reached).count() as u64;
+        match now.checked_sub(self.not_after) {
+            Some(ago) => WARNING_DAYS.len() as u64 + 1 + ago / TICKS_PER_DAY,
+            None => reached,
         }
     }
 
-    /// What is to be said of it, whether or not it was said before.
-    pub fn word(&self, now: Ticks) -> Option<Word> {
-        if now < self.from {
-            return Some(Word::NotYet(self.from - now));
+    /// The warning that holds at this time, whether or not it was reported before.
+    pub fn warning(&self, now: Ticks) -> Option<Warning> {
+        if now < self.not_before {
+            return Some(Warning::ValidIn(self.not_before - now));
         }
-        match self.step(now) {
+        match self.warnings_due(now) {
             0 => None,
-            _ if now < self.to => Some(Word::Soon(self.to - now)),
-            _ => Some(Word::Ended(now - self.to)),
+            _ if now < self.not_after => Some(Warning::ExpiresIn(self.not_after - now)),
+            _ => Some(Warning::ExpiredFor(now - self.not_after)),
         }
     }
 
-    /// When there will be something new to say.
-    pub fn next(&self, now: Ticks) -> Ticks {
-        if now < self.from {
-            return self.from;
+    /// When the next warning is due.
+    pub fn next_warning_at(&self, now: Ticks) -> Ticks {
+        if now < self.not_before {
+            return self.not_before;
         }
-        if let Some(ago) = now.checked_sub(self.to) {
-            return self.to + (ago / TICKS_PER_DAY + 1) * TICKS_PER_DAY;
+        if let Some(ago) = now.checked_sub(self.not_after) {
+            return self.not_after + (ago / TICKS_PER_DAY + 1) * TICKS_PER_DAY;
         }
-        let steps = STEPS.iter().map(|days| self.to.saturating_sub(days * TICKS_PER_DAY));
-        steps.filter(|at| *at > now).min().unwrap_or(self.to)
+        let warnings = WARNING_DAYS.iter().map(|days| self.not_after.saturating_sub(days * TICKS_PER_DAY));
+        warnings.filter(|at| *at > now).min().unwrap_or(self.not_after)
     }
 }
 
-/// One thing that expires, and what was said of it.
+/// One certificate, and the last warning that was reported of it.
 #[derive(Clone, Debug)]
-pub struct Watched {
-    pub span: Span,
-    told: Option<(bool, u64)>,
+pub struct ExpiryWatch {
+    pub validity: Validity,
+    /// Whether it was not valid yet, and the number of warnings due.
+    reported: Option<(bool, u64)>,
 }
 
-impl Watched {
-    pub fn new(span: Span) -> Watched {
-        Watched { span, told: None }
+impl ExpiryWatch {
+    pub fn new(validity: Validity) -> ExpiryWatch {
+        ExpiryWatch { validity, reported: None }
     }
 
-    /// Another one stands in its place; of one that is as good as the old nothing is said again.
-    pub fn renewed(&mut self, span: Span) {
-        if span != self.span {
-            *self = Watched::new(span);
+    /// The certificate was read again or replaced. One with the same validity period is not reported again.
+    pub fn replace(&mut self, validity: Validity) {
+        if validity != self.validity {
+            *self = ExpiryWatch::new(validity);
         }
     }
 
-    /// What is to be said now, once for each step.
-    pub fn due(&mut self, now: Ticks) -> Option<Word> {
-        let word = self.span.word(now)?;
-        let step = (matches!(word, Word::NotYet(_)), self.span.step(now));
-        if self.told == Some(step) {
+    /// The warning to report now, each only once.
+    pub fn take_warning(&mut self, now: Ticks) -> Option<Warning> {
+        let warning = self.validity.warning(now)?;
+        let stage = (matches!(warning, Warning::ValidIn(_)), self.validity.warnings_due(now));
+        if self.reported == Some(stage) {
             return None;
         }
-        self.told = Some(step);
-        Some(word)
+        self.reported = Some(stage);
+        Some(warning)
     }
 }
--- a/crates/versions/src/service/ask.rs
+++ b/crates/versions/src/service/ask.rs
@@ -5,7 +5,7 @@
 use std::fmt;
 use std::sync::Arc;
 
-use doorgrade_trust::rotation::{self, Objection};
+use doorgrade_trust::rotation::{self, KeySetError};
 use serde::{Deserialize, Serialize};
 
 use super::{ChangeRow, Do, NotPublished, Progress, Service, State, Status, Stop, Ticks};
@@ -327,8 +327,8 @@
     }
 
     /// Other keys from now on, unless somebody's true word would look made up.
-    pub fn set_keys(&mut self, keys: Vec<(u32, Vec<u8>)>) -> Result<(), Objection> {
-        rotation::replaces(self.keys.all(), &keys, &self.keys_used())?;
+    pub fn set_keys(&mut self, keys: Vec<(u32, Vec<u8>)>) -> Result<(), KeySetError> {
+        rotation::check_replacement(self.keys.all(), &keys, &self.keys_used())?;
         self.keys = Keys::new(keys);
         Ok(())
     }
@@ -342,7 +342,7 @@
             base,
             publication: self.progress(),
             superseded: self.superseded,
-            spare_keys: rotation::spare(self.keys.all(), &used),
+            spare_keys: rotation::removable(self.keys.all(), &used),
             sealed: used.into_iter().map(|(key, count)| (key, count as u64)).collect(),
             ..Totals::default()
         };
