--- a/crates/cli/src/neighbours.rs
+++ b/crates/cli/src/neighbours.rs
@@ -52,7 +52,7 @@
     rows.extend(s.rows.iter().map(|r: &Row| {
         let heard = r.heard_ms.map_or("never".into(), |ms| format!("{} ago", seconds(ms)));
         let id = &r.id;
-        let (name, station, at, life) = (&id.name, &id.station, id.at, id.incarnation());
+        let (name, station, at, life) = (&id.name, &id.station, id.address, id.effective_incarnation());
         let state = state(r.state).to_owned();
         vec![
             name.to_string(),
@@ -69,13 +69,13 @@
         "{} ({}, {}) is {}, in life {}: {} datagrams said, {} not said, {} refused\n{}",
         own.name,
         own.station,
-        own.at,
+        own.address,
         match s.standing {
             Standing::Among => "among neighbours",
             Standing::Doubts => "in doubt: it has slept, and nobody has answered since",
             Standing::Alone => "alone",
         },
-        own.incarnation(),
+        own.effective_incarnation(),
         s.said,
         s.kept,
         s.refused,
@@ -85,12 +85,13 @@
 
 fn object(s: &Status) -> String {
     let rows = s.rows.iter().map(|r| {
-        json!({"front": &*r.id.name, "station": &*r.id.station, "address": r.id.at.to_string(),
-            "life": r.id.incarnation(), "state": state(r.state), "since_ms": r.since_ms, "heard_ms": r.heard_ms})
+        json!({"front": &*r.id.name, "station": &*r.id.station, "address": r.id.address.to_string(),
+            "life": r.id.effective_incarnation(), "state": state(r.state), "since_ms": r.since_ms,
+            "heard_ms": r.heard_ms})
     });
     let own = &s.own;
-    let own = json!({"front": &*own.name, "station": &*own.station, "address": own.at.to_string(),
-        "life": own.incarnation(), "standing": standing(s.standing), "said": s.said, "kept": s.kept,
+    let own = json!({"front": &*own.name, "station": &*own.station, "address": own.address.to_string(),
+        "life": own.effective_incarnation(), "standing": standing(s.standing), "said": s.said, "kept": s.kept,
         "refused": s.refused, "neighbours": rows.collect::<Vec<_>>()});
     format!("{own}\n")
 }
--- a/crates/cli/tests/neighbours.rs
+++ b/crates/cli/tests/neighbours.rs
@@ -29,8 +29,9 @@
     fleet.all_see(0..10, 0..10);
     let lives = |fleet: &Fleet| -> Vec<u64> {
         let told = fleet.ask(9).unwrap();
-        let life =
-            |n: usize| told.rows.iter().find(|r| *r.id.name == *format!("n{n}")).map(|r| r.id.incarnation());
+        let life = |n: usize| {
+            told.rows.iter().find(|r| *r.id.name == *format!("n{n}")).map(|r| r.id.effective_incarnation())
+        };
         (0..7).filter_map(life).collect()
     };
     let before = lives(&fleet);
@@ -74,13 +75,13 @@
     fleet.front(3).wake();
     fleet.all_see(0..5, 0..5);
     // The log comes through a pipe that another thread reads.
-    let slept = "neighbours: slept for ";
+    let slept = "neighbours: stalled for ";
     assert!(fleet.front(3).line(slept, helper::fleet::LONG).is_some());
     let lines = fleet.front(3).lines();
     let told: Vec<_> = lines[before..].iter().filter(|l| l.contains("neighbours: ")).collect();
     assert!(told.first().is_some_and(|l| l.contains(slept)), "{told:?}");
     for n in 0..5 {
-        let wrong: Vec<_> = fleet.front(n).lines().into_iter().filter(|l| l.contains("is missing")).collect();
+        let wrong: Vec<_> = fleet.front(n).lines().into_iter().filter(|l| l.contains("is down")).collect();
         assert!(wrong.iter().all(|l| l.contains("n3 (")), "n{n}: only one that sleeps is missed: {wrong:?}");
     }
     fleet.words_hold();
@@ -124,7 +125,7 @@
     std::thread::sleep(Duration::from_secs(6));
     for n in 0..4 {
         let lines = fleet.fronts[n].as_ref().unwrap().lines();
-        assert!(!lines.iter().any(|l| l.contains("is missing")), "n{n}: {lines:?}");
+        assert!(!lines.iter().any(|l| l.contains("is down")), "n{n}: {lines:?}");
     }
     // Other keys, and nobody there.
     let secret = "7f".repeat(32);
@@ -186,12 +187,12 @@
     std::thread::sleep(Duration::from_secs(3));
     fleet.all_see(0..4, 0..4);
     let slept: Vec<_> =
-        fleet.front(1).lines().into_iter().filter(|line| line.contains("neighbours: slept")).collect();
+        fleet.front(1).lines().into_iter().filter(|line| line.contains("neighbours: stalled")).collect();
     assert_eq!(slept, [""; 0], "set forward by an hour");
     for n in [0, 2, 3] {
         let lines = fleet.front(n).lines();
         assert!(
-            !lines.iter().any(|line| line.contains("n1 (") && line.contains("is missing")),
+            !lines.iter().any(|line| line.contains("n1 (") && line.contains("is down")),
             "n{n}: {lines:?}"
         );
     }
--- a/crates/cli/tests/recall.rs
+++ b/crates/cli/tests/recall.rs
@@ -194,7 +194,7 @@
     rig.ask(0);
     // Before it knows anybody, while it asks, and when it has all.
     for (step, told) in
-        ["recall: no snapshot", "neighbours: among neighbours", "recall: from neighbours, 1 pages"]
+        ["recall: no snapshot", "neighbours: connected to neighbours", "recall: from neighbours, 1 pages"]
             .into_iter()
             .enumerate()
     {
@@ -208,7 +208,7 @@
         rig.fleet.front(2).wake();
         // Stopped so early, it may not have begun to believe anything that it could drop.
         if step > 0 {
-            rig.line(2, "neighbours: slept for ");
+            rig.line(2, "neighbours: stalled for ");
         }
         until("it has asked anew", || {
             let lines = rig.fleet.fronts[2].as_ref().unwrap().lines();
@@ -228,7 +228,7 @@
     rig.fleet.start(0);
     rig.fleet.start(1);
     rig.ask(0);
-    rig.line(1, "neighbours: among neighbours");
+    rig.line(1, "neighbours: connected to neighbours");
     rig.fleet.front(0).stop();
     rig.fleet.start(2);
     rig.ask(2);
@@ -237,7 +237,7 @@
     // Longer than any pause of its own.
     std::thread::sleep(Duration::from_secs(1));
     rig.fleet.front(0).wake();
-    rig.line(0, "neighbours: slept for ");
+    rig.line(0, "neighbours: stalled for ");
     rig.ask(0);
 }
 
@@ -320,7 +320,7 @@
     for (ms, says) in
         [(-3_600_000, "its own snapshot is left out: it was taken 3"), (3_600_000, "ms ago, and nothing")]
     {
-        let life = |rig: &Rig| rig.fleet.ask(0).map_or(0, |s| s.own.life);
+        let life = |rig: &Rig| rig.fleet.ask(0).map_or(0, |s| s.own.incarnation);
         rig.fleet.set_clock(0, ms);
         rig.fleet.start(0);
         rig.line(0, says);
--- a/crates/control-client/src/neighbours/exchange.rs
+++ b/crates/control-client/src/neighbours/exchange.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use doorgrade::Ticks;
-use doorgrade_members::{self as members, Effect, Words};
+use doorgrade_members::{self as members, Effect, RateLimiter};
 use doorgrade_recall::Gave;
 use tokio::sync::mpsc as queue;
 use tokio::time::sleep;
@@ -42,7 +42,7 @@
     /// Until it is stopped; the snapshot of what is remembered is written last.
     pub async fn run(self, stopped: Stopped) {
         let Exchange { membership, socket, remember, to_remember, recalled, incarnation, now } = self;
-        let pages = Words::new(MOST_PAGES, now);
+        let pages = RateLimiter::new(MOST_PAGES, now);
         let (peers, unbound) = (None, membership);
         let mut running = Running { peers, unbound, remember, recalled, incarnation, pages };
         running.begin(socket);
@@ -58,7 +58,7 @@
     recalled: Recalled,
     incarnation: u64,
     /// Pages of status.
-    pages: Words,
+    pages: RateLimiter,
 }
 
 impl Running {
@@ -92,7 +92,7 @@
         loop {
             let now = clock::now();
             let dues = [
-                self.peers.as_ref().map(|p| p.members.next()),
+                self.peers.as_ref().map(|p| p.members.next_tick_at()),
                 self.remember.as_ref().map(Remember::due),
                 self.remember.as_ref().and_then(Remember::late),
             ];
@@ -121,7 +121,7 @@
     /// Whatever is due.
     async fn tick(&mut self) {
         let now = clock::now();
-        if let Some(peers) = self.peers.as_mut().filter(|p| p.members.next() <= now) {
+        if let Some(peers) = self.peers.as_mut().filter(|p| p.members.next_tick_at() <= now) {
             peers.members.tick(now);
         }
         self.perform().await;
@@ -141,14 +141,14 @@
         let now = clock::now();
         let Some(peers) = &mut self.peers else { return };
         match peers.keys.open(peers.membership.own.address, bytes) {
-            Ok([OF_MEMBERS, content @ ..]) => peers.members.hear(now, content),
+            Ok([OF_MEMBERS, content @ ..]) => peers.members.receive(now, content),
             Ok([OF_FRONTS, content @ ..]) => match postcard::from_bytes(content) {
                 Ok(message) => self.message(from, message).await,
-                Err(_) => peers.members.refused += 1,
+                Err(_) => peers.members.rejected += 1,
             },
-            Ok(_) => peers.members.refused += 1,
+            Ok(_) => peers.members.rejected += 1,
             Err(why) => {
-                peers.members.refused += 1;
+                peers.members.rejected += 1;
                 tracing::debug!("neighbours: a datagram from {from} is refused: {why:?}");
             }
         }
@@ -184,19 +184,19 @@
 
     async fn answer(&mut self, to: SocketAddrV4, number: u32, page: u16) {
         let now = clock::now();
-        let Some(peers) = self.peers.as_ref().filter(|_| self.pages.may(now)) else { return };
+        let Some(peers) = self.peers.as_ref().filter(|_| self.pages.try_acquire(now)) else { return };
         let members = &peers.members;
-        let seen = members.seen();
+        let seen = members.known_members();
         let pages = seen.len().div_ceil(ROWS).max(1) as u16;
         let rows =
             seen.into_iter().skip(usize::from(page) * ROWS).take(ROWS).map(|s| Row::of(s, now)).collect();
-        let (said, kept) = members.words();
-        let standing = match members.standing() {
-            members::Standing::Alone => Standing::Alone,
-            members::Standing::Doubts => Standing::Doubts,
-            members::Standing::Among => Standing::Among,
+        let (said, kept) = members.datagram_counts();
+        let standing = match members.connectivity() {
+            members::Connectivity::Isolated => Standing::Alone,
+            members::Connectivity::Unconfirmed => Standing::Doubts,
+            members::Connectivity::Connected => Standing::Among,
         };
-        let (own, refused) = (members.own().clone(), members.refused);
+        let (own, refused) = (members.identity().clone(), members.rejected);
         let memory = self.remember.as_ref().map(Remember::tells);
         let status = Status { own, standing, said, kept, refused, memory, rows };
         peers.send(to, &Message::Answer { number, page, pages, status }).await;
@@ -205,15 +205,15 @@
     async fn perform(&mut self) {
         let now = clock::now();
         let Some(peers) = &mut self.peers else { return };
-        for done in peers.members.take() {
+        for done in peers.members.take_effects() {
             match done {
-                Effect::Send { to, said } => peers.datagram(to, OF_MEMBERS, &said).await,
-                Effect::Tell(event) => {
+                Effect::Send { to, payload } => peers.datagram(to, OF_MEMBERS, &payload).await,
+                Effect::Notify(event) => {
                     tracing::info!("neighbours: {event}");
                     let remember = self.remember.iter_mut();
                     match event {
-                        members::Event::Slept(_) => remember.for_each(|r| r.slept(now)),
-                        members::Event::Up(_) => remember.for_each(|r| r.met(now)),
+                        members::Event::Stalled(_) => remember.for_each(|r| r.slept(now)),
+                        members::Event::MemberUp(_) => remember.for_each(|r| r.met(now)),
                         _ => {}
                     }
                 }
--- a/crates/control-client/src/neighbours/message.rs
+++ b/crates/control-client/src/neighbours/message.rs
@@ -4,7 +4,7 @@
 
 use doorgrade::Ticks;
 use doorgrade_members::seal::Keys;
-use doorgrade_members::{Id, Seen, State};
+use doorgrade_members::{KnownMember, Liveness, MemberId};
 use doorgrade_recall::{Fill, Purge};
 use serde::{Deserialize, Serialize};
 
@@ -48,7 +48,7 @@
 /// How a front stands among others.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Status {
-    pub own: Id,
+    pub own: MemberId,
     pub standing: Standing,
     /// Datagrams said, not said since there were too many, and refused.
     pub said: u64,
@@ -70,7 +70,7 @@
 /// Another front, as this one sees it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Row {
-    pub id: Id,
+    pub id: MemberId,
     pub state: MemberState,
     /// How long it has been so, and since it was heard itself.
     pub since_ms: u64,
@@ -86,14 +86,14 @@
 }
 
 impl Row {
-    pub(super) fn of(seen: Seen, now: Ticks) -> Row {
+    pub(super) fn of(seen: KnownMember, now: Ticks) -> Row {
         let ago = |at: Ticks| now.saturating_sub(at) / 10;
-        let state = match seen.state {
-            State::Up => MemberState::Up,
-            State::Doubted => MemberState::Doubted,
-            State::Down => MemberState::Down,
+        let state = match seen.liveness {
+            Liveness::Alive => MemberState::Up,
+            Liveness::Suspect => MemberState::Doubted,
+            Liveness::Down => MemberState::Down,
         };
-        Row { id: seen.id, state, since_ms: ago(seen.since), heard_ms: seen.heard.map(ago) }
+        Row { id: seen.id, state, since_ms: ago(seen.since), heard_ms: seen.last_datagram_at.map(ago) }
     }
 }
 
--- a/crates/control-client/src/neighbours/mod.rs
+++ b/crates/control-client/src/neighbours/mod.rs
@@ -79,8 +79,8 @@
     fn read(settings: Neighbours, own: &Own<'_>) -> Result<Membership, SetupError> {
         let seal_keys = files::beside(own.settings, &settings.seal_keys);
         let secrets = read_keys(&seal_keys).map_err(fault)?;
-        if own.name.len() > doorgrade_members::MOST_NAME {
-            let (has, most) = (own.name.len(), doorgrade_members::MOST_NAME);
+        if own.name.len() > doorgrade_members::MAX_NAME_BYTES {
+            let (has, most) = (own.name.len(), doorgrade_members::MAX_NAME_BYTES);
             return Err(fault(format_args!("the front's name has {has} bytes: expected {most} at most")));
         }
         Ok(Membership { own: settings, name: own.name.into(), seed: own.seed, seal_keys, secrets })
--- a/crates/control-client/src/neighbours/socket.rs
+++ b/crates/control-client/src/neighbours/socket.rs
@@ -4,7 +4,7 @@
 
 use doorgrade::Ticks;
 use doorgrade_members::seal::Keys;
-use doorgrade_members::{Id, Members, Settings};
+use doorgrade_members::{MemberId, Members, Settings};
 use doorgrade_recall::Giver;
 use tokio::net::UdpSocket;
 
@@ -30,15 +30,16 @@
         let socket = UdpSocket::from_std(socket)?;
         let own = &membership.own;
         let (name, station) = (membership.name.as_str().into(), own.station.clone());
-        let id = Id { name, station, at: own.address, life: incarnation, again: 0 };
+        let id = MemberId { name, station, address: own.address, incarnation, renewals: 0 };
         let settings = Settings {
             seeds: own.seeds.clone(),
-            about: own.about,
-            probe: own.probe_ms * 10,
-            words: own.words,
+            expected_members: own.about,
+            probe_interval: own.probe_ms * 10,
+            max_datagrams_per_second: own.words,
         };
         // Fronts of one seed, as a configuration may give them, are not to do all in step.
-        let seed = membership.seed ^ doorgrade::hash::text(&format!("{} {}", membership.name, id.life));
+        let seed =
+            membership.seed ^ doorgrade::hash::text(&format!("{} {}", membership.name, id.incarnation));
         let keys = Keys::new(&membership.secrets);
         Ok(Peers { members: Members::new(id, settings, seed, now), keys, socket, membership })
     }
@@ -59,8 +60,8 @@
 
     /// Who may have memory: those that are there.
     pub(super) fn givers(&self) -> Vec<Giver> {
-        let near = |id: &Id| id.station == self.membership.own.station;
-        self.members.up().map(|id| Giver { at: id.at, near: near(id) }).collect()
+        let near = |id: &MemberId| id.station == self.membership.own.station;
+        self.members.alive().map(|id| Giver { at: id.address, near: near(id) }).collect()
     }
 
     /// Takes over seal keys that have changed in their file.
--- a/crates/lab/src/scale/members/world.rs
+++ b/crates/lab/src/scale/members/world.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddrV4;
 
 use doorgrade::Ticks;
-use doorgrade_members::{Effect, Id, Members, Settings, seal};
+use doorgrade_members::{Effect, MemberId, Members, Settings, seal};
 use fastrand::Rng;
 use rustix::time::{ClockId, clock_gettime};
 
@@ -16,7 +16,7 @@
 pub const ZONES: usize = 39;
 pub const REGIONS: usize = 12;
 /// Around each datagram: Ethernet takes more, but is not the operators' to pay for; IPv4, UDP, the kind and the seal.
-pub const AROUND: usize = 20 + 8 + 1 + seal::LENGTH;
+pub const AROUND: usize = 20 + 8 + 1 + seal::SEAL_BYTES;
 /// One way within a site, and between the regions that are farthest from each other: 10 and 150 ms there and back.
 const NEAR: Ticks = 50;
 const FAR: Ticks = 750;
@@ -119,13 +119,18 @@
 }
 
 /// Names as long as operators give them.
-pub fn identity(node: usize, at: SocketAddrV4, life: u64) -> Id {
+pub fn identity(node: usize, at: SocketAddrV4, life: u64) -> MemberId {
     let (name, station) = (format!("front-{node:04}").into(), format!("site-{:02}", site(node)).into());
-    Id { name, station, at, life: EPOCH_MS + life, again: 0 }
+    MemberId { name, station, address: at, incarnation: EPOCH_MS + life, renewals: 0 }
 }
 
 pub fn settings(size: usize, seeds: Vec<SocketAddrV4>) -> Settings {
-    Settings { seeds, about: size as u32, probe: Settings::PROBE, words: Settings::WORDS }
+    Settings {
+        seeds,
+        expected_members: size as u32,
+        probe_interval: Settings::DEFAULT_PROBE_INTERVAL,
+        max_datagrams_per_second: Settings::DEFAULT_MAX_DATAGRAMS_PER_SECOND,
+    }
 }
 
 /// This thread's own, so that a busy machine does not count.
@@ -170,7 +175,7 @@
 
     fn tick_later(&mut self, node: usize) {
         if let Some(members) = &self.nodes[node].members {
-            let (at, run) = (members.next().max(self.now + 1), self.nodes[node].run);
+            let (at, run) = (members.next_tick_at().max(self.now + 1), self.nodes[node].run);
             self.put(at, node, What::Tick(run));
         }
     }
@@ -193,16 +198,16 @@
         let Some(members) = &mut one.members else { return };
         let before = processor_ns();
         call(members);
-        let done = members.take();
+        let done = members.take_effects();
         one.busy_ns += processor_ns() - before;
         let second = self.second();
         for done in done {
-            let Effect::Send { to, said } = done else { continue };
-            self.nodes[node].sent.add(second, said.len() + AROUND);
+            let Effect::Send { to, payload } = done else { continue };
+            self.nodes[node].sent.add(second, payload.len() + AROUND);
             let to = node_at(to);
             if self.passes(node, to) {
                 let at = self.now + self.delay(node, to);
-                self.put(at, to, What::Said(said));
+                self.put(at, to, What::Said(payload));
             }
         }
     }
@@ -217,7 +222,7 @@
                     if self.nodes[node].members.is_some() {
                         let second = self.second();
                         self.nodes[node].received.add(second, said.len() + AROUND);
-                        self.call(node, |members| members.hear(at, &said));
+                        self.call(node, |members| members.receive(at, &said));
                     }
                 }
                 What::Tick(run) if run == self.nodes[node].run => {
@@ -234,16 +239,19 @@
     /// that is taken to be there and is not.
     pub fn known(&self) -> f64 {
         let within = |node: usize| region(node) < self.cut;
-        let lives: Vec<Option<u64>> =
-            self.nodes.iter().map(|n| n.members.as_ref().map(|m| m.own().incarnation())).collect();
+        let lives: Vec<Option<u64>> = self
+            .nodes
+            .iter()
+            .map(|n| n.members.as_ref().map(|m| m.identity().effective_incarnation()))
+            .collect();
         let (mut right, mut wrong, mut pairs) = (0usize, 0usize, 0usize);
         for (node, one) in self.nodes.iter().enumerate() {
             let Some(members) = &one.members else { continue };
             let reached = |other: usize| lives[other].is_some() && within(node) == within(other);
             pairs += (0..lives.len()).filter(|&other| other != node && reached(other)).count();
-            for id in members.up() {
-                let other = node_at(id.at);
-                match reached(other) && lives[other] == Some(id.incarnation()) {
+            for id in members.alive() {
+                let other = node_at(id.address);
+                match reached(other) && lives[other] == Some(id.effective_incarnation()) {
                     true => right += 1,
                     false => wrong += 1,
                 }
--- a/crates/lab/src/sizes.rs
+++ b/crates/lab/src/sizes.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 
 use doorgrade::Ticks;
-use doorgrade_members::{Effect, Id, Members, Settings};
+use doorgrade_members::{Effect, MemberId, Members, Settings};
 use doorgrade_recall::{Asking, Fill, Gave, Giver, Giving, Memory, Purge, Rules, Source};
 use fastrand::Rng;
 use rayon::prelude::*;
@@ -132,10 +132,21 @@
 
     fn start(&mut self, n: usize) {
         let station = format!("s{}", n % STATIONS).into();
-        let own = Id { name: format!("n{n}").into(), station, at: at(n), life: self.now / 10, again: 0 };
+        let own = MemberId {
+            name: format!("n{n}").into(),
+            station,
+            address: at(n),
+            incarnation: self.now / 10,
+            renewals: 0,
+        };
         let size = self.all.len();
         let seeds = [0, size / 2, size - 1].map(at).to_vec();
-        let settings = Settings { seeds, about: size as u32, probe: Settings::PROBE, words: Settings::WORDS };
+        let settings = Settings {
+            seeds,
+            expected_members: size as u32,
+            probe_interval: Settings::DEFAULT_PROBE_INTERVAL,
+            max_datagrams_per_second: Settings::DEFAULT_MAX_DATAGRAMS_PER_SECOND,
+        };
         let one = &mut self.all[n];
         one.members = Some(Members::new(own, settings, self.rng.u64(..), self.now));
         one.run += 1;
@@ -149,7 +160,7 @@
 
     fn later(&mut self, n: usize) {
         if let Some(members) = &self.all[n].members {
-            let (at, run) = (members.next().max(self.now + 1), self.all[n].run);
+            let (at, run) = (members.next_tick_at().max(self.now + 1), self.all[n].run);
             self.put(at, n, What::Tick(run));
         }
     }
@@ -163,11 +174,11 @@
     }
 
     fn perform(&mut self, n: usize) {
-        let done = self.all[n].members.as_mut().map(Members::take).unwrap_or_default();
+        let done = self.all[n].members.as_mut().map(Members::take_effects).unwrap_or_default();
         for done in done {
-            if let Effect::Send { to, said } = done {
+            if let Effect::Send { to, payload } = done {
                 self.all[n].words.one(self.now);
-                self.say(n, number(to), Said::Swim(said));
+                self.say(n, number(to), Said::Swim(payload));
             }
         }
     }
@@ -178,9 +189,9 @@
         else {
             return;
         };
-        let own = &members.own().station;
+        let own = &members.identity().station;
         let givers: Vec<Giver> =
-            members.up().map(|id| Giver { at: id.at, near: id.station == *own }).collect();
+            members.alive().map(|id| Giver { at: id.address, near: id.station == *own }).collect();
         for asked in asking.step(self.now, &givers) {
             self.say(n, number(asked.to), Said::Ask(asked.page));
         }
@@ -192,7 +203,7 @@
         let Some(members) = &mut one.members else { return };
         match said {
             Said::Swim(said) => {
-                members.hear(now, &said);
+                members.receive(now, &said);
                 return self.perform(n);
             }
             Said::Ask(page) => {
@@ -248,7 +259,7 @@
     /// Whether 99 in 100 of all pairs know each other. The last ones meet when one asks the other, as each does all in turn.
     fn agreed(&self) -> bool {
         let size = self.all.len();
-        let known: usize = self.all.iter().filter_map(|o| Some(o.members.as_ref()?.up().count())).sum();
+        let known: usize = self.all.iter().filter_map(|o| Some(o.members.as_ref()?.alive().count())).sum();
         known as f64 >= 0.99 * (size * (size - 1)) as f64
     }
 }
--- a/crates/members/src/detection.rs
+++ b/crates/members/src/detection.rs
@@ -1,5 +1,5 @@
-//! What stands around the failure detection (the crate `foca`) and is called back by it: timers, datagrams, and what is
-//! known of others.
+//! What the failure detector (the crate `foca`) calls back into: timers, outgoing datagrams, and the table of known
+//! members.
 
 use std::cmp::{Ordering, Reverse};
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -12,137 +12,140 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
-use crate::Id;
-use crate::seek::Seek;
-use crate::settings::{Settings, config};
-use crate::types::{Effect, Event, Seen, Standing, State};
-use crate::words::Words;
+use crate::MemberId;
+use crate::discovery::Discovery;
+use crate::rate_limiter::RateLimiter;
+use crate::settings::{Settings, swim_config};
+use crate::types::{Connectivity, Effect, Event, KnownMember, Liveness};
 
-/// SWIM's failure detection.
-pub(crate) type Swim = Foca<Id, PostcardCodec, SmallRng, NoCustomBroadcast>;
+/// The SWIM failure detector.
+pub(crate) type Swim = Foca<MemberId, PostcardCodec, SmallRng, NoCustomBroadcast>;
 
-/// A timer of the detection, in the order in which it is due.
-pub(crate) struct Later(pub Ticks, u64, pub Timer<Id>);
+/// A timer of the failure detector: its deadline, a sequence number for timers of equal deadlines, and the timer.
+pub(crate) struct PendingTimer(pub Ticks, u64, pub Timer<MemberId>);
 
-impl PartialEq for Later {
-    fn eq(&self, other: &Later) -> bool {
+impl PartialEq for PendingTimer {
+    fn eq(&self, other: &PendingTimer) -> bool {
         (self.0, self.1) == (other.0, other.1)
     }
 }
 
-impl Eq for Later {}
+impl Eq for PendingTimer {}
 
-impl PartialOrd for Later {
-    fn partial_cmp(&self, other: &Later) -> Option<Ordering> {
+impl PartialOrd for PendingTimer {
+    fn partial_cmp(&self, other: &PendingTimer) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Later {
-    fn cmp(&self, other: &Later) -> Ordering {
+impl Ord for PendingTimer {
+    fn cmp(&self, other: &PendingTimer) -> Ordering {
         (self.0, self.1).cmp(&(other.0, other.1))
     }
 }
 
-/// All of the state but the detection itself, which calls back into it.
+/// All of the state but the failure detector itself, which calls back into it.
 pub(crate) struct Runtime {
     pub now: Ticks,
-    pub timers: BinaryHeap<Reverse<Later>>,
-    pub number: u64,
-    pub words: Words,
-    pub out: Vec<Effect>,
-    /// All that were ever heard of, as they were last.
-    pub known: BTreeMap<SocketAddrV4, Seen>,
-    /// From whom the datagram in hand is, once it was found to be for this one in its present life.
-    pub spoke: Option<SocketAddrV4>,
-    /// When anybody was heard last.
-    pub heard: Ticks,
-    pub here: BTreeSet<SocketAddrV4>,
-    pub standing: Standing,
-    pub seek: Seek,
+    pub timers: BinaryHeap<Reverse<PendingTimer>>,
+    pub last_timer_number: u64,
+    pub rate_limiter: RateLimiter,
+    pub effects: Vec<Effect>,
+    /// All members that were ever reported, in their last state.
+    pub known: BTreeMap<SocketAddrV4, KnownMember>,
+    /// Sender of the datagram being handled, set once the datagram was found to be for the present identity.
+    pub sender: Option<SocketAddrV4>,
+    /// When the last datagram from any member that is up was received.
+    pub last_datagram_at: Ticks,
+    /// Addresses of the members that are up, suspect ones included.
+    pub up: BTreeSet<SocketAddrV4>,
+    pub connectivity: Connectivity,
+    pub discovery: Discovery,
 }
 
-impl foca::Runtime<Id> for &mut Runtime {
-    fn notify(&mut self, told: Notification<'_, Id>) {
-        let event = match told {
+impl foca::Runtime<MemberId> for &mut Runtime {
+    fn notify(&mut self, notification: Notification<'_, MemberId>) {
+        let event = match notification {
             Notification::MemberUp(id) => {
-                self.here.insert(id.at);
-                self.seek.met(self.now, id.at);
-                self.know(id, State::Up);
-                Event::Up(id.clone())
+                self.up.insert(id.address);
+                self.discovery.member_up(self.now, id.address);
+                self.record(id, Liveness::Alive);
+                Event::MemberUp(id.clone())
             }
             Notification::MemberDown(id) => {
-                self.here.remove(&id.at);
-                self.know(id, State::Down);
-                // It may have begun anew where nobody here hears it.
-                self.seek.hurry(self.now);
-                Event::Down(id.clone())
+                self.up.remove(&id.address);
+                self.record(id, Liveness::Down);
+                // It may have restarted without being able to reach any member that is up here.
+                self.discovery.ask_soon(self.now);
+                Event::MemberDown(id.clone())
             }
-            Notification::Rename(was, is) => {
-                self.know(is, State::Up);
-                Event::Reborn { was: was.clone(), is: is.clone() }
+            Notification::Rename(old, new) => {
+                self.record(new, Liveness::Alive);
+                Event::IdentityChanged { old: old.clone(), new: new.clone() }
             }
-            Notification::Rejoin(id) => Event::TakenForDead(id.clone()),
+            Notification::Rejoin(id) => Event::Rejoined(id.clone()),
             Notification::DataReceived(header) => {
-                self.spoke = Some(header.src.at);
+                self.sender = Some(header.src.address);
                 return;
             }
-            // Whether it is among others is judged by whoever speaks to it, below.
+            // `Active` and `Idle` are not used: connectivity depends on datagrams received (`Members::receive`).
             _ => return,
         };
-        self.out.push(Effect::Tell(event));
+        self.effects.push(Effect::Notify(event));
     }
 
-    fn send_to(&mut self, to: Id, said: &[u8]) {
-        if self.words.may(self.now) {
-            self.out.push(Effect::Send { to: to.at, said: said.to_vec() });
+    fn send_to(&mut self, to: MemberId, payload: &[u8]) {
+        if self.rate_limiter.try_acquire(self.now) {
+            self.effects.push(Effect::Send { to: to.address, payload: payload.to_vec() });
         }
     }
 
-    fn submit_after(&mut self, timer: Timer<Id>, after: Duration) {
-        self.number += 1;
-        let due = self.now + (after.as_micros() / 100) as Ticks;
-        self.timers.push(Reverse(Later(due, self.number, timer)));
+    fn submit_after(&mut self, timer: Timer<MemberId>, after: Duration) {
+        self.last_timer_number += 1;
+        let deadline = self.now + (after.as_micros() / 100) as Ticks;
+        self.timers.push(Reverse(PendingTimer(deadline, self.last_timer_number, timer)));
     }
 }
 
 impl Runtime {
-    pub fn new(settings: &Settings, now: Ticks, seek: Seek) -> Runtime {
+    pub fn new(settings: &Settings, now: Ticks, discovery: Discovery) -> Runtime {
         Runtime {
             now,
             timers: BinaryHeap::new(),
-            number: 0,
-            words: Words::new(settings.words, now),
-            out: Vec::new(),
+            last_timer_number: 0,
+            rate_limiter: RateLimiter::new(settings.max_datagrams_per_second, now),
+            effects: Vec::new(),
             known: BTreeMap::new(),
-            spoke: None,
-            heard: now,
-            here: BTreeSet::new(),
-            standing: Standing::Alone,
-            seek,
+            sender: None,
+            last_datagram_at: now,
+            up: BTreeSet::new(),
+            connectivity: Connectivity::Isolated,
+            discovery,
         }
     }
 
-    /// The next timer that is due, taken off.
-    pub fn due(&mut self) -> Option<Timer<Id>> {
-        if self.next_timer() > self.now {
+    /// Removes and returns the next timer whose deadline has passed.
+    pub fn pop_expired_timer(&mut self) -> Option<Timer<MemberId>> {
+        if self.next_timer_at() > self.now {
             return None;
         }
-        self.timers.pop().map(|Reverse(Later(_, _, timer))| timer)
+        self.timers.pop().map(|Reverse(PendingTimer(_, _, timer))| timer)
     }
 
-    /// When the next timer is due.
-    pub fn next_timer(&self) -> Ticks {
+    /// The deadline of the next timer; `Ticks::MAX` if there is none.
+    pub fn next_timer_at(&self) -> Ticks {
         self.timers.peek().map_or(Ticks::MAX, |timer| timer.0.0)
     }
 
-    fn know(&mut self, id: &Id, state: State) {
-        let heard = self.known.get(&id.at).filter(|k| k.id == *id).and_then(|k| k.heard);
-        self.known.insert(id.at, Seen { id: id.clone(), state, since: self.now, heard });
+    fn record(&mut self, id: &MemberId, liveness: Liveness) {
+        let last_datagram_at =
+            self.known.get(&id.address).filter(|k| k.id == *id).and_then(|k| k.last_datagram_at);
+        self.known
+            .insert(id.address, KnownMember { id: id.clone(), liveness, since: self.now, last_datagram_at });
     }
 }
 
-/// A detection that knows nobody yet.
-pub(crate) fn swim(own: Id, settings: &Settings, rng: &mut Rng) -> Swim {
-    Foca::new(own, config(settings), SmallRng::seed_from_u64(rng.u64(..)), PostcardCodec)
+/// A failure detector that knows no other member yet.
+pub(crate) fn new_swim(own: MemberId, settings: &Settings, rng: &mut Rng) -> Swim {
+    Foca::new(own, swim_config(settings), SmallRng::seed_from_u64(rng.u64(..)), PostcardCodec)
 }
--- a/crates/members/src/lib.rs
+++ b/crates/members/src/lib.rs
@@ -1,35 +1,40 @@
-//! Who is there: the fronts of a fleet, found by seeds, missed by SWIM, met again after a death, a stall or a cut.
+//! Membership of the fronts of a fleet: which other fronts are up, as far as this one can tell. Fronts find each other
+//! through seed addresses, detect failures with SWIM, and meet again after a crash, a stall or a network partition.
 //!
-//! Handed datagrams and the time; gives back datagrams and what has changed ([`Members`]). Detection is the crate
-//! `foca`'s; what is decided here is around it:
+//! [`Members`] is a pure state machine: it is handed datagrams and the time, and returns datagrams to send and
+//! membership events. SWIM itself is implemented by the crate `foca`. This package adds:
 //!
-//! - **Incarnations.** A name at an address is one member over its lives. A later life wins over an earlier one, and one
-//!   that was taken for dead comes back as a later one (`Id`).
-//! - **Waking.** A process that was stopped believes that it never slept: its timers are all due at once, and would
-//!   accuse whoever did not answer meanwhile. A gap in time longer than any sleep of its own is taken for a stall:
-//!   all that it believed is dropped before any of it is acted upon, it comes back as a later life, and it says that
-//!   it doubts until somebody has answered (`Standing::Doubts`).
-//! - **Words.** No more than a stated number of datagrams leaves it in a second, whatever happens (`words.rs`).
-//! - **Seeking.** Who is not among others asks seeds and those it once knew, one at a time, ever more slowly; who is
-//!   among others still asks one that is missing now and then, so that halves that were cut apart meet (`seek.rs`).
-//! - **Seals.** A datagram is under a key that the operators gave, made for the address that it goes to (`seal.rs`).
+//! - **Incarnations.** A name at an address is one member across restarts. A later incarnation replaces an earlier
+//!   one, and a member that others declared down rejoins under a later incarnation (`MemberId`).
+//! - **Stall detection.** A process that was suspended does not notice it: its timers are all due at once and would
+//!   accuse every member that did not answer in the meantime. A gap between calls that is longer than any wait of its
+//!   own counts as a stall. The membership state is then discarded before any of it is acted upon, the member takes a
+//!   later incarnation, and it reports its state as unconfirmed until somebody answers
+//!   (`Connectivity::Unconfirmed`).
+//! - **Rate limit.** A member sends at most a configured number of datagrams per second, whatever happens
+//!   (`rate_limiter.rs`).
+//! - **Discovery.** A member that is not connected asks seeds and formerly known members, one at a time and with a
+//!   growing interval. A connected member still asks one that is missing now and then, so that the sides of a network
+//!   partition meet again (`discovery.rs`).
+//! - **Seals.** A datagram is authenticated with a key from the operators, for the address that it is sent to
+//!   (`seal.rs`).
 //!
-//! What it can't know: whether one that does not answer is dead, stalled or cut off. `Down` is a belief.
+//! No member can know whether another one that does not answer is dead, stalled or cut off: `Down` is an assumption.
 #![forbid(unsafe_code)]
 
 mod detection;
-mod doubts;
+mod discovery;
 mod id;
 mod members;
+mod rate_limiter;
 pub mod seal;
-mod seek;
 mod settings;
+mod suspicions;
 mod types;
-mod words;
 
-pub use id::{Id, MOST_NAME};
-pub use words::Words;
+pub use id::{MAX_NAME_BYTES, MemberId};
+pub use rate_limiter::RateLimiter;
 
 pub use members::Members;
 pub use settings::Settings;
-pub use types::{Effect, Event, Seen, Standing, State};
+pub use types::{Connectivity, Effect, Event, KnownMember, Liveness};
--- a/crates/members/src/members.rs
+++ b/crates/members/src/members.rs
@@ -1,207 +1,236 @@
-//! The state of one member's picture of all.
+//! One member's view of the fleet.
 
 use doorgrade::Ticks;
 use fastrand::Rng;
 
-use crate::Id;
-use crate::detection::{Runtime, Swim, swim};
-use crate::doubts::Doubts;
-use crate::seek::Seek;
-use crate::settings::{GOSSIP, Settings, doubt_time};
-use crate::types::{Effect, Event, Seen, Standing, State};
-
-/// After so many times that, nobody can be about to end a doubt.
-const DOUBT_LOST: Ticks = 2;
-/// It is called at the least once in a gossip's pause. Whoever was not called for two and a half probes was stopped: less
-/// than the doubt of four, so that no accusation ripens meanwhile. Three quarters of a second at the least, longer than a
-/// busy machine's pauses, and no more than what is still a short stop to people.
-const STALL: f64 = 2.5;
-const STALLS: [Ticks; 2] = [7_500, 25_000];
-/// With nobody heard for so many probes, there is nobody: each of its own was unanswered, and nobody probed it.
-const UNHEARD: Ticks = 5;
-/// More than so many times what operators say of the fleet's size is no fleet: whoever tells of them has a key, and lies or is
-/// ill. `about` may be off by a factor of three.
-const MOST_TOLD: usize = 8;
-const LEAST_TOLD: usize = 512;
+use crate::MemberId;
+use crate::detection::{Runtime, Swim, new_swim};
+use crate::discovery::Discovery;
+use crate::settings::{GOSSIP_INTERVAL, Settings, suspicion_timeout};
+use crate::suspicions::Suspicions;
+use crate::types::{Connectivity, Effect, Event, KnownMember, Liveness};
+
+/// A suspicion that lasts for this many suspicion timeouts is one that no member is about to end.
+const MAX_SUSPICION_TIMEOUTS: Ticks = 2;
+/// A gap between calls of more than this many probe intervals is a stall: calls are never further apart than a gossip
+/// interval. It is less than the suspicion timeout of four intervals, so that no suspicion leads to an accusation
+/// before the stall is noticed.
+const STALL_PROBE_INTERVALS: f64 = 2.5;
+/// Bounds of that gap, 0.75 s to 2.5 s: longer than the pauses of a busy machine, and no longer than what an operator
+/// would still consider a short pause.
+const STALL_BOUNDS: [Ticks; 2] = [7_500, 25_000];
+/// Without a datagram for this many probe intervals a member is isolated: no probe of its own was answered, and nobody
+/// has probed it.
+const ISOLATED_PROBE_INTERVALS: Ticks = 5;
+/// More known members than this many times the configured fleet size are not a fleet: whoever reports them has a valid
+/// key, and lies or is broken. `expected_members` may be off by a factor of three.
+const MAX_KNOWN_PER_EXPECTED: usize = 8;
+/// Lower bound of that limit, for small fleets.
+const MIN_KNOWN_LIMIT: usize = 512;
 
 pub struct Members {
     swim: Swim,
     runtime: Runtime,
     rng: Rng,
     settings: Settings,
-    called: Ticks,
-    doubts: Doubts,
-    /// Datagrams heard, in a circle.
-    heard: u32,
-    /// Datagrams that could not be used.
-    pub refused: u64,
+    last_call_at: Ticks,
+    suspicions: Suspicions,
+    /// Datagrams received; wraps around.
+    datagram_count: u32,
+    /// Datagrams that were not accepted. The caller adds those that it rejects itself.
+    pub rejected: u64,
 }
 
 impl Members {
-    pub fn new(own: Id, settings: Settings, seed: u64, now: Ticks) -> Members {
+    pub fn new(own: MemberId, settings: Settings, seed: u64, now: Ticks) -> Members {
         let mut rng = Rng::with_seed(seed);
-        let seek = Seek::new(own.at, &settings.seeds, now, &mut rng);
-        let runtime = Runtime::new(&settings, now, seek);
-        let swim = swim(own, &settings, &mut rng);
-        let doubts = Doubts::default();
-        Members { swim, runtime, rng, settings, called: now, doubts, heard: 0, refused: 0 }
+        let discovery = Discovery::new(own.address, &settings.seeds, now, &mut rng);
+        let runtime = Runtime::new(&settings, now, discovery);
+        let swim = new_swim(own, &settings, &mut rng);
+        let suspicions = Suspicions::default();
+        Members {
+            swim,
+            runtime,
+            rng,
+            settings,
+            last_call_at: now,
+            suspicions,
+            datagram_count: 0,
+            rejected: 0,
+        }
     }
 
-    pub fn own(&self) -> &Id {
+    /// This member's present identity.
+    pub fn identity(&self) -> &MemberId {
         self.swim.identity()
     }
 
-    pub fn standing(&self) -> Standing {
-        self.runtime.standing
+    pub fn connectivity(&self) -> Connectivity {
+        self.runtime.connectivity
     }
 
-    /// Datagrams said in all, and those not said since there were too many.
-    pub fn words(&self) -> (u64, u64) {
-        (self.runtime.words.said, self.runtime.words.kept)
+    /// Datagrams sent in all, and those not sent since the rate limit was reached.
+    pub fn datagram_counts(&self) -> (u64, u64) {
+        (self.runtime.rate_limiter.allowed, self.runtime.rate_limiter.dropped)
     }
 
-    /// What is to be done, in order.
-    pub fn take(&mut self) -> Vec<Effect> {
-        std::mem::take(&mut self.runtime.out)
+    /// Takes the pending effects, to be performed in order.
+    pub fn take_effects(&mut self) -> Vec<Effect> {
+        std::mem::take(&mut self.runtime.effects)
     }
 
-    /// When `tick` is due. Two and a half probes without any call, and it counts as having slept.
-    pub fn next(&self) -> Ticks {
-        // Often enough that a stall is told from a long pause of its own.
-        self.runtime.next_timer().min(self.runtime.seek.due).min(self.called + GOSSIP)
+    /// When to call `tick`, at the latest. Two and a half probe intervals without any call count as a stall.
+    pub fn next_tick_at(&self) -> Ticks {
+        // At least once per gossip interval, so that a stall is told from a long wait for a timer.
+        self.runtime
+            .next_timer_at()
+            .min(self.runtime.discovery.next_request_at)
+            .min(self.last_call_at + GOSSIP_INTERVAL)
     }
 
-    /// Those heard of, this one not among them. After a stall, or when nobody answers, they are all doubted until they
-    /// are heard of again.
-    pub fn seen(&self) -> Vec<Seen> {
+    /// All other members that were reported. After a stall, or when no member answers, those that were up are suspect
+    /// until there is news of them.
+    pub fn known_members(&self) -> Vec<KnownMember> {
         let mut known = self.runtime.known.clone();
         for m in self.swim.iter_membership_state() {
-            let state = match m.state() {
-                foca::State::Alive => State::Up,
-                foca::State::Suspect => State::Doubted,
-                foca::State::Down => State::Down,
+            let liveness = match m.state() {
+                foca::State::Alive => Liveness::Alive,
+                foca::State::Suspect => Liveness::Suspect,
+                foca::State::Down => Liveness::Down,
             };
-            if let Some(seen) = known.get_mut(&m.id().at).filter(|k| k.id == *m.id()) {
-                seen.state = state;
+            if let Some(member) = known.get_mut(&m.id().address).filter(|k| k.id == *m.id()) {
+                member.liveness = liveness;
             }
         }
         known.into_values().collect()
     }
 
-    /// Those that are there, as far as it is known; one that is doubted is not counted on.
-    pub fn up(&self) -> impl Iterator<Item = &Id> {
+    /// The members that are assumed to run; suspect ones are not among them.
+    pub fn alive(&self) -> impl Iterator<Item = &MemberId> {
         self.swim.iter_members().filter(|m| m.state() == foca::State::Alive).map(foca::Member::id)
     }
 
-    /// Of a name, the latest life that was heard of, wherever it was.
-    pub fn named(&self, name: &str) -> Option<Seen> {
-        let all = self.seen().into_iter().filter(|s| &*s.id.name == name);
-        all.max_by_key(|s| (s.id.incarnation(), s.state != State::Down))
-    }
-
-    /// A datagram has come, its seal found good.
-    pub fn hear(&mut self, now: Ticks, said: &[u8]) {
-        self.wake(now);
-        self.runtime.spoke = None;
-        let heard = self.swim.handle_data(said, &mut self.runtime);
-        self.refused += u64::from(heard.is_err());
-        let spoke = self.runtime.spoke.take().filter(|at| self.runtime.here.contains(at));
-        if let Some(seen) = spoke.and_then(|at| self.runtime.known.get_mut(&at)) {
-            (seen.heard, self.runtime.heard) = (Some(self.runtime.now), self.runtime.now);
-            // Somebody that is there has spoken to it in its present life.
-            if std::mem::replace(&mut self.runtime.standing, Standing::Among) != Standing::Among {
-                self.runtime.out.push(Effect::Tell(Event::Among));
+    /// The latest known incarnation of a name, at whatever address.
+    pub fn find_by_name(&self, name: &str) -> Option<KnownMember> {
+        let all = self.known_members().into_iter().filter(|m| &*m.id.name == name);
+        all.max_by_key(|m| (m.id.effective_incarnation(), m.liveness != Liveness::Down))
+    }
+
+    /// Handles a datagram whose seal was valid.
+    pub fn receive(&mut self, now: Ticks, payload: &[u8]) {
+        self.advance_clock(now);
+        self.runtime.sender = None;
+        let handled = self.swim.handle_data(payload, &mut self.runtime);
+        self.rejected += u64::from(handled.is_err());
+        let sender = self.runtime.sender.take().filter(|address| self.runtime.up.contains(address));
+        if let Some(member) = sender.and_then(|address| self.runtime.known.get_mut(&address)) {
+            (member.last_datagram_at, self.runtime.last_datagram_at) =
+                (Some(self.runtime.now), self.runtime.now);
+            // A member that is up has addressed the present identity of this one.
+            if std::mem::replace(&mut self.runtime.connectivity, Connectivity::Connected)
+                != Connectivity::Connected
+            {
+                self.runtime.effects.push(Effect::Notify(Event::Connected));
             }
         }
-        self.bound();
-        self.settle();
+        self.enforce_member_limit();
+        self.check_isolation();
     }
 
-    /// Time has passed.
+    /// Runs the timers that have expired and sends the requests that are due.
     pub fn tick(&mut self, now: Ticks) {
-        self.wake(now);
-        while let Some(timer) = self.runtime.due() {
-            // An error is a probe whose timers came out of order: it is begun anew by itself.
+        self.advance_clock(now);
+        while let Some(timer) = self.runtime.pop_expired_timer() {
+            // Fails if the timers of a probe came out of order; the next probe starts regardless.
             let _ = self.swim.handle_timer(timer, &mut self.runtime);
         }
-        self.end_doubts();
-        if let Some(at) = self.runtime.seek.whom(self.runtime.now, &self.runtime.here, &mut self.rng) {
-            let _ = self.swim.announce(Id::unknown(at), &mut self.runtime);
+        self.expire_suspicions();
+        if let Some(target) =
+            self.runtime.discovery.next_target(self.runtime.now, &self.runtime.up, &mut self.rng)
+        {
+            let _ = self.swim.announce(MemberId::unknown(target), &mut self.runtime);
         }
-        self.settle();
+        self.check_isolation();
     }
 
-    /// The detection ends a doubt by a timer of whoever doubted first, and loses it when that one begins a later life. A
-    /// doubt that has lasted for twice that time is nobody's: the doubted one is held for down, hears of it, and comes
-    /// back if it lives.
-    fn end_doubts(&mut self) {
-        let most = DOUBT_LOST * doubt_time(&self.settings);
-        let overdue = self.doubts.overdue(self.runtime.now, most, self.swim.iter_membership_state());
-        if !overdue.is_empty() {
-            let _ = self.swim.apply_many(overdue.into_iter(), true, &mut self.runtime);
+    /// SWIM ends a suspicion by a timer of the member that first had it, and loses the timer when that member takes a
+    /// new identity. A suspicion that has lasted for twice the timeout has no such member any more. The suspect is then
+    /// declared down, learns of it, and rejoins if it is alive.
+    fn expire_suspicions(&mut self) {
+        let max_age = MAX_SUSPICION_TIMEOUTS * suspicion_timeout(&self.settings);
+        let expired = self.suspicions.expired(self.runtime.now, max_age, self.swim.iter_membership_state());
+        if !expired.is_empty() {
+            let _ = self.swim.apply_many(expired.into_iter(), true, &mut self.runtime);
         }
     }
 
-    /// Before anything else is done at a call: has it slept?
-    fn wake(&mut self, now: Ticks) {
+    /// Comes first in every call: sets the time, and discards the membership state if the process has stalled.
+    fn advance_clock(&mut self, now: Ticks) {
         let now = now.max(self.runtime.now);
-        let slept = now - self.called;
-        (self.runtime.now, self.called) = (now, now);
-        let stall = (STALL * self.settings.probe as f64) as Ticks;
-        if slept <= stall.clamp(STALLS[0], STALLS[1]) {
+        let gap = now - self.last_call_at;
+        (self.runtime.now, self.last_call_at) = (now, now);
+        let stall = (STALL_PROBE_INTERVALS * self.settings.probe_interval as f64) as Ticks;
+        if gap <= stall.clamp(STALL_BOUNDS[0], STALL_BOUNDS[1]) {
             return;
         }
-        self.runtime.out.push(Effect::Tell(Event::Slept(slept)));
-        if self.runtime.standing != Standing::Alone {
-            self.runtime.standing = Standing::Doubts;
+        self.runtime.effects.push(Effect::Notify(Event::Stalled(gap)));
+        if self.runtime.connectivity != Connectivity::Isolated {
+            self.runtime.connectivity = Connectivity::Unconfirmed;
         }
-        self.runtime.heard = now;
-        self.begin_anew();
+        self.runtime.last_datagram_at = now;
+        self.reset();
     }
 
-    /// Nothing of what it believes is acted upon any more: a later life, and those it knew are asked anew.
-    fn begin_anew(&mut self) {
-        let own = self.swim.identity().next();
-        self.swim = swim(own, &self.settings, &mut self.rng);
+    /// Discards the failure detector's state and takes a new identity. Known members stay on record, those
+    /// that were alive as suspects, and are asked anew.
+    fn reset(&mut self) {
+        let own = self.swim.identity().renewed();
+        self.swim = new_swim(own, &self.settings, &mut self.rng);
         let runtime = &mut self.runtime;
         runtime.timers.clear();
-        runtime.here.clear();
-        runtime.known.values_mut().filter(|k| k.state == State::Up).for_each(|k| k.state = State::Doubted);
-        runtime.seek.anew(runtime.now, &mut self.rng);
-    }
-
-    /// What is known of others is bounded, whatever holders of keys tell.
-    fn bound(&mut self) {
-        let most = (MOST_TOLD * self.settings.about as usize).max(LEAST_TOLD);
-        if self.runtime.known.len() > most {
-            // Those that are down are the first to go; they are not asked any more either.
-            self.runtime.known.retain(|_, k| k.state != State::Down);
+        runtime.up.clear();
+        runtime
+            .known
+            .values_mut()
+            .filter(|k| k.liveness == Liveness::Alive)
+            .for_each(|k| k.liveness = Liveness::Suspect);
+        runtime.discovery.restart(runtime.now, &mut self.rng);
+    }
+
+    /// Bounds the number of known members, whatever holders of a key report.
+    fn enforce_member_limit(&mut self) {
+        let limit = (MAX_KNOWN_PER_EXPECTED * self.settings.expected_members as usize).max(MIN_KNOWN_LIMIT);
+        if self.runtime.known.len() > limit {
+            // Members that are down go first; they are not asked any more either.
+            self.runtime.known.retain(|_, k| k.liveness != Liveness::Down);
         }
-        // Ones that were told of as down without ever having been up stand in the detection alone: one datagram names some
-        // thirty, so they are counted now and then.
-        self.heard = self.heard.wrapping_add(1);
-        let told = match self.heard % 16 {
+        // Members that were reported as down without ever having been up are in the failure detector only. One datagram
+        // names some thirty, so that counting them now and then is enough.
+        self.datagram_count = self.datagram_count.wrapping_add(1);
+        let reported = match self.datagram_count % 16 {
             0 => self.swim.iter_membership_state().count(),
             _ => 0,
         };
-        if told > 2 * most || self.runtime.known.len() > most {
-            let told = told.max(self.runtime.known.len());
-            self.runtime.out.push(Effect::Tell(Event::TooMany(told)));
+        if reported > 2 * limit || self.runtime.known.len() > limit {
+            let reported = reported.max(self.runtime.known.len());
+            self.runtime.effects.push(Effect::Notify(Event::TooManyMembers(reported)));
             self.runtime.known.clear();
-            if self.runtime.standing != Standing::Alone {
-                self.runtime.standing = Standing::Doubts;
+            if self.runtime.connectivity != Connectivity::Isolated {
+                self.runtime.connectivity = Connectivity::Unconfirmed;
             }
-            self.begin_anew();
+            self.reset();
         }
     }
 
-    /// Who hears nobody has nobody: others may all have begun anew, and know nothing of it; or it is cut off.
-    fn settle(&mut self) {
-        let unheard = self.runtime.heard + UNHEARD * self.settings.probe <= self.runtime.now;
-        if unheard && self.runtime.standing != Standing::Alone {
-            self.runtime.standing = Standing::Alone;
-            self.runtime.out.push(Effect::Tell(Event::Alone));
-            self.begin_anew();
+    /// A member that receives nothing is isolated: the others may all have restarted and not know of it, or it is cut
+    /// off from them.
+    fn check_isolation(&mut self) {
+        let silent = self.runtime.last_datagram_at + ISOLATED_PROBE_INTERVALS * self.settings.probe_interval
+            <= self.runtime.now;
+        if silent && self.runtime.connectivity != Connectivity::Isolated {
+            self.runtime.connectivity = Connectivity::Isolated;
+            self.runtime.effects.push(Effect::Notify(Event::Isolated));
+            self.reset();
         }
     }
 }
--- a/crates/members/src/types.rs
+++ b/crates/members/src/types.rs
@@ -1,84 +1,87 @@
-//! What a member tells of itself and others, and what it asks to be done.
+//! Effects and events of [`crate::Members`], and what it reports of itself and of other members.
 
 use std::fmt;
 use std::net::SocketAddrV4;
 
 use doorgrade::Ticks;
 
-use crate::Id;
+use crate::MemberId;
 
-/// What is to be done.
+/// What the caller is to do.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
-    Send { to: SocketAddrV4, said: Vec<u8> },
-    Tell(Event),
+    /// Send a datagram; `payload` is yet to be sealed.
+    Send { to: SocketAddrV4, payload: Vec<u8> },
+    /// Log the event and act upon it.
+    Notify(Event),
 }
 
-/// What has changed.
+/// A change in membership.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    Up(Id),
-    Down(Id),
-    /// One that is there has begun a later life.
-    Reborn {
-        was: Id,
-        is: Id,
+    MemberUp(MemberId),
+    MemberDown(MemberId),
+    /// A known member has a later identity: it restarted, or rejoined after it was declared down.
+    IdentityChanged {
+        old: MemberId,
+        new: MemberId,
     },
-    /// This one was not called for so long: it has dropped what it believed.
-    Slept(Ticks),
-    /// Others took it for dead; it has come back as a later life.
-    TakenForDead(Id),
-    /// So many are told of that they can't be: nothing of it is believed.
-    TooMany(usize),
-    /// It is among others, or not any more.
-    Among,
-    Alone,
+    /// This member was not called for this long, and has discarded its membership state.
+    Stalled(Ticks),
+    /// Others declared this member down; it rejoined under this identity.
+    Rejoined(MemberId),
+    /// More members are known than the fleet can have; the membership state was discarded.
+    TooManyMembers(usize),
+    /// Another member that is up answers this one.
+    Connected,
+    /// No other member answers any more.
+    Isolated,
 }
 
 impl fmt::Display for Event {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Event::Up(id) => write!(f, "{id} is there"),
-            Event::Down(id) => write!(f, "{id} is missing"),
-            Event::Reborn { was, is } => write!(f, "{was} has begun anew: {is}"),
-            Event::Slept(time) => write!(f, "slept for {} ms: nothing believed before holds", time / 10),
-            Event::TakenForDead(id) => write!(f, "was taken for dead, and is back as {id}"),
-            Event::TooMany(count) => {
-                write!(f, "{count} others are told of, which can't be: nothing told before holds")
+            Event::MemberUp(id) => write!(f, "{id} is up"),
+            Event::MemberDown(id) => write!(f, "{id} is down"),
+            Event::IdentityChanged { old, new } => write!(f, "{old} was replaced by {new}"),
+            Event::Stalled(time) => write!(f, "stalled for {} ms; discarded the membership state", time / 10),
+            Event::Rejoined(id) => write!(f, "others declared this front down; rejoined as {id}"),
+            Event::TooManyMembers(count) => {
+                write!(f, "{count} members are more than the fleet can have; discarded the membership state")
             }
-            Event::Among => f.write_str("among neighbours"),
-            Event::Alone => f.write_str("no neighbour answers"),
+            Event::Connected => f.write_str("connected to neighbours"),
+            Event::Isolated => f.write_str("isolated: no neighbour answers"),
         }
     }
 }
 
-/// What is believed of another member.
+/// Whether another member is assumed to run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum State {
-    Up,
+pub enum Liveness {
+    Alive,
     /// It did not answer lately.
-    Doubted,
+    Suspect,
     Down,
 }
 
-/// One member as it is seen from here.
+/// What is known of another member.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Seen {
-    pub id: Id,
-    pub state: State,
-    /// In this state and life.
+pub struct KnownMember {
+    pub id: MemberId,
+    pub liveness: Liveness,
+    /// Since when its identity and liveness are as they are.
     pub since: Ticks,
-    /// Its last own word to us, not what others say of it.
-    pub heard: Option<Ticks>,
+    /// When it last sent a datagram to this member; what others report of it does not count.
+    pub last_datagram_at: Option<Ticks>,
 }
 
-/// What this member may rely on.
+/// Whether this member is in contact with others, and so whether what it knows of them can be relied on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
-    /// It has not found anybody yet, or nobody any more.
-    Alone,
-    /// It has slept and has not been answered since: what it knows of others is from before.
-    Doubts,
-    /// Others have answered it, in its present life.
-    Among,
+pub enum Connectivity {
+    /// It has not found any member yet, or none answers any more.
+    Isolated,
+    /// It has stalled and has not been answered since: what it knows of others is from before.
+    Unconfirmed,
+    /// Others have answered it under its present identity.
+    Connected,
 }
--- a/crates/recall/tests/model.rs
+++ b/crates/recall/tests/model.rs
@@ -5,7 +5,7 @@
 use std::hash::{Hash, Hasher};
 
 use doorgrade::Ticks;
-use doorgrade_members::Id;
+use doorgrade_members::MemberId;
 use doorgrade_recall::{Fill, Memory, Purge, Rules, Snapshot, Source};
 use foca::Identity;
 use stateright::{Checker, Model, Property};
@@ -35,17 +35,23 @@
     std::net::SocketAddrV4::new([10, 0, 0, n as u8 + 1].into(), 7_460)
 }
 
-fn id(n: usize, life: u64) -> Id {
-    Id { name: format!("n{n}").into(), station: "s".into(), at: at(n), life, again: 0 }
+fn id(n: usize, life: u64) -> MemberId {
+    MemberId {
+        name: format!("n{n}").into(),
+        station: "s".into(),
+        address: at(n),
+        incarnation: life,
+        renewals: 0,
+    }
 }
 
 /// A front that runs.
 #[derive(Clone)]
 struct Runs {
     memory: Memory,
-    id: Id,
+    id: MemberId,
     /// Whom it believes to be the other, and in which life.
-    other: Option<Id>,
+    other: Option<MemberId>,
     /// For the check: what it has seen itself since its start, and purges that it knows of.
     saw: Option<Fill>,
     purges: Vec<Purge>,
@@ -54,8 +60,8 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Word {
     /// To whom, from whom.
-    Ask(usize, Id),
-    Page(usize, Id, Vec<Fill>, Vec<Purge>),
+    Ask(usize, MemberId),
+    Page(usize, MemberId, Vec<Fill>, Vec<Purge>),
 }
 
 #[derive(Clone, Copy, Debug, Hash, PartialEq, Eq)]
@@ -105,7 +111,12 @@
                 all.push(0);
                 continue;
             };
-            all.extend([1, f.id.life, f.other.as_ref().map_or(0, |o| o.life), f.saw.map_or(0, |s| s.made)]);
+            all.extend([
+                1,
+                f.id.incarnation,
+                f.other.as_ref().map_or(0, |o| o.incarnation),
+                f.saw.map_or(0, |s| s.made),
+            ]);
             let known: Vec<_> = f.memory.known().flat_map(|(f, s)| [f.made, f.seen, s as u64]).collect();
             list(&mut all, &known);
             list(&mut all, &told(&f.memory.all(self.now).1));
@@ -122,9 +133,9 @@
         }
         for word in &self.words {
             match word {
-                Word::Ask(to, from) => all.extend([2, *to as u64, from.life]),
+                Word::Ask(to, from) => all.extend([2, *to as u64, from.incarnation]),
                 Word::Page(to, from, f, p) => {
-                    all.extend([3, *to as u64, from.life]);
+                    all.extend([3, *to as u64, from.incarnation]);
                     list(&mut all, &fills(f));
                     list(&mut all, &told(p));
                 }
@@ -186,7 +197,7 @@
 struct Small(Left, Fault);
 
 impl World {
-    fn believe(front: &mut Runs, from: &Id) {
+    fn believe(front: &mut Runs, from: &MemberId) {
         // As the detection does: of two at one address the later life goes.
         if front.other.as_ref().is_none_or(|known| from.win_addr_conflict(known)) {
             front.other = Some(from.clone());
@@ -260,8 +271,9 @@
         let Some(front) = &mut self.fronts[to] else { return };
         let before = front.other.clone();
         World::believe(front, &from);
-        let back =
-            before.is_some_and(|b| front.other.as_ref().is_none_or(|o| o.incarnation() < b.incarnation()));
+        let back = before.is_some_and(|b| {
+            front.other.as_ref().is_none_or(|o| o.effective_incarnation() < b.effective_incarnation())
+        });
         match word {
             Word::Ask(..) => {
                 let (fills, purges) = front.memory.all(now);
@@ -384,7 +396,7 @@
             Step::Write(n) => {
                 w.left.writes -= 1;
                 let front = w.fronts[n].as_ref()?;
-                let taken = Snapshot::take(&front.memory, &format!("n{n}"), front.id.life, now);
+                let taken = Snapshot::take(&front.memory, &format!("n{n}"), front.id.incarnation, now);
                 w.disks[n][1] = w.disks[n][0].replace(taken);
             }
             Step::Die(n) => {
