--- a/crates/members/src/members.rs
+++ b/crates/members/src/members.rs
@@ -22,8 +22,8 @@
 /// Without a datagram for this many probe intervals a member is isolated: no probe of its own was answered, and nobody
 /// has probed it.
 const ISOLATED_PROBE_INTERVALS: Ticks = 5;
-/// More known members than this many times the configured fleet size are not a fleet: whoever reports them has a valid
-/// key, and lies or is broken. `expected_members` may be off by a factor of three.
+/// More known members than this many times the configured fleet size can't be genuine: whoever reports them has a valid
+/// key, and is malicious or faulty. `expected_members` may be off by a factor of three.
 const MAX_KNOWN_PER_EXPECTED: usize = 8;
 /// Lower bound of that limit, for small fleets.
 const MIN_KNOWN_LIMIT: usize = 512;
@@ -81,7 +81,7 @@
 
     /// When to call `tick`, at the latest. Two and a half probe intervals without any call count as a stall.
     pub fn next_tick_at(&self) -> Ticks {
-        // At least once per gossip interval, so that a stall is told from a long wait for a timer.
+        // At least once per gossip interval, so that a stall can be distinguished from a long wait for a timer.
         self.runtime
             .next_timer_at()
             .min(self.runtime.discovery.next_request_at)
@@ -169,8 +169,8 @@
         let now = now.max(self.runtime.now);
         let gap = now - self.last_call_at;
         (self.runtime.now, self.last_call_at) = (now, now);
-        let stall = (STALL_PROBE_INTERVALS * self.settings.probe_interval as f64) as Ticks;
-        if gap <= stall.clamp(STALL_BOUNDS[0], STALL_BOUNDS[1]) {
+        let threshold = (STALL_PROBE_INTERVALS * self.settings.probe_interval as f64) as Ticks;
+        if gap <= threshold.clamp(STALL_BOUNDS[0], STALL_BOUNDS[1]) {
             return;
         }
         self.runtime.effects.push(Effect::Notify(Event::Stalled(gap)));
--- a/crates/trust/src/rotation.rs
+++ b/crates/trust/src/rotation.rs
@@ -1,9 +1,9 @@
 //! Rotation of the keys that seal versions, such that valid seals are accepted at any time.
 //!
 //! A front proves which version it runs with the seal that came with it. A key is needed as long as some front runs a
-//! version that it sealed: without the key, the service would take that front's report for a lie. And a front accepts
-//! only seals of keys that it has, so that a key may seal only once the fronts have it. Hence the order: add the new key
-//! everywhere, seal with it, publish once, and remove the old key when no front runs a version that it sealed.
+//! version that it sealed: without the key, the service would reject that front's report as false. And a front
+//! accepts only seals of keys that it has, so that a key may seal only once the fronts have it. Hence the order: add the
+//! new key everywhere, seal with it, publish once, and remove the old key when no front runs a version that it sealed.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
