--- a/crates/front/src/config.rs
+++ b/crates/front/src/config.rs
@@ -5,7 +5,7 @@
 use doorgrade_log::LevelFilter;
 use doorgrade_operator::settings::{Hierarchy, Level};
 use doorgrade_operator::{Files, Version, version};
-use doorgrade_settings::Told;
+use doorgrade_settings::PlatformSettings;
 use serde::Deserialize;
 use serde_json::value::RawValue;
 
@@ -58,7 +58,7 @@
     pub seed: u64,
     pub limits: Limits,
     pub feed: SocketAddr,
-    pub told: Told,
+    pub told: PlatformSettings,
     pub names: Names,
     /// Events up to the start, and the number of the last.
     pub known: (u64, Vec<Event>),
@@ -125,16 +125,16 @@
             );
         }
         let told = at("settings", doorgrade_settings::read(file.settings.get()))?;
-        if !CONNECT_WITHIN.contains(&told.connect_within) {
+        if !CONNECT_WITHIN.contains(&told.connect_timeout) {
             return at("settings.limits.connectTimeout", Err("is not from 1 ms to a minute"));
         }
-        if told.offerings.is_empty() {
+        if told.offering_names.is_empty() {
             return at("settings.profiles", Err("is missing or empty"));
         }
-        if told.settings.zone >= told.zones.len().max(1) {
+        if told.settings.zone >= told.zone_names.len().max(1) {
             return at("settings.zone", Err(format!("{} is no place in 'localities'", told.settings.zone)));
         }
-        let names = Names { zones: told.zones.clone(), kinds: told.kinds.clone() };
+        let names = Names { zones: told.zone_names.clone(), kinds: told.kind_names.clone() };
         let known = at("known", crate::feed::known(part("known", file.known.get())?, &names))?;
         Ok(Config {
             name,
--- a/crates/front/src/serve.rs
+++ b/crates/front/src/serve.rs
@@ -63,7 +63,7 @@
     let (listen, name) = (config.listen, config.name.clone());
     let known = neighbourhood.as_ref().map(Neighbourhood::known);
     let homes = neighbourhood.as_ref().and_then(Neighbourhood::homes);
-    let within = Duration::from_micros(config.told.connect_within * 100);
+    let within = Duration::from_micros(config.told.connect_timeout * 100);
     let served = Arc::new(Served::default());
     let mut driver = Driver {
         reducer: Reducer::new(config, clock::now()),
