--- a/crates/front/src/reducer/trace.rs
+++ b/crates/front/src/reducer/trace.rs
@@ -25,7 +25,7 @@
     pub(super) fn trace_counts(&self) {
         tracing::info!("at the most: {:?}", self.most);
         tracing::info!("since the start: {}", self.counts);
-        let dropped = doorgrade_log::dropped_lines();
+        let dropped = doorgrade_log::dropped_events();
         if dropped > 0 {
             tracing::warn!(
                 dropped,
--- a/crates/log/src/lib.rs
+++ b/crates/log/src/lib.rs
@@ -1,13 +1,13 @@
-//! The log: `tracing`, set up once for all programs. Lines go to standard error, for people or as JSON, one
-//! object each; the level can be changed while it runs.
+//! Sets up `tracing` for all programs. Log events go to standard error, one per line, as text or as JSON; the level
+//! can be changed while a program runs.
 //!
-//! Field names are the same in every line and everywhere else they appear: `front` (the instance's name, on the
-//! span that all lines of a program stand in), `member` (a cache, parent or the archive, by its id), `offering`,
-//! `station`, `version`, `epoch`. A line at a level that is off costs one comparison of a number in memory: what
-//! it would say is not worked out.
+//! Fields have the same names in every event, and wherever else they appear: `front` (the name of the instance, on
+//! the span that encloses all events of a program), `member` (the id of a cache, a parent or the origin), `offering`,
+//! `station`, `version`, `epoch`. An event whose level is disabled costs one comparison of integers: its message and
+//! fields are not evaluated.
 //!
-//! A thread of the log's own writes the lines, so that nobody who logs waits for whoever reads them. It keeps up to
-//! [`KEPT_LINES`]; further ones are dropped and counted. A program calls [`finish`] before it ends.
+//! A background thread writes the events, so that logging never blocks on a slow reader of standard error. Up to
+//! [`MAX_QUEUED_EVENTS`] are queued; further ones are dropped and counted. A program calls [`finish`] before it exits.
 #![forbid(unsafe_code)]
 
 use std::fmt;
@@ -29,81 +29,82 @@
     /// `1764590000123.4  INFO serve{front="n1"}: text field=value`
     #[default]
     Human,
-    /// The same fields, with `timestamp`, `level`, `message`, and the span's under `span`.
+    /// The same fields, with `timestamp`, `level`, `message`, and those of the span under `span`.
     Json,
 }
 
-/// Unix milliseconds and a tenth, as everywhere in this project.
-struct Ticks;
+/// Formats timestamps as Unix time in milliseconds with one decimal: the resolution of all times in this project.
+struct UnixMillis;
 
-impl FormatTime for Ticks {
+impl FormatTime for UnixMillis {
     fn format_time(&self, w: &mut Writer<'_>) -> fmt::Result {
-        let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() / 100;
-        write!(w, "{}.{}", now / 10, now % 10)
+        let ticks = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() / 100;
+        write!(w, "{}.{}", ticks / 10, ticks % 10)
     }
 }
 
-/// The project's own lines from a level on; of others' only warnings: the coroutine crate tells of every
-/// descriptor.
+/// Enables this project's events at `level` and above, and those of other crates only from warnings on, since the
+/// coroutine crate logs every file descriptor.
 fn filter(level: LevelFilter) -> Targets {
     Targets::new().with_default(LevelFilter::WARN.min(level)).with_target("doorgrade", level)
 }
 
-/// Lines that wait to be written at the most; of some 200 bytes each.
-const KEPT_LINES: usize = 4_096;
-/// How long a program that ends waits for its last lines to be written.
-const LAST_LINES: Duration = Duration::from_millis(200);
+/// The most events that may be queued to be written, of some 200 bytes each.
+const MAX_QUEUED_EVENTS: usize = 4_096;
+/// How long an exiting program waits for its last events to be written.
+const FINISH_TIMEOUT: Duration = Duration::from_millis(200);
 
-static LEVEL: OnceLock<reload::Handle<Targets, Registry>> = OnceLock::new();
-static DROPPED: OnceLock<ErrorCounter> = OnceLock::new();
-/// Writes what still waits once it is dropped.
-static WRITER: Mutex<Option<WorkerGuard>> = Mutex::new(None);
+static FILTER: OnceLock<reload::Handle<Targets, Registry>> = OnceLock::new();
+static DROPPED_EVENTS: OnceLock<ErrorCounter> = OnceLock::new();
+/// Dropping this guard writes the events that are still queued.
+static WRITER_GUARD: Mutex<Option<WorkerGuard>> = Mutex::new(None);
 
-/// Starts the log. A later call only changes the level: the format is of the start.
+/// Starts logging. A later call changes only the level, not the format.
 pub fn start(level: LevelFilter, format: Format) {
-    if LEVEL.get().is_some() {
+    if FILTER.get().is_some() {
         return set_level(level);
     }
     let (filter, handle) = reload::Layer::new(filter(level));
-    if LEVEL.set(handle).is_err() {
+    if FILTER.set(handle).is_err() {
         return;
     }
     let writer =
-        NonBlockingBuilder::default().lossy(true).buffered_lines_limit(KEPT_LINES).thread_name("log");
+        NonBlockingBuilder::default().lossy(true).buffered_lines_limit(MAX_QUEUED_EVENTS).thread_name("log");
     let (writer, guard) = writer.finish(std::io::stderr());
-    let _ = DROPPED.set(writer.error_counter());
-    *WRITER.lock().unwrap_or_else(PoisonError::into_inner) = Some(guard);
-    let lines = tracing_subscriber::fmt::layer().with_writer(writer).with_timer(Ticks);
-    let lines = lines.with_target(false).with_ansi(false);
-    let lines: Box<dyn Layer<Registry> + Send + Sync> = match format {
-        Format::Human => lines.boxed(),
-        Format::Json => lines.json().flatten_event(true).with_span_list(false).boxed(),
+    let _ = DROPPED_EVENTS.set(writer.error_counter());
+    *WRITER_GUARD.lock().unwrap_or_else(PoisonError::into_inner) = Some(guard);
+    let layer = tracing_subscriber::fmt::layer().with_writer(writer).with_timer(UnixMillis);
+    let layer = layer.with_target(false).with_ansi(false);
+    let layer: Box<dyn Layer<Registry> + Send + Sync> = match format {
+        Format::Human => layer.boxed(),
+        Format::Json => layer.json().flatten_event(true).with_span_list(false).boxed(),
     };
-    // Another log was set up already: a test's, which then has the lines.
-    let _ = Registry::default().with(lines.with_filter(filter)).try_init();
+    // Fails if a subscriber is already set, such as a test's: that one then receives the events.
+    let _ = Registry::default().with(layer.with_filter(filter)).try_init();
 }
 
 pub fn set_level(level: LevelFilter) {
-    if let Some(handle) = LEVEL.get() {
+    if let Some(handle) = FILTER.get() {
         let _ = handle.reload(filter(level));
     }
 }
 
-/// Writes what still waits, for [`LAST_LINES`] at the most. Lines that are logged afterwards are lost.
+/// Waits until the queued events are written, for at most [`FINISH_TIMEOUT`]. Events that are logged after this
+/// call are lost.
 pub fn finish() {
-    let Some(guard) = WRITER.lock().unwrap_or_else(PoisonError::into_inner).take() else { return };
+    let Some(guard) = WRITER_GUARD.lock().unwrap_or_else(PoisonError::into_inner).take() else { return };
     let (done, written) = mpsc::channel();
-    // Where the lines are not read, dropping the guard may itself wait to say so.
-    let last = thread::Builder::new().name("log end".to_owned()).spawn(move || {
+    // If nobody reads the output, dropping the guard may itself block, also while it prints that it timed out.
+    let flusher = thread::Builder::new().name("log end".to_owned()).spawn(move || {
         drop(guard);
         let _ = done.send(());
     });
-    if last.is_ok() {
-        let _ = written.recv_timeout(LAST_LINES);
+    if flusher.is_ok() {
+        let _ = written.recv_timeout(FINISH_TIMEOUT);
     }
 }
 
-/// Lines dropped so far, since too many waited to be written.
-pub fn dropped_lines() -> usize {
-    DROPPED.get().map_or(0, ErrorCounter::dropped_lines)
+/// The number of events dropped so far because the queue was full.
+pub fn dropped_events() -> usize {
+    DROPPED_EVENTS.get().map_or(0, ErrorCounter::dropped_lines)
 }
