--- a/crates/benchlink/src/words.rs
+++ b/crates/benchlink/src/codes.rs
@@ -1,10 +1,10 @@
-//! The wire's words for outcomes and notes.
+//! The codes that the simulator's protocol has for outcomes and cache statuses.
 
 use doorgrade::{CacheStatus, Outcome};
 
-use crate::line::Bad;
+use crate::line::Error;
 
-pub fn outcome(code: &str) -> Result<Outcome, Bad> {
+pub fn outcome(code: &str) -> Result<Outcome, Error> {
     Ok(match code {
         "pass" => Outcome::Handled,
         "fault" => Outcome::Error,
@@ -15,12 +15,12 @@
         "undone" => Outcome::Withdrawn,
         "stale_send" => Outcome::NeverSent,
         "none_here" => Outcome::Miss,
-        other => return Err(Bad(format!("field 'rc': unknown outcome '{other}'"))),
+        other => return Err(Error(format!("field 'rc': unknown outcome '{other}'"))),
     })
 }
 
-pub fn note(info: u64) -> Result<CacheStatus, Bad> {
-    Ok(match info {
+pub fn cache_status(code: u64) -> Result<CacheStatus, Error> {
+    Ok(match code {
         0 => CacheStatus::Untold,
         1 => CacheStatus::Hit,
         2 => CacheStatus::Filled,
@@ -32,6 +32,6 @@
         8 => CacheStatus::SourceLacks,
         9 => CacheStatus::NoFillPlace,
         10 => CacheStatus::OriginFailed,
-        other => return Err(Bad(format!("field 'info': unknown note {other}"))),
+        other => return Err(Error(format!("field 'info': unknown cache status {other}"))),
     })
 }
--- a/crates/benchlink/src/line.rs
+++ b/crates/benchlink/src/line.rs
@@ -1,14 +1,14 @@
-//! One line of the wire: a tag and name=value pairs in any order.
+//! One line of the simulator's protocol: a tag, and then `name=value` fields in any order, separated by spaces.
 
 use std::fmt;
 
 use doorgrade::Ticks;
 
-/// What is wrong with the input, in plain words.
+/// What is wrong with the input, or with reading or writing, as a text for people.
 #[derive(Debug)]
-pub struct Bad(pub String);
+pub struct Error(pub String);
 
-impl fmt::Display for Bad {
+impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(&self.0)
     }
@@ -16,58 +16,61 @@
 
 pub struct Line<'a> {
     tag: &'a str,
-    pairs: &'a str,
+    fields: &'a str,
 }
 
 impl<'a> Line<'a> {
     pub fn new(text: &'a str) -> Self {
-        let (tag, pairs) = text.split_once(' ').unwrap_or((text, ""));
-        Line { tag, pairs }
+        let (tag, fields) = text.split_once(' ').unwrap_or((text, ""));
+        Line { tag, fields }
     }
 
     pub fn tag(&self) -> &'a str {
         self.tag
     }
 
+    /// The value of a field, if the line has it.
     pub fn get(&self, name: &str) -> Option<&'a str> {
-        self.pairs.split(' ').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='))
+        self.fields.split(' ').find_map(|field| field.strip_prefix(name)?.strip_prefix('='))
     }
 
-    pub fn text(&self, name: &str) -> Result<&'a str, Bad> {
-        self.get(name).ok_or_else(|| Bad(format!("'{}': field '{name}' is missing", self.tag)))
+    /// The value of a field that the line must have.
+    pub fn require(&self, name: &str) -> Result<&'a str, Error> {
+        self.get(name).ok_or_else(|| Error(format!("'{}': field '{name}' is missing", self.tag)))
     }
 
-    /// A text field: it runs to the end of the line.
-    pub fn rest(&self, name: &str) -> Result<&'a str, Bad> {
-        let mut from = 0;
-        for pair in self.pairs.split(' ') {
-            if let Some(value) = pair.strip_prefix(name).and_then(|v| v.strip_prefix('=')) {
-                return Ok(&self.pairs[from + pair.len() - value.len()..]);
+    /// The value of a field that runs to the end of the line, and so may contain spaces.
+    pub fn rest(&self, name: &str) -> Result<&'a str, Error> {
+        let mut start = 0;
+        for field in self.fields.split(' ') {
+            if let Some(value) = field.strip_prefix(name).and_then(|v| v.strip_prefix('=')) {
+                return Ok(&self.fields[start + field.len() - value.len()..]);
             }
-            from += pair.len() + 1;
+            start += field.len() + 1;
         }
-        Err(Bad(format!("'{}': field '{name}' is missing", self.tag)))
+        Err(Error(format!("'{}': field '{name}' is missing", self.tag)))
     }
 
-    fn unreadable(&self, name: &str, value: &str) -> Bad {
-        Bad(format!("'{}': field '{name}': cannot read '{value}'", self.tag))
+    fn unreadable(&self, name: &str, value: &str) -> Error {
+        Error(format!("'{}': field '{name}': cannot read '{value}'", self.tag))
     }
 
-    pub fn whole(&self, name: &str) -> Result<u64, Bad> {
-        let value = self.text(name)?;
+    pub fn integer(&self, name: &str) -> Result<u64, Error> {
+        let value = self.require(name)?;
         value.parse().map_err(|_| self.unreadable(name, value))
     }
 
-    pub fn whole_or(&self, name: &str, absent: u64) -> Result<u64, Bad> {
-        self.get(name).map_or(Ok(absent), |_| self.whole(name))
+    pub fn integer_or(&self, name: &str, default: u64) -> Result<u64, Error> {
+        self.get(name).map_or(Ok(default), |_| self.integer(name))
     }
 
-    pub fn number_or(&self, name: &str, absent: f64) -> Result<f64, Bad> {
-        let Some(value) = self.get(name) else { return Ok(absent) };
+    pub fn number_or(&self, name: &str, default: f64) -> Result<f64, Error> {
+        let Some(value) = self.get(name) else { return Ok(default) };
         value.parse().ok().filter(|v: &f64| v.is_finite()).ok_or_else(|| self.unreadable(name, value))
     }
 
-    pub fn flag(&self, name: &str) -> Result<bool, Bad> {
+    /// A boolean: 0 or 1, and false if the line does not have the field.
+    pub fn flag(&self, name: &str) -> Result<bool, Error> {
         match self.get(name) {
             None | Some("0") => Ok(false),
             Some("1") => Ok(true),
@@ -75,26 +78,29 @@
         }
     }
 
-    /// Milliseconds with a fraction, exactly, in thousandths.
-    fn thousandths(&self, name: &str) -> Result<u64, Bad> {
-        let value = self.text(name)?;
-        let bad = || self.unreadable(name, value);
+    /// A time, which the protocol writes in milliseconds with a decimal fraction, in whole microseconds. Further
+    /// digits are cut off. It is not read as a float, since that could round it.
+    fn microseconds(&self, name: &str) -> Result<u64, Error> {
+        let value = self.require(name)?;
+        let error = || self.unreadable(name, value);
         let (whole, fraction) = value.split_once('.').unwrap_or((value, ""));
         if !fraction.bytes().all(|b| b.is_ascii_digit()) {
-            return Err(bad());
+            return Err(error());
         }
-        let mut total = whole.parse::<u64>().ok().and_then(|w| w.checked_mul(1000)).ok_or_else(bad)?;
+        let mut total = whole.parse::<u64>().ok().and_then(|w| w.checked_mul(1000)).ok_or_else(error)?;
         for (digit, scale) in fraction.bytes().zip([100, 10, 1]) {
             total += u64::from(digit - b'0') * scale;
         }
         Ok(total)
     }
 
-    pub fn time_down(&self, name: &str) -> Result<Ticks, Bad> {
-        Ok(self.thousandths(name)? / 100)
+    /// A time, rounded down to a tick.
+    pub fn ticks_floor(&self, name: &str) -> Result<Ticks, Error> {
+        Ok(self.microseconds(name)? / 100)
     }
 
-    pub fn time_up(&self, name: &str) -> Result<Ticks, Bad> {
-        Ok(self.thousandths(name)?.div_ceil(100))
+    /// A time, rounded up to a tick.
+    pub fn ticks_ceil(&self, name: &str) -> Result<Ticks, Error> {
+        Ok(self.microseconds(name)?.div_ceil(100))
     }
 }
--- a/crates/benchlink/src/main.rs
+++ b/crates/benchlink/src/main.rs
@@ -1,7 +1,8 @@
-//! Runs doorgrade's decisions on the bench's line wire: standard input to calls, answers to standard output.
+//! Connects the decision module to a simulator: reads the events of the simulator's line protocol from standard input,
+//! and writes the front's effects to standard output. One process runs any number of fronts.
 
+mod codes;
 mod line;
-mod words;
 mod writer;
 
 use std::io::{self, BufRead, Write};
@@ -11,49 +12,53 @@
 use doorgrade::{Access, Front, Member, MemberStatus, PushResult, Ticks};
 use rustc_hash::FxHashMap;
 
-use line::{Bad, Line};
+use line::{Error, Line};
 use writer::Writer;
 
-type Census = Arc<[Member]>;
+type MemberList = Arc<[Member]>;
 
-struct Link {
-    /// Each with its number of classes.
+struct Adapter {
+    /// By instance: the front and the number of its offerings.
     fronts: FxHashMap<Box<str>, (Front, usize)>,
-    censuses: FxHashMap<u64, Census>,
+    /// By the number that the simulator gives a list.
+    member_lists: FxHashMap<u64, MemberList>,
     writer: Writer,
 }
 
 fn main() -> ExitCode {
-    let mut link =
-        Link { fronts: FxHashMap::default(), censuses: FxHashMap::default(), writer: Writer::default() };
+    let mut adapter = Adapter {
+        fronts: FxHashMap::default(),
+        member_lists: FxHashMap::default(),
+        writer: Writer::default(),
+    };
     let mut input = io::BufReader::with_capacity(1 << 16, io::stdin().lock());
-    let mut number = 0;
-    match serve(&mut link, &mut input, &mut number) {
+    let mut line_number = 0;
+    match serve(&mut adapter, &mut input, &mut line_number) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(bad) => {
-            eprintln!("doorgrade-benchlink: line {number}: {bad}");
+        Err(error) => {
+            eprintln!("doorgrade-benchlink: line {line_number}: {error}");
             ExitCode::FAILURE
         }
     }
 }
 
-/// Reads one line into `buffer` without its end; false at the end of input.
-fn next_line(input: &mut impl BufRead, buffer: &mut String, number: &mut u64) -> Result<bool, Bad> {
+/// Reads a line into `buffer`, without its line ending. Returns false at the end of input.
+fn next_line(input: &mut impl BufRead, buffer: &mut String, line_number: &mut u64) -> Result<bool, Error> {
     buffer.clear();
-    *number += 1;
-    let read = input.read_line(buffer).map_err(|e| Bad(format!("unreadable input: {e}")))?;
-    if read > 0 && !buffer.ends_with('\n') {
-        return Err(Bad("input ends within a line".into()));
+    *line_number += 1;
+    let bytes_read = input.read_line(buffer).map_err(|e| Error(format!("cannot read: {e}")))?;
+    if bytes_read > 0 && !buffer.ends_with('\n') {
+        return Err(Error("input ends within a line".into()));
     }
     buffer.truncate(buffer.trim_end_matches(['\n', '\r']).len());
-    Ok(read > 0)
+    Ok(bytes_read > 0)
 }
 
-fn serve(link: &mut Link, input: &mut impl BufRead, number: &mut u64) -> Result<(), Bad> {
+fn serve(adapter: &mut Adapter, input: &mut impl BufRead, line_number: &mut u64) -> Result<(), Error> {
     let mut text = String::new();
-    let mut out = io::stdout().lock();
+    let mut stdout = io::stdout().lock();
     loop {
-        if !next_line(input, &mut text, number)? {
+        if !next_line(input, &mut text, line_number)? {
             return Ok(());
         }
         if text.is_empty() {
@@ -61,12 +66,12 @@
         }
         let line = Line::new(&text);
         if line.tag() != "round" {
-            return Err(Bad(format!("expected 'round', found '{}'", line.tag())));
+            return Err(Error(format!("expected 'round', found '{}'", line.tag())));
         }
-        let now = line.time_down("clock")?;
+        let now = line.ticks_floor("clock")?;
         loop {
-            if !next_line(input, &mut text, number)? {
-                return Err(Bad("input ends within a round, 'eob' is missing".into()));
+            if !next_line(input, &mut text, line_number)? {
+                return Err(Error("input ends within a round, 'eob' is missing".into()));
             }
             if text == "eob" {
                 break;
@@ -76,125 +81,127 @@
             }
             let line = Line::new(&text);
             if line.tag() == "census" {
-                let sheet = line.whole("sheet")?;
-                let count = line.whole("nodesList")?;
+                let list_number = line.integer("sheet")?;
+                let count = line.integer("nodesList")?;
                 let mut members = Vec::new();
                 for _ in 0..count {
-                    if !next_line(input, &mut text, number)? {
-                        return Err(Bad("input ends within a census".into()));
+                    if !next_line(input, &mut text, line_number)? {
+                        return Err(Error("input ends within a census".into()));
                     }
-                    members.push(member(&Line::new(&text))?);
+                    members.push(parse_member(&Line::new(&text))?);
                 }
-                link.censuses.insert(sheet, members.into());
+                adapter.member_lists.insert(list_number, members.into());
             } else {
-                event(link, &line, now)?;
+                handle_event(adapter, &line, now)?;
             }
         }
-        link.writer.end_reply();
-        out.write_all(link.writer.bytes())
-            .and_then(|()| out.flush())
-            .map_err(|e| Bad(format!("cannot write: {e}")))?;
-        link.writer.clear();
+        adapter.writer.end_reply();
+        stdout
+            .write_all(adapter.writer.bytes())
+            .and_then(|()| stdout.flush())
+            .map_err(|e| Error(format!("cannot write: {e}")))?;
+        adapter.writer.clear();
     }
 }
 
-fn member(line: &Line<'_>) -> Result<Member, Bad> {
+fn parse_member(line: &Line<'_>) -> Result<Member, Error> {
     if line.tag() != "row" {
-        return Err(Bad(format!("expected 'row', found '{}'", line.tag())));
+        return Err(Error(format!("expected 'row', found '{}'", line.tag())));
     }
     Ok(Member {
-        id: line.text("cache")?.into(),
-        zone: line.whole_or("rackZone", 0)? as usize,
-        kind: line.whole_or("type", 0)? as usize,
-        cell: line.whole_or("cluster", 0)?,
-        status: match line.text("availability")? {
+        id: line.require("cache")?.into(),
+        zone: line.integer_or("rackZone", 0)? as usize,
+        kind: line.integer_or("type", 0)? as usize,
+        cell: line.integer_or("cluster", 0)?,
+        status: match line.require("availability")? {
             "healthy" => MemberStatus::Listed,
             "cordoned" => MemberStatus::Draining,
             "deregistered" => MemberStatus::Gone,
-            other => return Err(Bad(format!("field 'availability': unknown value '{other}'"))),
+            other => return Err(Error(format!("field 'availability': unknown value '{other}'"))),
         },
         weight: line.number_or("units", 1.0)?,
         started_at: match line.get("startedAt") {
-            Some(_) => Some(line.time_up("startedAt")?).filter(|&t| t > 0),
+            Some(_) => Some(line.ticks_ceil("startedAt")?).filter(|&t| t > 0),
             None => None,
         },
     })
 }
 
-fn event(link: &mut Link, line: &Line<'_>, now: Ticks) -> Result<(), Bad> {
+fn handle_event(adapter: &mut Adapter, line: &Line<'_>, now: Ticks) -> Result<(), Error> {
     let tag = line.tag();
-    let who = line.text("i")?;
+    let instance = line.require("i")?;
     if tag == "power_on" {
         let settings = doorgrade_settings::read(line.rest("bootInfo")?)
-            .map_err(|e| Bad(format!("field 'bootInfo': {e}")))?
+            .map_err(|e| Error(format!("field 'bootInfo': {e}")))?
             .settings;
-        let front = Front::new(&settings, line.whole("prng")?);
-        link.fronts.insert(who.into(), (front, settings.offerings.len()));
+        let front = Front::new(&settings, line.integer("prng")?);
+        adapter.fronts.insert(instance.into(), (front, settings.offerings.len()));
         return Ok(());
     }
-    let (front, classes) = link
-        .fronts
-        .get_mut(who)
-        .ok_or_else(|| Bad(format!("field 'i': '{who}' does not run ('{tag}' before 'power_on')")))?;
-    let out = &mut link.writer;
-    out.speak_for(who);
+    let (front, offerings) = adapter.fronts.get_mut(instance).ok_or_else(|| {
+        Error(format!("field 'i': '{instance}' is not running ('{tag}' before 'power_on')"))
+    })?;
+    let writer = &mut adapter.writer;
+    writer.set_instance(instance);
     match tag {
         "req" => {
             let access = Access {
-                id: line.whole("requestId")?,
-                offering: line.whole_or("band", 0)? as usize,
-                object: line.whole_or("asset", 0)?,
-                part: line.whole_or("segment", 0)? as u32,
-                group: line.whole_or("tag", 0)?,
+                id: line.integer("requestId")?,
+                offering: line.integer_or("band", 0)? as usize,
+                object: line.integer_or("asset", 0)?,
+                part: line.integer_or("segment", 0)? as u32,
+                group: line.integer_or("tag", 0)?,
                 kb: line.number_or("kb", 0.0)?,
-                deadline: line.time_down("notAfter")?,
-                // This wire has no field for it: the simulator's caches know a repeat by its id.
+                deadline: line.ticks_floor("notAfter")?,
+                // The protocol has no field for it: the simulator's caches recognise a repeat by the access's id.
                 has_repeat_id: true,
             };
-            if access.offering >= *classes {
-                return Err(Bad(format!("field 'band': no class {}", access.offering)));
+            if access.offering >= *offerings {
+                return Err(Error(format!("field 'band': no offering {}", access.offering)));
             }
-            front.access(now, &access, out);
+            front.access(now, &access, writer);
         }
         "ended" => {
-            let ended = PushResult {
-                push: line.whole_or("sendNo", 0)? as usize,
-                outcome: words::outcome(line.text("rc")?)?,
+            let result = PushResult {
+                push: line.integer_or("sendNo", 0)? as usize,
+                outcome: codes::outcome(line.require("rc")?)?,
                 access_done: line.flag("settled")?,
-                latency: line.time_down("lag")?,
-                cache_status: words::note(line.whole_or("info", 0)?)?,
-                origin_sent_at: None, // this wire does not tell it
+                latency: line.ticks_floor("lag")?,
+                cache_status: codes::cache_status(line.integer_or("info", 0)?)?,
+                origin_sent_at: None, // the protocol has no field for it
             };
-            front.push_ended(now, line.whole("requestId")?, &ended, out);
+            front.push_ended(now, line.integer("requestId")?, &result, writer);
         }
-        "due" => front.timer_fired(now, line.whole("keyBack")?, out),
-        "hangup" => front.client_left(line.whole("requestId")?, out),
-        "accepted" => front.stream_started(line.whole("requestId")?),
+        "due" => front.timer_fired(now, line.integer("keyBack")?, writer),
+        "hangup" => front.client_left(line.integer("requestId")?, writer),
+        "accepted" => front.stream_started(line.integer("requestId")?),
         "expired_now" => {
-            let object = line.get("asset").map(|_| line.whole("asset")).transpose()?;
-            front.purge_received(now, object, line.whole_or("setNo", 0)?, line.time_down("age")?);
+            let object = line.get("asset").map(|_| line.integer("asset")).transpose()?;
+            front.purge_received(now, object, line.integer_or("setNo", 0)?, line.ticks_floor("age")?);
         }
         "peers_known" => {
-            let full = match line.text("form")? {
+            let full = match line.require("form")? {
                 "changes" => false,
                 "all" | "remembered" => true,
                 "refused" => {
-                    front.member_list_rejected(now, out);
+                    front.member_list_rejected(now, writer);
                     return Ok(());
                 }
-                other => return Err(Bad(format!("field 'form': unknown value '{other}'"))),
+                other => return Err(Error(format!("field 'form': unknown value '{other}'"))),
             };
-            let sheet = line.whole("sheet")?;
-            let census =
-                link.censuses.get(&sheet).ok_or_else(|| Bad(format!("field 'sheet': no census {sheet}")))?;
-            front.member_list_received(now, census, full, out);
+            let list_number = line.integer("sheet")?;
+            let member_list = adapter
+                .member_lists
+                .get(&list_number)
+                .ok_or_else(|| Error(format!("field 'sheet': no census {list_number}")))?;
+            front.member_list_received(now, member_list, full, writer);
         }
-        // Never asked for: the front neither probes nor talks to its peers.
+        // Replies to requests that a front never makes: it sends neither probes nor messages to its peers.
         "health" | "note_from" => {}
         "detach" => {
-            link.fronts.remove(who);
+            adapter.fronts.remove(instance);
         }
-        other => return Err(Bad(format!("unknown message '{other}'"))),
+        other => return Err(Error(format!("unknown message '{other}'"))),
     }
     Ok(())
 }
--- a/crates/benchlink/src/writer.rs
+++ b/crates/benchlink/src/writer.rs
@@ -1,4 +1,4 @@
-//! Writes the decisions as lines of the wire.
+//! Writes the effects of the decisions as lines of the simulator's protocol.
 
 use std::fmt;
 use std::io::Write;
@@ -8,10 +8,11 @@
 #[derive(Default)]
 pub struct Writer {
     buffer: Vec<u8>,
-    who: String,
+    /// The instance that the next lines are about.
+    instance: String,
 }
 
-/// Tenths of a millisecond as the wire's milliseconds.
+/// Displays a time as the protocol has it: in milliseconds with one decimal.
 struct Ms(Ticks);
 
 impl fmt::Display for Ms {
@@ -21,9 +22,9 @@
 }
 
 impl Writer {
-    pub fn speak_for(&mut self, who: &str) {
-        self.who.clear();
-        self.who.push_str(who);
+    pub fn set_instance(&mut self, instance: &str) {
+        self.instance.clear();
+        self.instance.push_str(instance);
     }
 
     pub fn end_reply(&mut self) {
@@ -38,17 +39,17 @@
         self.buffer.clear();
     }
 
-    fn put(&mut self, text: fmt::Arguments<'_>) {
-        self.buffer.write_fmt(text).expect("a vector takes every write");
+    fn append(&mut self, text: fmt::Arguments<'_>) {
+        self.buffer.write_fmt(text).expect("writing to a vector cannot fail");
     }
 }
 
 impl EffectSink for Writer {
     fn push(&mut self, p: &Push<'_>) {
-        let how = u8::from(p.join_fill) | u8::from(p.only_if_cached) << 1 | u8::from(p.refresh) << 3;
-        let who = std::mem::take(&mut self.who);
-        self.put(format_args!(
-            "serve_via i={who} requestId={} how={how} fromWhere={} storeAs={} cache={} maxWait={}",
+        let flags = u8::from(p.join_fill) | u8::from(p.only_if_cached) << 1 | u8::from(p.refresh) << 3;
+        let instance = std::mem::take(&mut self.instance);
+        self.append(format_args!(
+            "serve_via i={instance} requestId={} how={flags} fromWhere={} storeAs={} cache={} maxWait={}",
             p.access,
             p.source,
             p.rank,
@@ -56,45 +57,45 @@
             Ms(p.timeout)
         ));
         if p.max_age > 0 {
-            self.put(format_args!(" age={}", Ms(p.max_age)));
+            self.append(format_args!(" age={}", Ms(p.max_age)));
         }
         self.buffer.push(b'\n');
-        self.who = who;
+        self.instance = instance;
     }
 
     fn cancel_push(&mut self, access: AccessId, push: usize) {
-        let who = std::mem::take(&mut self.who);
-        self.put(format_args!("abort_attempt i={who} requestId={access} sendNo={push}\n"));
-        self.who = who;
+        let instance = std::mem::take(&mut self.instance);
+        self.append(format_args!("abort_attempt i={instance} requestId={access} sendNo={push}\n"));
+        self.instance = instance;
     }
 
     fn decline(&mut self, access: AccessId, _: UnservedReason) {
-        let who = std::mem::take(&mut self.who);
-        self.put(format_args!("say_no i={who} requestId={access}\n"));
-        self.who = who;
+        let instance = std::mem::take(&mut self.instance);
+        self.append(format_args!("say_no i={instance} requestId={access}\n"));
+        self.instance = instance;
     }
 
     fn give_up(&mut self, access: AccessId, _: UnservedReason) {
-        let who = std::mem::take(&mut self.who);
-        self.put(format_args!("report_failure i={who} requestId={access}\n"));
-        self.who = who;
+        let instance = std::mem::take(&mut self.instance);
+        self.append(format_args!("report_failure i={instance} requestId={access}\n"));
+        self.instance = instance;
     }
 
     fn set_timer(&mut self, at: Ticks, key: u64) {
-        let who = std::mem::take(&mut self.who);
-        self.put(format_args!("defer i={who} time={} keyBack={key}\n", Ms(at)));
-        self.who = who;
+        let instance = std::mem::take(&mut self.instance);
+        self.append(format_args!("defer i={instance} time={} keyBack={key}\n", Ms(at)));
+        self.instance = instance;
     }
 
     fn request_member_list(&mut self) {
-        let who = std::mem::take(&mut self.who);
-        self.put(format_args!("subscribe i={who} active=1\n"));
-        self.who = who;
+        let instance = std::mem::take(&mut self.instance);
+        self.append(format_args!("subscribe i={instance} active=1\n"));
+        self.instance = instance;
     }
 
     fn log(&mut self, text: fmt::Arguments<'_>) {
-        let who = std::mem::take(&mut self.who);
-        self.put(format_args!("say_log i={who} bodyText={text}\n"));
-        self.who = who;
+        let instance = std::mem::take(&mut self.instance);
+        self.append(format_args!("say_log i={instance} bodyText={text}\n"));
+        self.instance = instance;
     }
 }
