--- a/crates/cli/src/config.rs
+++ b/crates/cli/src/config.rs
@@ -10,7 +10,7 @@
 use doorgrade_control::ask::Asker;
 use doorgrade_operator::settings::Manage;
 use doorgrade_operator::{Settings, Version, files};
-use doorgrade_versions::service::{Answer, Ask, ChangeRow, Filter, Totals};
+use doorgrade_versions::service::{ChangeRow, Filter, Request, Response, Totals};
 use lines::{line_json, line_text};
 use publish::published;
 use show::{changes, history, status};
@@ -123,37 +123,37 @@
 }
 
 async fn totals(asker: &mut Asker) -> Result<Totals, String> {
-    match asker.ask(&Ask::Status).await? {
-        Answer::Status(totals) => Ok(*totals),
+    match asker.ask(&Request::Status).await? {
+        Response::Status(totals) => Ok(*totals),
         other => Err(refusal(other)),
     }
 }
 
 /// Changes that are not settled, or were lately; none where rollouts go in waves.
 async fn rows(asker: &mut Asker) -> Result<Vec<ChangeRow>, String> {
-    match asker.ask(&Ask::Changes).await? {
-        Answer::Changes(rows) => Ok(rows),
+    match asker.ask(&Request::Changes).await? {
+        Response::Changes(rows) => Ok(rows),
         other => Err(refusal(other)),
     }
 }
 
 /// Why something was not done, as the service says it.
-fn refusal(answer: Answer) -> String {
+fn refusal(answer: Response) -> String {
     match answer {
-        Answer::NotPublished(why) => format!("not published: {why}"),
-        Answer::NotStored(why) => format!(
+        Response::NotPublished(why) => format!("not published: {why}"),
+        Response::NotStored(why) => format!(
             "it could not be stored: {why}: nothing was published; what was stopped has stopped, and may go on when the \
              service starts anew"
         ),
-        Answer::Unsound(why) => format!("not published:\n{why}"),
-        Answer::Denied(why) => why.to_string(),
+        Response::Invalid(why) => format!("not published:\n{why}"),
+        Response::Denied(why) => why.to_string(),
         other => format!("the service: an answer to something else: {other:?}"),
     }
 }
 
 async fn content(asker: &mut Asker, number: u64) -> Result<Vec<u8>, String> {
-    match asker.ask(&Ask::Content { number }).await? {
-        Answer::Content { content, .. } => Ok(content.to_vec()),
+    match asker.ask(&Request::Content { number }).await? {
+        Response::Content { content, .. } => Ok(content.to_vec()),
         other => Err(refusal(other)),
     }
 }
@@ -178,7 +178,7 @@
                 Some(number) => number,
                 None => totals(asker).await?.last,
             };
-            let ask = Ask::Publish { content: content.into(), note: note.into(), expects };
+            let ask = Request::Publish { content: content.into(), note: note.into(), expected_last: expects };
             published(asker, &ask, no_wait, json).await
         }
         Config::Rollback { to, expect, no_wait, json } => {
@@ -186,7 +186,7 @@
                 Some(number) => number,
                 None => totals(asker).await?.last,
             };
-            published(asker, &Ask::RollBack { to, expects }, no_wait, json).await
+            published(asker, &Request::RollBack { to, expected_last: expects }, no_wait, json).await
         }
         Config::Diff { old, new } => {
             let (a, b) = (one(asker, &old).await?, one(asker, &new).await?);
@@ -212,8 +212,8 @@
             status(asker, (fronts || behind || trouble).then_some(filter), json).await
         }
         Config::Watch { json } => {
-            match asker.ask(&Ask::Watch).await? {
-                Answer::Watching => {}
+            match asker.ask(&Request::Watch).await? {
+                Response::Watching => {}
                 other => return Err(refusal(other)),
             }
             loop {
@@ -225,14 +225,14 @@
                 })?;
             }
         }
-        Config::Stop { number } => done(asker, &Ask::Stop { number }).await,
-        Config::TakeOver => done(asker, &Ask::TakeOver).await,
+        Config::Stop { number } => done(asker, &Request::Stop { number }).await,
+        Config::TakeOver => done(asker, &Request::TakeOver).await,
     }
 }
 
-async fn done(asker: &mut Asker, ask: &Ask) -> Result<End, String> {
+async fn done(asker: &mut Asker, ask: &Request) -> Result<End, String> {
     match asker.ask(ask).await? {
-        Answer::Done => Ok(End::Done),
+        Response::Done => Ok(End::Done),
         other => Err(refusal(other)),
     }
 }
--- a/crates/cli/src/config/publish.rs
+++ b/crates/cli/src/config/publish.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use doorgrade_control::ask::Asker;
-use doorgrade_versions::Id;
-use doorgrade_versions::service::{Answer, Ask, ChangeState};
+use doorgrade_versions::VersionId;
+use doorgrade_versions::service::{ChangeState, Request, Response};
 use indicatif::{ProgressBar, ProgressStyle};
 use serde_json::json;
 
@@ -15,9 +15,9 @@
 const LOOK_EACH: Duration = Duration::from_millis(250);
 
 /// Publishes, and stays until it is known what came of it: it runs everywhere, has stopped, or was taken out.
-pub async fn published(asker: &mut Asker, ask: &Ask, no_wait: bool, json: bool) -> Result<End, String> {
+pub async fn published(asker: &mut Asker, ask: &Request, no_wait: bool, json: bool) -> Result<End, String> {
     let id = match asker.ask(ask).await? {
-        Answer::Published(id) => id,
+        Response::Published(id) => id,
         other => return Err(refusal(other)),
     };
     if no_wait {
@@ -43,7 +43,7 @@
 }
 
 /// Until the change is in force, or out.
-async fn by_evidence(asker: &mut Asker, id: Id, json: bool) -> Result<End, String> {
+async fn by_evidence(asker: &mut Asker, id: VersionId, json: bool) -> Result<End, String> {
     let bar = shown("{msg}, {elapsed}")?;
     loop {
         let row = rows(asker).await?.into_iter().find(|row| row.number == id.number);
@@ -53,7 +53,7 @@
             Some(ChangeState::Unproven) => {
                 format!("version {id} is in force, unproven: too few accesses spoke about it")
             }
-            Some(ChangeState::TakenOut(why)) => format!("version {id} was taken out: {why}"),
+            Some(ChangeState::Removed(why)) => format!("version {id} was taken out: {why}"),
             // So many came after it that nobody lists it any more; or the service has lost its store.
             None => {
                 return Err(format!("version {id} is not listed any more: see 'doorgrade config history'"));
@@ -66,7 +66,7 @@
         };
         bar.finish_and_clear();
         let out = match &state {
-            Some(ChangeState::TakenOut(why)) => Some(why.to_string()),
+            Some(ChangeState::Removed(why)) => Some(why.to_string()),
             _ => None,
         };
         let state = state.as_ref().map(state_name);
@@ -82,7 +82,7 @@
 }
 
 /// Until it runs everywhere or has stopped.
-async fn in_waves(asker: &mut Asker, id: Id, json: bool) -> Result<End, String> {
+async fn in_waves(asker: &mut Asker, id: VersionId, json: bool) -> Result<End, String> {
     let bar = shown("{msg} [{bar:30}] {pos} of {len} fronts, {elapsed}")?;
     loop {
         let totals = totals(asker).await?;
@@ -90,7 +90,7 @@
         match own {
             Some(p) if p.stopped.is_none() => {
                 bar.set_length(totals.connected.max(1));
-                bar.set_position(p.runs as u64);
+                bar.set_position(p.running as u64);
                 bar.set_message(format!("version {id}, wave {}", p.wave));
             }
             _ => {
--- a/crates/cli/src/config/show.rs
+++ b/crates/cli/src/config/show.rs
@@ -2,9 +2,9 @@
 
 use doorgrade_control::ask::Asker;
 use doorgrade_stream::clock::now;
-use doorgrade_versions::Id;
+use doorgrade_versions::VersionId;
 use doorgrade_versions::service::{
-    Answer, Ask, ChangeRow, ChangeState, Filter, Progress, Row, State, Totals,
+    ChangeRow, ChangeState, Filter, FrontRow, FrontState, Progress, Request, Response, Totals,
 };
 use serde_json::{Value, json};
 
@@ -24,8 +24,8 @@
 pub async fn history(asker: &mut Asker, json: bool) -> Result<End, String> {
     let (mut all, mut below) = (Vec::new(), u64::MAX);
     loop {
-        let page = match asker.ask(&Ask::History { below }).await? {
-            Answer::History(page) => page,
+        let page = match asker.ask(&Request::History { below }).await? {
+            Response::History(page) => page,
             other => return Err(refusal(other)),
         };
         let Some(last) = page.last() else { break };
@@ -33,9 +33,9 @@
         all.extend(page);
     }
     if json {
-        let one = |p: &doorgrade_versions::service::Past| {
+        let one = |p: &doorgrade_versions::service::VersionSummary| {
             json!({"version": p.id.to_string(), "number": p.id.number, "epoch": p.id.epoch, "bytes": p.bytes,
-                "at_ms": p.at / 10, "note": p.note})
+                "at_ms": p.published_at / 10, "note": p.note})
         };
         let all: Vec<Value> = all.iter().map(one).collect();
         return say(&format!("{}\n", json!({"versions": all}))).map(|()| End::Done);
@@ -43,45 +43,55 @@
     let mut rows = vec![["number", "published", "bytes", "hash", "note"].map(str::to_owned).to_vec()];
     for p in &all {
         let hash = p.id.to_string().rsplit('-').next().unwrap_or_default().to_owned();
-        rows.push(vec![p.id.number.to_string(), ago(p.at), p.bytes.to_string(), hash, p.note.to_string()]);
+        rows.push(vec![
+            p.id.number.to_string(),
+            ago(p.published_at),
+            p.bytes.to_string(),
+            hash,
+            p.note.to_string(),
+        ]);
     }
     say(&columns(&rows)).map(|()| End::Done)
 }
 
-fn id(of: Option<Id>) -> String {
+fn id(of: Option<VersionId>) -> String {
     of.map_or("its own file".into(), |id| id.to_string())
 }
 
-fn state(of: &State) -> String {
+fn state(of: &FrontState) -> String {
     match of {
-        State::Current => "current".into(),
-        State::Offered => "offered".into(),
-        State::TurnedDown(why) => format!("turned down: {why}"),
-        State::Missing => "missing".into(),
-        State::Waiting => "waiting".into(),
+        FrontState::Current => "current".into(),
+        FrontState::Offered => "offered".into(),
+        FrontState::Rejected(why) => format!("turned down: {why}"),
+        FrontState::TimedOut => "missing".into(),
+        FrontState::Waiting => "waiting".into(),
     }
 }
 
 fn publication(p: &Progress) -> Value {
-    let Progress { id, wave, went, runs, refused, missing, stopped } = p;
+    let Progress { id, wave, offered: went, running: runs, rejected: refused, timed_out: missing, stopped } =
+        p;
     json!({"version": id.to_string(), "wave": wave, "went": went, "runs": runs, "refused": refused,
         "missing": missing, "stopped": stopped.as_ref().map(ToString::to_string)})
 }
 
-fn row_json(r: &Row) -> Value {
-    json!({"front": r.front, "station": r.station, "connected": r.connected, "heard_ms": r.heard / 10,
-        "version": r.runs.map(|id| id.to_string()), "stored": r.stored, "goal": r.goal.map(|id| id.to_string()),
-        "state": state(&r.state), "untrue": r.lies, "serves": r.serves, "seal_key": r.sealed})
+fn row_json(r: &FrontRow) -> Value {
+    json!({"front": r.front, "station": r.station, "connected": r.connected, "heard_ms": r.last_seen / 10,
+        "version": r.running.map(|id| id.to_string()), "stored": r.stored, "goal": r.target.map(|id| id.to_string()),
+        "state": state(&r.state), "untrue": r.false_claim, "serves": r.service_level, "seal_key": r.seal_key})
 }
 
 fn totals_json(t: &Totals) -> Value {
-    let runs: Vec<Value> =
-        t.runs.iter().map(|(id, n)| json!({"version": id.map(|id| id.to_string()), "fronts": n})).collect();
-    let sealed: Vec<Value> = t.sealed.iter().map(|(key, n)| json!({"key": key, "fronts": n})).collect();
+    let runs: Vec<Value> = t
+        .running
+        .iter()
+        .map(|(id, n)| json!({"version": id.map(|id| id.to_string()), "fronts": n}))
+        .collect();
+    let sealed: Vec<Value> = t.seal_keys.iter().map(|(key, n)| json!({"key": key, "fronts": n})).collect();
     json!({"epoch": t.epoch, "last": t.last, "base": t.base.map(|id| id.to_string()),
         "publication": t.publication.as_ref().map(publication), "superseded_by": t.superseded,
         "fronts": t.fronts, "connected": t.connected, "current": t.current, "offered": t.offered,
-        "turned_down": t.turned_down, "missing": t.missing, "waiting": t.waiting, "untrue": t.lies,
+        "turned_down": t.rejected, "missing": t.timed_out, "waiting": t.waiting, "untrue": t.false_claims,
         "unstored": t.unstored, "runs": runs, "seal_keys": sealed, "spare_seal_keys": t.spare_keys})
 }
 
@@ -94,23 +104,23 @@
         let how = p.stopped.as_ref().map_or("under way".into(), |why| format!("stopped: {why}"));
         text += &format!(
             "version {}: {how}; wave {}, went to {}, {} run it, {} turned it down, {} missing\n",
-            p.id, p.wave, p.went, p.runs, p.refused, p.missing
+            p.id, p.wave, p.offered, p.running, p.rejected, p.timed_out
         );
     }
     text += &format!(
         "{} fronts, {} connected: {} current, {} offered, {} turned down, {} missing, {} waiting\n",
-        t.fronts, t.connected, t.current, t.offered, t.turned_down, t.missing, t.waiting
+        t.fronts, t.connected, t.current, t.offered, t.rejected, t.timed_out, t.waiting
     );
     if t.unstored > 0 {
         text += &format!("{} could not store what they run\n", t.unstored);
     }
-    if t.lies > 0 {
-        text += &format!("{} say what can't be\n", t.lies);
+    if t.false_claims > 0 {
+        text += &format!("{} say what can't be\n", t.false_claims);
     }
-    for (runs, count) in &t.runs {
+    for (runs, count) in &t.running {
         text += &format!("  {count} run {}\n", id(*runs));
     }
-    for (key, count) in &t.sealed {
+    for (key, count) in &t.seal_keys {
         text += &format!("  {count} run what key {key} sealed\n");
     }
     for key in &t.spare_keys {
@@ -142,14 +152,17 @@
         let head = ["front", "station", "heard", "runs", "serves", "state"];
         let mut table = vec![head.map(str::to_owned).to_vec()];
         for r in &rows {
-            let heard = if r.connected { ago(r.heard) } else { format!("{}, away", ago(r.heard)) };
-            let serves = r.serves.map_or("-".into(), |s| format!("{:.1}%", 100.0 * s));
-            let mut runs = id(r.runs);
-            if r.runs.is_some() && !r.stored {
+            let heard = if r.connected { ago(r.last_seen) } else { format!("{}, away", ago(r.last_seen)) };
+            let serves = r.service_level.map_or("-".into(), |s| format!("{:.1}%", 100.0 * s));
+            let mut runs = id(r.running);
+            if r.running.is_some() && !r.stored {
                 runs.push_str(" (not stored)");
             }
-            let state =
-                if r.lies { format!("says what can't be; {}", state(&r.state)) } else { state(&r.state) };
+            let state = if r.false_claim {
+                format!("says what can't be; {}", state(&r.state))
+            } else {
+                state(&r.state)
+            };
             table.push(vec![r.front.to_string(), r.station.to_string(), heard, runs, serves, state]);
         }
         text.push('\n');
@@ -172,14 +185,14 @@
         ChangeState::Wide => "wide",
         ChangeState::Everywhere => "everywhere",
         ChangeState::InForce => "in_force",
-        ChangeState::TakenOut(_) => "taken_out",
+        ChangeState::Removed(_) => "taken_out",
         ChangeState::Unproven => "unproven",
     }
 }
 
 fn change_json(row: &ChangeRow) -> Value {
     let why = match &row.state {
-        ChangeState::TakenOut(why) => Some(why.to_string()),
+        ChangeState::Removed(why) => Some(why.to_string()),
         _ => None,
     };
     json!({"number": row.number, "note": row.note, "state": state_name(&row.state), "why": why})
--- a/crates/cli/tests/versions.rs
+++ b/crates/cli/tests/versions.rs
@@ -136,9 +136,7 @@
     assert_eq!(stopped.status.code(), Some(3));
     let why = json(&stopped)["stopped"].as_str().unwrap().to_owned();
     assert!(
-        why.contains(
-            "1 of 1 fronts turned it down: it changes what is only taken at a start: hierarchy (off"
-        ),
+        why.contains("1 of 1 fronts turned it down: it changes settings that need a restart: hierarchy (off"),
         "{why}"
     );
 
--- a/crates/control-client/src/configuration.rs
+++ b/crates/control-client/src/configuration.rs
@@ -18,9 +18,9 @@
 use doorgrade_stream::clock::now;
 pub use doorgrade_stream::follow::AccessCounts;
 use doorgrade_stream::follow::{Command, Follow, Host, To};
-use doorgrade_versions::front::{Content, Found, Front, Line};
+use doorgrade_versions::front::{Content, Front, LogEvent, StoredState};
 use doorgrade_versions::seal::{Keys, Seal};
-use doorgrade_versions::{Id, Reason};
+use doorgrade_versions::{RejectionReason, VersionId};
 use tokio::sync::mpsc as queue;
 
 use crate::SetupError;
@@ -42,7 +42,7 @@
     /// What of a version it could only take with a new start, key by key; empty where it can take all of it.
     fn needs_restart(&self, version: &Version) -> Vec<String>;
     /// Brings a version into use, whole or not at all; an error says why it was not. One that is ending never resolves.
-    fn apply(&mut self, id: &Id, version: &Arc<Version>) -> impl Future<Output = Result<(), String>>;
+    fn apply(&mut self, id: &VersionId, version: &Arc<Version>) -> impl Future<Output = Result<(), String>>;
     /// How it serves.
     fn served(&self) -> Served;
 }
@@ -52,19 +52,23 @@
     own: Versions,
     settings: PathBuf,
     store: Option<FrontStore>,
-    found: Found,
-    usable: Result<(), Reason>,
+    found: StoredState,
+    usable: Result<(), RejectionReason>,
     /// What this start runs; none: its own file.
     pub version: Option<Arc<Version>>,
     seed: u64,
 }
 
 /// Reads a content, and says why an instance can't take it.
-fn sound(content: &[u8], needs_restart: impl Fn(&Version) -> Vec<String>) -> Result<Version, Reason> {
-    let clipped = |why: String| Reason::Unusable(why.chars().take(MOST_REASON).collect::<String>().into());
+fn sound(
+    content: &[u8],
+    needs_restart: impl Fn(&Version) -> Vec<String>,
+) -> Result<Version, RejectionReason> {
+    let clipped =
+        |why: String| RejectionReason::Unusable(why.chars().take(MOST_REASON).collect::<String>().into());
     let version = Version::sound("version", content).map_err(clipped)?;
     let keys = needs_restart(&version);
-    if keys.is_empty() { Ok(version) } else { Err(Reason::NeedsRestart(keys.join(", ").into())) }
+    if keys.is_empty() { Ok(version) } else { Err(RejectionReason::NeedsRestart(keys.join(", ").into())) }
 }
 
 /// Letters of a refusal: some lines that a person reads.
@@ -92,7 +96,7 @@
         };
         let (found, troubles) = store.as_ref().map(FrontStore::load).unwrap_or_default();
         troubles.iter().for_each(|trouble| tracing::error!("versions: {trouble}"));
-        let read = found.good.as_ref().map(|(id, _, content)| (id, sound(content, &needs_restart)));
+        let read = found.last_good.as_ref().map(|(id, _, content)| (id, sound(content, &needs_restart)));
         let (usable, version) = match read {
             None => (Ok(()), None),
             Some((id, Ok(version))) => {
@@ -101,7 +105,7 @@
             }
             Some((_, Err(why))) => (Err(why), None),
         };
-        if found.good.is_none() {
+        if found.last_good.is_none() {
             tracing::info!("versions: none is kept; this start runs its own file");
         }
         StoredVersion { own, settings: settings.into(), store, found, usable, version, seed }
@@ -109,7 +113,7 @@
 
     /// Without a store: an instance that starts with nothing, and forgets all at its end. Of experiments.
     pub fn without_store(own: Versions, settings: &Path, seed: u64) -> StoredVersion {
-        let (found, usable) = (Found::default(), Ok(()));
+        let (found, usable) = (StoredState::default(), Ok(()));
         StoredVersion { own, settings: settings.into(), store: None, found, usable, version: None, seed }
     }
 
@@ -211,7 +215,7 @@
     instance: I,
     before: Served,
     /// What was checked last, so that it is not read twice.
-    next: Option<(Id, Arc<Version>)>,
+    next: Option<(VersionId, Arc<Version>)>,
     /// What was said last of a connection that was lost.
     lost: Option<String>,
 }
@@ -231,25 +235,25 @@
 }
 
 impl<I: Instance> Host for Applies<I> {
-    fn check(&mut self, id: &Id, content: &Content) -> Result<(), Reason> {
+    fn check(&mut self, id: &VersionId, content: &Content) -> Result<(), RejectionReason> {
         let version = sound(content, |v| self.instance.needs_restart(v))?;
         self.next = Some((*id, Arc::new(version)));
         Ok(())
     }
 
-    async fn apply(&mut self, id: &Id, _content: &Content) -> Result<(), Reason> {
-        let not = |why: &str| Reason::NotApplied(why.into());
+    async fn apply(&mut self, id: &VersionId, _content: &Content) -> Result<(), RejectionReason> {
+        let not = |why: &str| RejectionReason::NotApplied(why.into());
         let Some((_, version)) = self.next.take().filter(|next| next.0 == *id) else {
             return Err(not("it was not checked"));
         };
         self.instance.apply(id, &version).await.map_err(|why| not(&why))
     }
 
-    fn stage(&mut self, id: Id, falls: u32) -> bool {
+    fn stage(&mut self, id: VersionId, falls: u32) -> bool {
         self.stored(|store| store.stage(id, falls))
     }
 
-    fn keep(&mut self, id: Id, seal: Seal, content: &Content) -> bool {
+    fn keep(&mut self, id: VersionId, seal: Seal, content: &Content) -> bool {
         self.stored(|store| store.keep(id, seal, content))
     }
 
@@ -257,29 +261,29 @@
         self.stored(FrontStore::unstage);
     }
 
-    fn tell(&mut self, line: Line) {
+    fn tell(&mut self, line: LogEvent) {
         match line {
-            Line::Runs(id) => {
+            LogEvent::Running(id) => {
                 self.lost = None;
                 tracing::info!(version = %id, "versions: {id} is in use");
             }
-            Line::TurnedDown(id, why) => {
+            LogEvent::Rejected(id, why) => {
                 tracing::warn!(version = %id, "versions: {id} is turned down: {why}");
             }
-            Line::Silent(since) => {
+            LogEvent::ServiceSilent(since) => {
                 tracing::warn!(
                     "versions: the service has said nothing for {} s; the last good version stays in use",
                     since / 10_000
                 );
             }
-            Line::Back => {
+            LogEvent::ServiceBack => {
                 self.lost = None;
                 tracing::info!("versions: the service is heard again");
             }
-            Line::OwnFile(why) => {
+            LogEvent::StoredVersionUnusable(why) => {
                 tracing::error!("versions: what was kept can't be used: {why}; this start runs its own file");
             }
-            Line::NotStored(id) => {
+            LogEvent::NotStored(id) => {
                 tracing::error!(version = %id, "versions: {id} is in use, but could not be stored");
             }
         }
--- a/crates/control/src/ask.rs
+++ b/crates/control/src/ask.rs
@@ -10,7 +10,7 @@
 use doorgrade_stream::wire::{Ended, Reader, Writer};
 use doorgrade_stream::{MOST_WITH_CONTENT, OPERATORS};
 use doorgrade_trust::pace;
-use doorgrade_versions::service::{Answer, Ask, Filter, Line, Row};
+use doorgrade_versions::service::{Filter, FrontRow, LogEvent, Request, Response};
 use tokio::io::{ReadHalf, WriteHalf};
 use tokio::net::TcpStream;
 use tokio::time::timeout;
@@ -48,7 +48,7 @@
         Ok(Asker { reader: Reader::new(reader, None, MOST_WITH_CONTENT), writer: Writer::new(writer) })
     }
 
-    pub async fn ask(&mut self, ask: &Ask) -> Result<Answer, String> {
+    pub async fn ask(&mut self, ask: &Request) -> Result<Response, String> {
         let ended = |ended: Ended| match ended {
             // A certificate that is not believed, or has no role, shows only here: TLS 1.3 tells the client first.
             Ended::Closed | Ended::Failed(_) => {
@@ -60,32 +60,32 @@
         };
         self.writer.write(ask).await.map_err(ended)?;
         loop {
-            let answer = timeout(ANSWER_WITHIN, self.reader.read::<Answer>()).await;
+            let answer = timeout(ANSWER_WITHIN, self.reader.read::<Response>()).await;
             // Lines of a watch may come between.
             match answer.map_err(|_| "the service: no answer in time")?.map_err(ended)? {
-                Answer::Line(_) => {}
+                Response::LogEvent(_) => {}
                 answer => return Ok(answer),
             }
         }
     }
 
     /// The next line of a watch.
-    pub async fn line(&mut self) -> Result<Line, String> {
+    pub async fn line(&mut self) -> Result<LogEvent, String> {
         loop {
-            let read = self.reader.read::<Answer>().await;
-            if let Answer::Line(line) = read.map_err(|ended| format!("the service: {ended}"))? {
+            let read = self.reader.read::<Response>().await;
+            if let Response::LogEvent(line) = read.map_err(|ended| format!("the service: {ended}"))? {
                 return Ok(line);
             }
         }
     }
 
     /// All fronts that fit, page by page.
-    pub async fn fronts(&mut self, filter: Filter) -> Result<Vec<Row>, String> {
-        let mut all: Vec<Row> = Vec::new();
+    pub async fn fronts(&mut self, filter: Filter) -> Result<Vec<FrontRow>, String> {
+        let mut all: Vec<FrontRow> = Vec::new();
         loop {
             let after = all.last().map_or("".into(), |row| row.front.clone());
-            match self.ask(&Ask::Fronts { after, filter }).await? {
-                Answer::Fronts { rows, more } => {
+            match self.ask(&Request::Fronts { after, filter }).await? {
+                Response::Fronts { rows, more } => {
                     let none = rows.is_empty();
                     all.extend(rows);
                     if !more || none {
--- a/crates/control/src/core.rs
+++ b/crates/control/src/core.rs
@@ -6,9 +6,11 @@
 
 use doorgrade_store::ServiceStore;
 use doorgrade_stream::clock::now;
-use doorgrade_versions::Id;
+use doorgrade_versions::VersionId;
 use doorgrade_versions::message::{ToFront, ToService};
-use doorgrade_versions::service::{Answer, Ask, Conn, Do, Line, Role, Saved, SavedTrials, Service, Version};
+use doorgrade_versions::service::{
+    ConnectionId, Effect, LogEvent, Request, Response, Role, SavedRollout, SavedTrials, Service, Version,
+};
 use rustc_hash::FxHashMap;
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::sleep;
@@ -23,25 +25,25 @@
 pub enum Event {
     /// A connection whose first word has come, and where to answer.
     Came {
-        conn: Conn,
+        conn: ConnectionId,
         to: mpsc::Sender<Say>,
         hello: ToService,
     },
     Said {
-        conn: Conn,
+        conn: ConnectionId,
         message: ToService,
     },
     Gone {
-        conn: Conn,
+        conn: ConnectionId,
     },
     Asked {
         role: Role,
         who: Arc<str>,
-        ask: Ask,
-        answer: oneshot::Sender<Answer>,
+        ask: Request,
+        answer: oneshot::Sender<Response>,
     },
     /// What the service tells goes there, too.
-    Watch(mpsc::Sender<Arc<Line>>),
+    Watch(mpsc::Sender<Arc<LogEvent>>),
     Keys(Vec<(u32, Vec<u8>)>),
     Stop,
 }
@@ -59,7 +61,7 @@
 struct State {
     epoch: u64,
     base: Option<u64>,
-    rollout: Option<Saved>,
+    rollout: Option<SavedRollout>,
 }
 
 /// What the store did not take yet, the latest of each.
@@ -68,7 +70,7 @@
     state: Option<State>,
     trials: Option<SavedTrials>,
     /// Not needed any more once the rest is stored.
-    spare: Vec<Id>,
+    spare: Vec<VersionId>,
     /// Why it was not taken.
     why: Option<Box<str>>,
 }
@@ -83,54 +85,56 @@
     service: Service,
     store: ServiceStore,
     owed: Owed,
-    conns: FxHashMap<Conn, mpsc::Sender<Say>>,
-    watchers: Vec<mpsc::Sender<Arc<Line>>>,
+    conns: FxHashMap<ConnectionId, mpsc::Sender<Say>>,
+    watchers: Vec<mpsc::Sender<Arc<LogEvent>>>,
     wake: Option<u64>,
 }
 
-fn told(line: &Line) {
+fn told(line: &LogEvent) {
     match line {
-        Line::Wave { id, wave, of, fronts } => {
+        LogEvent::WaveStarted { id, wave, of, fronts } => {
             tracing::info!(version = %id, "version {id}: wave {wave} of {of}, {fronts} fronts");
         }
-        Line::Stopped { id, why } => {
+        LogEvent::Stopped { id, reason: why } => {
             tracing::warn!(version = %id, "version {id}: the publication stops: {why}");
         }
-        Line::Everywhere(id) => tracing::info!(version = %id, "version {id}: is everyone's now"),
-        Line::TurnedDown { front, id, why } => {
+        LogEvent::Everywhere(id) => tracing::info!(version = %id, "version {id}: is everyone's now"),
+        LogEvent::Rejected { front, id, reason: why } => {
             tracing::warn!(member = %front, version = %id, "version {id}: turned down by {front}: {why}");
         }
-        Line::Lies { front, id } => {
+        LogEvent::FalseClaim { front, id } => {
             tracing::error!(member = %front, version = %id, "{front} says that it runs {id}, which can't be");
         }
-        Line::NewEpoch { epoch, because } => {
+        LogEvent::NewEpoch { epoch, because } => {
             tracing::error!(
                 epoch,
                 "{because} is run, and not known here: this store is new or an older copy; epoch {epoch} is opened"
             );
         }
-        Line::Superseded { by } => {
+        LogEvent::Superseded { by } => {
             tracing::error!(
                 epoch = by,
                 "a service of epoch {by} is about, later than this one: nothing is offered"
             );
         }
-        Line::Trial { stage, changes, fronts } => {
+        LogEvent::StageStarted { stage, changes, fronts } => {
             tracing::info!("changes {changes:?}: on trial, {}, {fronts} fronts", stage.name());
         }
-        Line::TakenOut { change, why } => tracing::warn!("change {change}: taken out: {why}"),
-        Line::InForce(id) => tracing::info!(version = %id, "version {id}: in force"),
-        Line::UnderWatch { changes } => {
+        LogEvent::ChangeRemoved { change, reason: why } => {
+            tracing::warn!("change {change}: taken out: {why}")
+        }
+        LogEvent::InForce(id) => tracing::info!(version = %id, "version {id}: in force"),
+        LogEvent::UnderObservation { changes } => {
             tracing::warn!("service has fallen since changes {changes:?} came: each is tried without");
         }
-        Line::WentOnUnproven { change } => {
+        LogEvent::ContinuedUnproven { change } => {
             tracing::warn!("change {change}: too few accesses to tell; it goes on unproven");
         }
     }
 }
 
 impl Core {
-    pub fn new(service: Service, store: ServiceStore, first: Vec<Do>) -> Core {
+    pub fn new(service: Service, store: ServiceStore, first: Vec<Effect>) -> Core {
         let (conns, watchers) = Default::default();
         let mut core = Core { service, store, owed: Owed::default(), conns, watchers, wake: None };
         core.perform(first);
@@ -152,7 +156,7 @@
                     if self.wake.is_some_and(|at| now() >= at) {
                         self.wake = None;
                         let mut out = Vec::new();
-                        self.service.due(now(), &mut out);
+                        self.service.on_timer(now(), &mut out);
                         self.perform(out);
                     }
                 }
@@ -165,16 +169,16 @@
         match event {
             Event::Came { conn, to, hello } => {
                 self.conns.insert(conn, to);
-                self.service.heard(now(), conn, hello, &mut out);
+                self.service.on_message(now(), conn, hello, &mut out);
             }
             Event::Said { conn, message } => {
                 if self.conns.contains_key(&conn) {
-                    self.service.heard(now(), conn, message, &mut out);
+                    self.service.on_message(now(), conn, message, &mut out);
                 }
             }
             Event::Gone { conn } => {
                 self.conns.remove(&conn);
-                self.service.gone(now(), conn, &mut out);
+                self.service.on_disconnected(now(), conn, &mut out);
             }
             Event::Asked { role, who, ask, answer } => {
                 let came = self.ask(role, &who, ask);
@@ -196,48 +200,49 @@
         self.perform(out);
     }
 
-    fn ask(&mut self, role: Role, who: &str, ask: Ask) -> Answer {
+    fn ask(&mut self, role: Role, who: &str, ask: Request) -> Response {
         let what = match &ask {
-            Ask::Publish { .. } => "publish",
-            Ask::RollBack { .. } => "roll back",
-            Ask::Stop { .. } => "stop",
-            Ask::TakeOver => "take over",
+            Request::Publish { .. } => "publish",
+            Request::RollBack { .. } => "roll back",
+            Request::Stop { .. } => "stop",
+            Request::TakeOver => "take over",
             _ => "",
         };
         let mut out = Vec::new();
         let sound = |content: &[u8]| doorgrade_operator::Version::sound("version", content).map(drop);
-        let mut answer = self.service.asked(now(), role, ask, sound, &mut out);
+        let mut answer = self.service.handle_request(now(), role, ask, sound, &mut out);
         match &answer {
-            Answer::Published(id) => {
+            Response::Published(id) => {
                 // What can't be stored is offered to nobody, and was never published.
                 let stored = out.iter().try_for_each(|each| match each {
-                    Do::Store(version) => self.put(version),
-                    Do::StoreState { epoch, base, rollout } => self.put_state(*epoch, *base, rollout),
-                    Do::StoreTrials(trials) => self.put_trials(trials),
+                    Effect::Store(version) => self.put(version),
+                    Effect::StoreState { epoch, base, rollout } => self.put_state(*epoch, *base, rollout),
+                    Effect::StoreTrials(trials) => self.put_trials(trials),
                     _ => Ok(()),
                 });
                 if let Err(why) = stored {
                     self.service.withdraw(*id);
-                    (answer, out) = (Answer::NotStored(why), Vec::new());
+                    (answer, out) = (Response::NotStored(why), Vec::new());
                 }
-                let stores =
-                    |each: &Do| matches!(each, Do::Store(_) | Do::StoreState { .. } | Do::StoreTrials(_));
+                let stores = |each: &Effect| {
+                    matches!(each, Effect::Store(_) | Effect::StoreState { .. } | Effect::StoreTrials(_))
+                };
                 out.retain(|each| !stores(each));
                 self.perform(out);
             }
-            Answer::Done => {
+            Response::Done => {
                 self.perform(out);
                 // It is done, and owed to the store; a death before then would undo it.
                 if let Some(why) = self.owed.why.clone() {
-                    answer = Answer::NotStored(why);
+                    answer = Response::NotStored(why);
                 }
             }
             _ => self.perform(out),
         }
         if !what.is_empty() {
             match &answer {
-                Answer::Published(id) => tracing::info!(version = %id, "{who}: {what}: version {id}"),
-                Answer::Done => tracing::info!("{who}: {what}"),
+                Response::Published(id) => tracing::info!(version = %id, "{who}: {what}: version {id}"),
+                Response::Done => tracing::info!("{who}: {what}"),
                 _ => tracing::info!("{who}: {what}: refused"),
             }
         }
@@ -252,7 +257,12 @@
     }
 
     /// With what was owed of it before.
-    fn put_state(&mut self, epoch: u64, base: Option<u64>, rollout: &Option<Saved>) -> Result<(), Box<str>> {
+    fn put_state(
+        &mut self,
+        epoch: u64,
+        base: Option<u64>,
+        rollout: &Option<SavedRollout>,
+    ) -> Result<(), Box<str>> {
         let put = tokio::task::block_in_place(|| self.store.put_state(epoch, base, rollout));
         let put = put.map_err(|trouble| {
             tracing::error!(epoch, "how far a publication is was not stored: {trouble}");
@@ -296,43 +306,43 @@
         }
     }
 
-    fn forget(&self, id: &Id) {
+    fn forget(&self, id: &VersionId) {
         if let Err(trouble) = tokio::task::block_in_place(|| self.store.forget(id)) {
             tracing::warn!(version = %id, "version {id} is not needed any more, and stays stored: {trouble}");
         }
     }
 
     /// Does what the machine asks for, in its order.
-    fn perform(&mut self, out: Vec<Do>) {
+    fn perform(&mut self, out: Vec<Effect>) {
         let (mut slow, mut spare) = (Vec::new(), Vec::new());
         for each in out {
             match each {
-                Do::Send(conn, message) => {
+                Effect::Send(conn, message) => {
                     let Some(to) = self.conns.get(&conn) else { continue };
                     if to.try_send(Say::Message(message)).is_err() {
                         slow.push(conn);
                     }
                 }
-                Do::Close(conn) => {
+                Effect::Close(conn) => {
                     if let Some(to) = self.conns.remove(&conn) {
                         // If there is no room for it, its end is seen when the queue is dropped.
                         let _ = to.try_send(Say::Close);
                     }
                 }
                 // The history under the numbers of a new epoch: nothing of it is offered before it is published anew.
-                Do::Store(version) => drop(self.put(&version)),
-                Do::StoreState { epoch, base, rollout } => {
+                Effect::Store(version) => drop(self.put(&version)),
+                Effect::StoreState { epoch, base, rollout } => {
                     self.owed.state = Some(State { epoch, base, rollout });
                     self.store_owed();
                 }
-                Do::Wake(at) => self.wake = Some(self.wake.map_or(at, |w| w.min(at))),
-                Do::Tell(line) => self.tell(line),
-                Do::StoreTrials(trials) => {
+                Effect::SetTimer(at) => self.wake = Some(self.wake.map_or(at, |w| w.min(at))),
+                Effect::Log(line) => self.tell(line),
+                Effect::StoreTrials(trials) => {
                     self.owed.trials = Some(trials);
                     self.store_owed();
                 }
                 // Last: what is stored of trials may need it until it is replaced.
-                Do::Forget(id) => spare.push(id),
+                Effect::Delete(id) => spare.push(id),
             }
         }
         if self.owed.any() {
@@ -344,13 +354,13 @@
             if self.conns.remove(&conn).is_some() {
                 tracing::warn!("a front takes nothing of what it is told: cut off");
                 let mut out = Vec::new();
-                self.service.gone(now(), conn, &mut out);
+                self.service.on_disconnected(now(), conn, &mut out);
                 self.perform(out);
             }
         }
     }
 
-    fn tell(&mut self, line: Line) {
+    fn tell(&mut self, line: LogEvent) {
         told(&line);
         let line = Arc::new(line);
         // Whoever is too slow to be told misses lines, and sees it by the status.
@@ -360,6 +370,6 @@
 }
 
 /// A queue for lines.
-pub fn lines() -> (mpsc::Sender<Arc<Line>>, mpsc::Receiver<Arc<Line>>) {
+pub fn lines() -> (mpsc::Sender<Arc<LogEvent>>, mpsc::Receiver<Arc<LogEvent>>) {
     mpsc::channel(MOST_LINES)
 }
--- a/crates/control/src/door.rs
+++ b/crates/control/src/door.rs
@@ -12,7 +12,7 @@
 use doorgrade_stream::{FRONTS, MOST_FIRST, MOST_WITH_CONTENT, MOST_WORD, OPERATORS};
 use doorgrade_trust::{pace, peer};
 use doorgrade_versions::message::{ToFront, ToService};
-use doorgrade_versions::service::{Answer, Ask, Role};
+use doorgrade_versions::service::{Request, Response, Role};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::timeout;
@@ -153,7 +153,7 @@
                 said = say.recv() => match said {
                     Some(Say::Message(message)) => {
                         // A front that was told to come later hears that before it is cut off.
-                        let last = matches!(message, ToFront::Later { .. });
+                        let last = matches!(message, ToFront::RetryLater { .. });
                         writer.write(&message).await.map_err(|ended| ended.to_string())?;
                         if last {
                             writer.close().await;
@@ -206,16 +206,16 @@
             tokio::select! {
                 line = lines.recv() => {
                     let Some(line) = line else { return Ok(()) };
-                    let line = Answer::Line((*line).clone());
+                    let line = Response::LogEvent((*line).clone());
                     writer.write(&line).await.map_err(|ended| ended.to_string())?;
                 }
-                read = reader.read::<Ask>() => {
+                read = reader.read::<Request>() => {
                     let ask = match read {
                         Ok(ask) => ask,
                         Err(Ended::Closed | Ended::Failed(_)) => return Ok(()),
                         Err(ended) => return Err(ended.to_string()),
                     };
-                    let watches = matches!(ask, Ask::Watch);
+                    let watches = matches!(ask, Request::Watch);
                     let (answer, came) = oneshot::channel();
                     let asked = Event::Asked { role, who: who.clone(), ask, answer };
                     self.events.send(asked).await.map_err(|_| "the service ends")?;
--- a/crates/control/src/settings.rs
+++ b/crates/control/src/settings.rs
@@ -52,18 +52,18 @@
     pub fn rules(&self) -> Rules {
         let Control { admit_per_s, alive_ms, most_fronts, publication: p, .. } = &self.control;
         Rules {
-            admit: *admit_per_s as f64,
-            alive: alive_ms * 10,
-            answer_within: p.answer_within_ms * 10,
+            admissions_per_second: *admit_per_s as f64,
+            heartbeat_interval: alive_ms * 10,
+            response_timeout: p.answer_within_ms * 10,
             soak: p.soak_ms * 10,
             canaries: p.canaries as usize,
-            shares: p.shares.clone(),
-            refused: p.refused,
-            missing: p.missing,
-            drop: p.drop,
-            most_fronts: *most_fronts as usize,
+            wave_shares: p.shares.clone(),
+            max_rejected_share: p.refused,
+            max_timed_out_share: p.missing,
+            max_service_drop: p.drop,
+            max_fronts: *most_fronts as usize,
             history: p.history as usize,
-            listen: p.listen_ms * 10,
+            recovery_delay: p.listen_ms * 10,
             rollout: mode(p),
         }
     }
@@ -91,10 +91,10 @@
             canaries: trials.canaries as usize,
             share: trials.share,
             watch: trials.watch_ms * 10,
-            evidence_within: trials.evidence_within_ms * 10,
+            evidence_timeout: trials.evidence_within_ms * 10,
             thin_traffic: match trials.thin_traffic {
                 ThinTraffic::Wait => Thin::Wait,
-                ThinTraffic::GoOn => Thin::GoOn,
+                ThinTraffic::GoOn => Thin::Continue,
             },
             false_stop: trials.false_stop,
             ..TrialRules::default()
--- a/crates/control/tests/reports.rs
+++ b/crates/control/tests/reports.rs
@@ -30,7 +30,7 @@
         let (read, write) = tokio::io::split(tls.accept(stream).await.unwrap());
         let mut end = End { reader: Reader::new(read, None, MOST_WITH_CONTENT), writer: Writer::new(write) };
         assert!(matches!(end.next().await, ToService::Hello { .. }));
-        end.writer.write(&ToFront::Welcome { every: 50_000 }).await.unwrap();
+        end.writer.write(&ToFront::Welcome { heartbeat_interval: 50_000 }).await.unwrap();
         end
     }
 
@@ -44,7 +44,7 @@
         while let Ok(read) =
             timeout(until.saturating_duration_since(Instant::now()), self.reader.read()).await
         {
-            if let ToService::Report { sequence, asked, answered, .. } = read.unwrap() {
+            if let ToService::Report { sequence, accesses: asked, answered, .. } = read.unwrap() {
                 got.push((sequence, asked, answered));
             }
         }
@@ -69,13 +69,13 @@
 
         front.record.lock().unwrap().counts = AccessCounts { asked: 930, answered: 920 };
         // One millisecond is out of bounds: a quarter of a second at the soonest.
-        end.writer.write(&ToFront::ReportEvery { millis: 1 }).await.unwrap();
+        end.writer.write(&ToFront::SetReportInterval { millis: 1 }).await.unwrap();
         let got = end.reports(Duration::from_millis(1_100)).await;
         assert!((3..=5).contains(&got.len()), "{got:?}");
         assert!(got.iter().zip(1..).all(|(report, n)| *report == (n, 930, 920)), "{got:?}");
 
         front.record.lock().unwrap().counts = AccessCounts { asked: 940, answered: 930 };
-        end.writer.write(&ToFront::ReportEvery { millis: 30_000 }).await.unwrap();
+        end.writer.write(&ToFront::SetReportInterval { millis: 30_000 }).await.unwrap();
         let later = end.reports(Duration::from_millis(900)).await;
         let before = got.len() as u64;
         // One may have gone out at the old pace before the front heard of the new one.
@@ -89,7 +89,7 @@
             [],
             "it was asked on the other connection"
         );
-        again.writer.write(&ToFront::ReportEvery { millis: 500 }).await.unwrap();
+        again.writer.write(&ToFront::SetReportInterval { millis: 500 }).await.unwrap();
         let last = later.last().map_or(0, |last| last.0);
         let got = again.reports(Duration::from_millis(300)).await;
         assert_eq!(got.first().map(|first| first.0), Some(last + 1), "the process counts on");
--- a/crates/control/tests/service.rs
+++ b/crates/control/tests/service.rs
@@ -17,8 +17,10 @@
 use doorgrade_stream::{FRONTS, MOST_FIRST, MOST_WITH_CONTENT, OPERATORS};
 use doorgrade_versions::message::{Body, ToFront, ToService};
 use doorgrade_versions::seal::Keys;
-use doorgrade_versions::service::{Answer, Ask, Denied, Filter, NotPublished, State, Stop, Totals};
-use doorgrade_versions::{Id, Reason};
+use doorgrade_versions::service::{
+    Denial, Filter, FrontState, PublishError, Request, Response, StopReason, Totals,
+};
+use doorgrade_versions::{RejectionReason, VersionId};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio_rustls::TlsConnector;
@@ -31,7 +33,7 @@
 }
 
 fn good() -> Arc<Verdict> {
-    Arc::new(|_: &Id, _: &[u8]| Ok(()))
+    Arc::new(|_: &VersionId, _: &[u8]| Ok(()))
 }
 
 struct Rig {
@@ -77,8 +79,8 @@
     }
 
     async fn totals(&self) -> Totals {
-        match self.asker("person").await.unwrap().ask(&Ask::Status).await.unwrap() {
-            Answer::Status(totals) => *totals,
+        match self.asker("person").await.unwrap().ask(&Request::Status).await.unwrap() {
+            Response::Status(totals) => *totals,
             other => panic!("{other:?}"),
         }
     }
@@ -95,8 +97,12 @@
         }
     }
 
-    async fn publish(&self, content: &str, expects: u64) -> Answer {
-        let ask = Ask::Publish { content: content.as_bytes().into(), note: "a note".into(), expects };
+    async fn publish(&self, content: &str, expects: u64) -> Response {
+        let ask = Request::Publish {
+            content: content.as_bytes().into(),
+            note: "a note".into(),
+            expected_last: expects,
+        };
         self.asker("person").await.unwrap().ask(&ask).await.unwrap()
     }
 }
@@ -111,26 +117,26 @@
         let fronts: Vec<Puppet> =
             (0..8).map(|n| rig.puppet(&format!("n{n}"), ["hill", "harbour"][n % 2], good())).collect();
         rig.until("all have come", |t| t.connected == 8).await;
-        let Answer::Published(first) = rig.publish(DEBUG, 0).await else { panic!() };
+        let Response::Published(first) = rig.publish(DEBUG, 0).await else { panic!() };
         rig.until("the first is everyone's", |t| t.base == Some(first) && t.current == 8).await;
         assert!(fronts.iter().all(|f| f.runs() == Some(first)));
         // Somebody who has not seen the first publishes nothing; nor does one who only looks.
-        assert_eq!(rig.publish(INFO, 0).await, Answer::NotPublished(NotPublished::Expected { last: 1 }));
-        let ask = Ask::Publish { content: INFO.as_bytes().into(), note: "".into(), expects: 1 };
+        assert_eq!(rig.publish(INFO, 0).await, Response::NotPublished(PublishError::Conflict { last: 1 }));
+        let ask = Request::Publish { content: INFO.as_bytes().into(), note: "".into(), expected_last: 1 };
         let mut onlooker = rig.asker("onlooker").await.unwrap();
-        assert_eq!(onlooker.ask(&ask).await.unwrap(), Answer::Denied(Denied::OnlyLooks));
-        assert!(matches!(onlooker.ask(&Ask::Status).await.unwrap(), Answer::Status(_)));
+        assert_eq!(onlooker.ask(&ask).await.unwrap(), Response::Denied(Denial::ReadOnly));
+        assert!(matches!(onlooker.ask(&Request::Status).await.unwrap(), Response::Status(_)));
         // What no front could use is not numbered.
-        let Answer::Unsound(why) = rig.publish("log { level = \"loud\" }", 1).await else { panic!() };
+        let Response::Invalid(why) = rig.publish("log { level = \"loud\" }", 1).await else { panic!() };
         assert!(why.contains("version:1:15: key 'log.level': expected one of"), "{why}");
-        let Answer::Published(second) = rig.publish(INFO, 1).await else { panic!() };
+        let Response::Published(second) = rig.publish(INFO, 1).await else { panic!() };
         rig.until("the second is everyone's", |t| t.base == Some(second) && t.current == 8).await;
         // The service ends and comes back with its store: its fronts find it, and nothing is offered twice.
         rig.begin(FAST).await;
         let back = rig.until("all are back", |t| t.connected == 8).await;
         assert_eq!((back.last, back.base, back.current), (2, Some(second), 8));
-        let ask = Ask::RollBack { to: 1, expects: 2 };
-        let Answer::Published(third) = rig.asker("person").await.unwrap().ask(&ask).await.unwrap() else {
+        let ask = Request::RollBack { to: 1, expected_last: 2 };
+        let Response::Published(third) = rig.asker("person").await.unwrap().ask(&ask).await.unwrap() else {
             panic!()
         };
         assert_eq!((third.number, third.hash), (3, first.hash));
@@ -147,27 +153,27 @@
 fn a_canary_that_turns_a_version_down_stops_it_and_no_other_front_sees_it() {
     runtime().block_on(async {
         let rig = Rig::start("canary", "  canaries = 1\n  soak_ms = 50").await;
-        let refuses: Arc<Verdict> = Arc::new(|_: &Id, content: &[u8]| match content {
-            b"log { level = \"debug\" }\n" => Err(Reason::NeedsRestart("log.format".into())),
+        let refuses: Arc<Verdict> = Arc::new(|_: &VersionId, content: &[u8]| match content {
+            b"log { level = \"debug\" }\n" => Err(RejectionReason::NeedsRestart("log.format".into())),
             _ => Ok(()),
         });
         let fronts: Vec<Puppet> =
             (0..6).map(|n| rig.puppet(&format!("n{n}"), "hill", refuses.clone())).collect();
         rig.until("all have come", |t| t.connected == 6).await;
-        let Answer::Published(good) = rig.publish(INFO, 0).await else { panic!() };
+        let Response::Published(good) = rig.publish(INFO, 0).await else { panic!() };
         rig.until("the good one runs", |t| t.base == Some(good)).await;
-        let Answer::Published(bad) = rig.publish(DEBUG, 1).await else { panic!() };
+        let Response::Published(bad) = rig.publish(DEBUG, 1).await else { panic!() };
         let stopped =
             rig.until("it stops", |t| t.publication.as_ref().is_some_and(|p| p.stopped.is_some())).await;
         let own = stopped.publication.unwrap();
-        assert_eq!((own.id, own.went, own.runs), (bad, 1, 0));
-        let Some(Stop::Refused { first, .. }) = own.stopped else { panic!("{:?}", own.stopped) };
-        assert_eq!(first.to_string(), "it changes what is only taken at a start: log.format");
+        assert_eq!((own.id, own.offered, own.running), (bad, 1, 0));
+        let Some(StopReason::Rejected { first, .. }) = own.stopped else { panic!("{:?}", own.stopped) };
+        assert_eq!(first.to_string(), "it changes settings that need a restart: log.format");
         let touched = fronts.iter().filter(|f| !f.record.lock().unwrap().turned_down.is_empty()).count();
         assert_eq!(touched, 1);
         assert!(fronts.iter().all(|f| f.runs() == Some(good)));
         let rows = rig.asker("person").await.unwrap().fronts(Filter::All).await.unwrap();
-        assert!(rows.iter().all(|r| r.state == State::Current && r.runs == Some(good)), "{rows:?}");
+        assert!(rows.iter().all(|r| r.state == FrontState::Current && r.running == Some(good)), "{rows:?}");
     });
 }
 
@@ -186,7 +192,7 @@
 }
 
 fn hello(name: &str) -> ToService {
-    ToService::Hello { front: name.into(), station: "hill".into(), runs: None }
+    ToService::Hello { front: name.into(), station: "hill".into(), running: None }
 }
 
 #[test]
@@ -233,7 +239,7 @@
         assert!(!comes(client(&papers, OPERATORS).unwrap().made, "n3.hill").await);
         // First words that are none: too long, not a greeting, noise, and one that never ends.
         let long = [&(MOST_FIRST as u32 + 1).to_be_bytes()[..], &[0; 64]].concat();
-        let ask = frame(&ToService::Serves { share: 0.5 }).unwrap();
+        let ask = frame(&ToService::ServiceLevel { share: 0.5 }).unwrap();
         for (what, bytes) in [("long", long), ("no greeting", ask), ("noise", vec![0xff; 5_000])] {
             let mut stream = tls(&rig, made(&papers)).await.unwrap();
             let _ = stream.write_all(&bytes).await;
@@ -268,14 +274,14 @@
         let (reader, writer) = tokio::io::split(stream);
         let mut writer = Writer::new(writer);
         writer.write(&hello("n4.hill")).await.unwrap();
-        let never = Id::of(1, 77, b"never published");
-        writer.write(&ToService::Runs { id: never, stored: true }).await.unwrap();
-        rig.until("the claim is seen through", |t| t.lies == 1).await;
+        let never = VersionId::of(1, 77, b"never published");
+        writer.write(&ToService::Running { id: never, stored: true }).await.unwrap();
+        rig.until("the claim is seen through", |t| t.false_claims == 1).await;
         drop((reader, writer));
         rig.until("only the others are left", |t| t.connected == 2).await;
         // Meanwhile the others were served as ever.
-        let Answer::Published(id) = rig.publish(DEBUG, 0).await else { panic!() };
-        rig.until("a version reaches them", |t| t.runs.contains(&(Some(id), 2))).await;
+        let Response::Published(id) = rig.publish(DEBUG, 0).await else { panic!() };
+        rig.until("a version reaches them", |t| t.running.contains(&(Some(id), 2))).await;
         for other in others {
             assert_eq!(other.stop().await, 1, "their connections were never cut");
         }
@@ -288,7 +294,7 @@
         let rig = Rig::start("rotate", FAST).await;
         let fronts = [rig.puppet("n1", "hill", good()), rig.puppet("n2", "harbour", good())];
         rig.until("both have come", |t| t.connected == 2).await;
-        let Answer::Published(first) = rig.publish(DEBUG, 0).await else { panic!() };
+        let Response::Published(first) = rig.publish(DEBUG, 0).await else { panic!() };
         rig.until("the first runs", |t| t.base == Some(first) && t.current == 2).await;
         let new = || Keys::new(keys(&[1, 2]));
         for front in &fronts {
@@ -301,13 +307,13 @@
         rig.place.issue("control", &rig.place.fronts, &[SERVICE], 60).unwrap();
         rig.running().look().await;
         let seen = rig.totals().await;
-        assert_eq!((seen.sealed, seen.spare_keys), (vec![(1, 2)], vec![]));
-        let Answer::Published(second) = rig.publish(INFO, 1).await else { panic!() };
+        assert_eq!((seen.seal_keys, seen.spare_keys), (vec![(1, 2)], vec![]));
+        let Response::Published(second) = rig.publish(INFO, 1).await else { panic!() };
         let seen = rig.until("the second runs", |t| t.base == Some(second) && t.current == 2).await;
-        assert_eq!((seen.sealed, seen.spare_keys), (vec![(2, 2)], vec![1]));
+        assert_eq!((seen.seal_keys, seen.spare_keys), (vec![(2, 2)], vec![1]));
         rig.place.write("seal-keys.hcl", &seal_key(2)).unwrap();
         rig.running().look().await;
-        let Answer::Published(third) = rig.publish(DEBUG, 2).await else { panic!() };
+        let Response::Published(third) = rig.publish(DEBUG, 2).await else { panic!() };
         rig.until("the third runs", |t| t.base == Some(third) && t.current == 2).await;
         // A certificate that can't be read changes nothing.
         rig.place.write("control.pem", "spoilt").unwrap();
@@ -340,28 +346,33 @@
         let (mut reader, mut writer) =
             (Reader::new(reader, Some(MOST_FIRST), MOST_FIRST), Writer::new(writer));
         assert!(matches!(reader.read::<ToService>().await.unwrap(), ToService::Hello { .. }));
-        writer.write(&ToFront::Welcome { every: 10_000 }).await.unwrap();
-        let sealed = |id: &Id| Keys::new(keys(&[1])).seal(id).unwrap();
-        let true_one = Id::of(5, 2, DEBUG.as_bytes());
-        let older = Id::of(5, 1, INFO.as_bytes());
-        let made_up = Id::of(5, 3, INFO.as_bytes());
+        writer.write(&ToFront::Welcome { heartbeat_interval: 10_000 }).await.unwrap();
+        let sealed = |id: &VersionId| Keys::new(keys(&[1])).seal(id).unwrap();
+        let true_one = VersionId::of(5, 2, DEBUG.as_bytes());
+        let older = VersionId::of(5, 1, INFO.as_bytes());
+        let made_up = VersionId::of(5, 3, INFO.as_bytes());
         let stranger = Keys::new(vec![(1, vec![9; 32])]).seal(&made_up).unwrap();
         // What is offered, the content that is handed over, its seal, and what the front says in the end.
         let cases = [
-            (true_one, INFO, sealed(&true_one), Some(Reason::Altered)),
-            (made_up, INFO, stranger, Some(Reason::Unsealed(1))),
-            (Id { number: 7, ..true_one }, DEBUG, sealed(&true_one), Some(Reason::Unsealed(1))),
+            (true_one, INFO, sealed(&true_one), Some(RejectionReason::HashMismatch)),
+            (made_up, INFO, stranger, Some(RejectionReason::InvalidSeal(1))),
+            (
+                VersionId { number: 7, ..true_one },
+                DEBUG,
+                sealed(&true_one),
+                Some(RejectionReason::InvalidSeal(1)),
+            ),
         ];
         for (id, content, seal, expected) in cases {
             writer.write(&ToFront::Offer { id }).await.unwrap();
-            let body = Body::Whole(content.as_bytes().into());
+            let body = Body::Full(content.as_bytes().into());
             let said = loop {
                 match reader.read::<ToService>().await.unwrap() {
-                    ToService::Ask { .. } => {
+                    ToService::Fetch { .. } => {
                         writer.write(&ToFront::Content { id, seal, body: body.clone() }).await.unwrap();
                     }
-                    ToService::TurnedDown { id: of, why } if of == id => break Some(why),
-                    ToService::Runs { .. } => break None,
+                    ToService::Rejected { id: of, reason: why } if of == id => break Some(why),
+                    ToService::Running { .. } => break None,
                     _ => {}
                 }
             };
@@ -369,17 +380,19 @@
         }
         assert_eq!(front.runs(), None);
         // A later true one is taken; then one from before it, sealed as it was, is old news.
-        let later = Id { number: 8, ..true_one };
+        let later = VersionId { number: 8, ..true_one };
         for (id, content, old) in [(later, DEBUG, false), (older, INFO, true)] {
             writer.write(&ToFront::Offer { id }).await.unwrap();
             loop {
                 match reader.read::<ToService>().await.unwrap() {
-                    ToService::Ask { .. } => {
-                        let body = Body::Whole(content.as_bytes().into());
+                    ToService::Fetch { .. } => {
+                        let body = Body::Full(content.as_bytes().into());
                         writer.write(&ToFront::Content { id, seal: sealed(&id), body }).await.unwrap();
                     }
-                    ToService::Runs { id: runs, .. } => break assert!(runs == id && !old),
-                    ToService::TurnedDown { why, .. } => break assert!(old && why == Reason::Older, "{why}"),
+                    ToService::Running { id: runs, .. } => break assert!(runs == id && !old),
+                    ToService::Rejected { reason: why, .. } => {
+                        break assert!(old && why == RejectionReason::Outdated, "{why}");
+                    }
                     _ => {}
                 }
             }
--- a/crates/front/src/in_use.rs
+++ b/crates/front/src/in_use.rs
@@ -7,7 +7,7 @@
 
 use doorgrade_control_client::configuration::{self, AccessCounts, Instance};
 use doorgrade_operator::{Version, files};
-use doorgrade_versions::Id;
+use doorgrade_versions::VersionId;
 use tokio::sync::oneshot;
 
 use crate::config::{Config, Renewal};
@@ -113,7 +113,7 @@
         lock(&self.in_use).first.needs_restart(version)
     }
 
-    async fn apply(&mut self, _: &Id, version: &Arc<Version>) -> Result<(), String> {
+    async fn apply(&mut self, _: &VersionId, version: &Arc<Version>) -> Result<(), String> {
         let (taken, done) = oneshot::channel();
         {
             let mut in_use = lock(&self.in_use);
--- a/crates/lab/src/config.rs
+++ b/crates/lab/src/config.rs
@@ -58,7 +58,7 @@
                     if let Some(conn) = self.conns[n].take() {
                         self.of_conn.remove(&conn);
                         let mut out = Vec::new();
-                        self.service.iter_mut().for_each(|s| s.gone(self.now, conn, &mut out));
+                        self.service.iter_mut().for_each(|s| s.on_disconnected(self.now, conn, &mut out));
                         self.do_service(out);
                     }
                 }
@@ -67,22 +67,24 @@
                         self.at(lag, Event::Says(conn, message));
                     }
                 }
-                front::Effect::Wake(at) => self.at(at.saturating_sub(self.now), Event::FrontDue(n)),
+                front::Effect::SetTimer(at) => self.at(at.saturating_sub(self.now), Event::FrontDue(n)),
                 _ => {}
             }
         }
     }
 
-    fn do_service(&mut self, out: Vec<service::Do>) {
+    fn do_service(&mut self, out: Vec<service::Effect>) {
         for each in out {
             let lag = 1 + self.rng.u64(0..100);
             match each {
-                service::Do::Send(conn, message) => {
+                service::Effect::Send(conn, message) => {
                     let Some(&n) = self.of_conn.get(&conn) else { continue };
                     self.welcome += usize::from(matches!(message, ToFront::Welcome { .. }));
                     self.at(lag, Event::Told(n, conn, message));
                 }
-                service::Do::Wake(at) => self.at(at.saturating_sub(self.now).max(1), Event::ServiceDue),
+                service::Effect::SetTimer(at) => {
+                    self.at(at.saturating_sub(self.now).max(1), Event::ServiceDue)
+                }
                 _ => {}
             }
         }
@@ -102,9 +104,9 @@
                 if self.service.is_some() {
                     self.next_conn += 1;
                     (self.conns[n], _) = (Some(self.next_conn), self.of_conn.insert(self.next_conn, n));
-                    self.fronts[n].up(now, &mut out);
+                    self.fronts[n].on_connected(now, &mut out);
                 } else {
-                    self.fronts[n].down(now, &mut out);
+                    self.fronts[n].on_disconnected(now, &mut out);
                 }
                 self.do_front(n, out);
             }
@@ -113,22 +115,22 @@
                     *self.words.entry((now - self.back_at) / SECOND).or_default() += 1;
                 }
                 let mut out = Vec::new();
-                self.service.iter_mut().for_each(|s| s.heard(now, conn, message.clone(), &mut out));
+                self.service.iter_mut().for_each(|s| s.on_message(now, conn, message.clone(), &mut out));
                 self.do_service(out);
             }
             Some(Event::Told(n, conn, message)) if self.conns[n] == Some(conn) => {
                 let mut out = Vec::new();
-                self.fronts[n].heard(now, message, &mut out);
+                self.fronts[n].on_message(now, message, &mut out);
                 self.do_front(n, out);
             }
             Some(Event::FrontDue(n)) => {
                 let mut out = Vec::new();
-                self.fronts[n].due(now, &mut out);
+                self.fronts[n].on_timer(now, &mut out);
                 self.do_front(n, out);
             }
             Some(Event::ServiceDue) => {
                 let mut out = Vec::new();
-                self.service.iter_mut().for_each(|s| s.due(now, &mut out));
+                self.service.iter_mut().for_each(|s| s.on_timer(now, &mut out));
                 self.do_service(out);
             }
             _ => {}
@@ -157,12 +159,13 @@
         back_at: u64::MAX,
     };
     let mut out = Vec::new();
-    w.service = Some(Service::start(start, Rules::default(), keys(), service::Found::default(), &mut out));
+    w.service =
+        Some(Service::start(start, Rules::default(), keys(), service::StoredState::default(), &mut out));
     w.do_service(out);
     for n in 0..count {
         let mut out = Vec::new();
         let (name, station) = (format!("front-{n}"), format!("station-{}", n % 50));
-        let found = front::Found::default();
+        let found = front::StoredState::default();
         let seed = how.seed.wrapping_mul(1 << 20).wrapping_add(n as u64);
         w.fronts.push(Front::start(start, seed, (&name, &station), keys(), found, Ok(()), &mut out));
         w.do_front(n, out);
@@ -174,7 +177,7 @@
     for n in 0..count {
         let mut out = Vec::new();
         if w.conns[n].take().is_some() {
-            w.fronts[n].down(w.now, &mut out);
+            w.fronts[n].on_disconnected(w.now, &mut out);
         }
         w.do_front(n, out);
     }
@@ -182,7 +185,8 @@
     while w.step(back) {}
     (w.back_at, w.welcome) = (back, 0);
     let mut out = Vec::new();
-    w.service = Some(Service::start(back, Rules::default(), keys(), service::Found::default(), &mut out));
+    w.service =
+        Some(Service::start(back, Rules::default(), keys(), service::StoredState::default(), &mut out));
     w.do_service(out);
     while w.welcome < count && w.now < back + 3_600 * SECOND {
         if !w.step(back + 3_600 * SECOND) {
--- a/crates/lab/src/evidence.rs
+++ b/crates/lab/src/evidence.rs
@@ -12,7 +12,7 @@
 use simulated::{CANARY, Liar, Reports, Storm, Trial, WIDE};
 
 /// As the rollout has them.
-const SETTINGS: TestSettings = TestSettings { false_stop: 1e-4, tolerated_drop: 0.03, least_fronts: 3 };
+const SETTINGS: TestSettings = TestSettings { false_stop: 1e-4, tolerated_drop: 0.03, min_fronts: 3 };
 /// Changes a day at the target.
 const CHANGES: f64 = 1_000.0;
 /// Share of the runs in which a drop counts as found.
@@ -113,7 +113,7 @@
     let sums = |reports: &Reports| {
         let each = reports
             .iter()
-            .map(|(_, FrontSample { counts, .. })| (counts.asked as f64, counts.answered as f64));
+            .map(|(_, FrontSample { counts, .. })| (counts.accesses as f64, counts.answered as f64));
         each.fold((0.0, 0.0), |sum, each| (sum.0 + each.0, sum.1 + each.1))
     };
     let (mut with, mut without) = ((0.0, 0.0), (0.0, 0.0));
--- a/crates/lab/src/evidence/simulated.rs
+++ b/crates/lab/src/evidence/simulated.rs
@@ -112,7 +112,7 @@
 
 fn front(rng: &mut Rng, trial: &Trial, station: usize) -> Front {
     let own = (0.97 + 0.015 * normal(rng)).clamp(0.85, 0.998);
-    let baseline = Counts { asked: trial.baseline, answered: binomial(rng, trial.baseline, own) };
+    let baseline = Counts { accesses: trial.baseline, answered: binomial(rng, trial.baseline, own) };
     let share = own + trial.drift * normal(rng);
     Front { station, share, pace: 0.5 + rng.f64(), baseline, left: 0.4 + 0.4 * rng.f64() }
 }
@@ -122,9 +122,9 @@
     match liar {
         Liar::None => counts,
         Liar::AnswersNothing => Counts { answered: 0, ..counts },
-        Liar::AnswersAll => Counts { answered: counts.asked, ..counts },
-        Liar::HugeNothing => Counts { asked: HUGE, answered: 0 },
-        Liar::HugeAll => Counts { asked: HUGE, answered: HUGE },
+        Liar::AnswersAll => Counts { answered: counts.accesses, ..counts },
+        Liar::HugeNothing => Counts { accesses: HUGE, answered: 0 },
+        Liar::HugeAll => Counts { accesses: HUGE, answered: HUGE },
     }
 }
 
@@ -169,7 +169,7 @@
         let asked = (asked + asked.sqrt() * normal(rng)).round().max(0.0) as u64;
         let drop = if is_arm { self.drop } else { 0.0 };
         let share = (f.share * left * (1.0 - drop) + self.jitter * normal(rng)).clamp(0.0, 1.0);
-        Counts { asked, answered: binomial(rng, asked, share) }
+        Counts { accesses: asked, answered: binomial(rng, asked, share) }
     }
 
     /// The verdict at each look, in order, until `done` says that it is enough.
--- a/crates/lab/src/scale/commands.rs
+++ b/crates/lab/src/scale/commands.rs
@@ -9,8 +9,8 @@
 use doorgrade_control::settings::Settings;
 use doorgrade_standins::versions::{Place, Puppet, SERVICE, Who, keys};
 use doorgrade_stream::frame::frame;
-use doorgrade_versions::Id;
-use doorgrade_versions::service::{Answer, Ask, Filter, Line, Totals};
+use doorgrade_versions::VersionId;
+use doorgrade_versions::service::{Filter, LogEvent, Request, Response, Totals};
 use tokio::runtime::Runtime;
 
 use super::{Context, Needs, Part, Point, Quantity, ScaleError};
@@ -83,7 +83,7 @@
             let (service, keys) = (rig.running.fronts, keys(&[1]));
             let seed = seed.wrapping_mul(10_000).wrapping_add(n as u64);
             let who = Who { name: &name, station: &station, service, papers: &papers, keys, seed };
-            rig.followers.push(Puppet::start(&who, Arc::new(|_: &Id, _: &[u8]| Ok(())))?);
+            rig.followers.push(Puppet::start(&who, Arc::new(|_: &VersionId, _: &[u8]| Ok(())))?);
         }
         Ok(rig)
     }
@@ -92,13 +92,13 @@
         self.runtime.block_on(Asker::at(self.running.operators, SERVICE, &self.place.papers("person")))
     }
 
-    fn ask(&self, asker: &mut Asker, ask: &Ask) -> Result<Answer, String> {
+    fn ask(&self, asker: &mut Asker, ask: &Request) -> Result<Response, String> {
         self.runtime.block_on(asker.ask(ask))
     }
 
     fn totals(&self, asker: &mut Asker) -> Result<Totals, String> {
-        match self.ask(asker, &Ask::Status)? {
-            Answer::Status(totals) => Ok(*totals),
+        match self.ask(asker, &Request::Status)? {
+            Response::Status(totals) => Ok(*totals),
             other => Err(format!("the service: an answer to something else: {other:?}")),
         }
     }
@@ -117,11 +117,11 @@
         }
     }
 
-    fn publish(&self, asker: &mut Asker, level: &str, note: &str) -> Result<Id, String> {
+    fn publish(&self, asker: &mut Asker, level: &str, note: &str) -> Result<VersionId, String> {
         let expects = self.totals(asker)?.last;
         let content = format!("log {{ level = \"{level}\" }}\n").into_bytes().into();
-        match self.ask(asker, &Ask::Publish { content, note: note.into(), expects })? {
-            Answer::Published(id) => Ok(id),
+        match self.ask(asker, &Request::Publish { content, note: note.into(), expected_last: expects })? {
+            Response::Published(id) => Ok(id),
             other => Err(format!("the service: not published: {other:?}")),
         }
     }
@@ -138,7 +138,7 @@
     }
 }
 
-fn bytes(answer: &Answer) -> f64 {
+fn bytes(answer: &Response) -> f64 {
     frame(answer).map_or(0, |f| f.len()) as f64
 }
 
@@ -151,8 +151,8 @@
 fn cost(
     rig: &Rig,
     asker: &mut Asker,
-    first: &Ask,
-    page: impl Fn(&Answer) -> Option<Ask>,
+    first: &Request,
+    page: impl Fn(&Response) -> Option<Request>,
 ) -> Result<Cost, String> {
     let (mut seconds, mut size) = (Vec::new(), 0.0);
     for _ in 0..ANSWERS {
@@ -168,13 +168,13 @@
 }
 
 /// Lines that a watcher is told until a version is everyone's.
-fn watched(rig: &Rig, watcher: &mut Asker, id: Id) -> Result<f64, String> {
+fn watched(rig: &Rig, watcher: &mut Asker, id: VersionId) -> Result<f64, String> {
     let mut size = 0.0;
     loop {
         let line = rig.runtime.block_on(async { tokio::time::timeout(WITHIN, watcher.line()).await });
         let line = line.map_err(|_| "a watcher is told nothing more".to_owned())??;
-        let last = matches!(&line, Line::Everywhere(told) if *told == id);
-        size += bytes(&Answer::Line(line));
+        let last = matches!(&line, LogEvent::Everywhere(told) if *told == id);
+        size += bytes(&Response::LogEvent(line));
         if last {
             return Ok(size);
         }
@@ -184,8 +184,8 @@
 fn measure(rig: &Rig, size: usize) -> Result<Costs, String> {
     let (mut asker, mut watcher) = (rig.asker()?, rig.asker()?);
     rig.until(&mut asker, "each front", |t| t.connected as usize == size)?;
-    match rig.ask(&mut watcher, &Ask::Watch)? {
-        Answer::Watching => {}
+    match rig.ask(&mut watcher, &Request::Watch)? {
+        Response::Watching => {}
         other => return Err(format!("the service: no watch: {other:?}")),
     }
     let mut watch_bytes = Vec::new();
@@ -196,16 +196,16 @@
         watch_bytes.push(watched(rig, &mut watcher, id)?);
         rig.until(&mut asker, "a version", |t| t.current as usize == size && t.base == Some(id))?;
     }
-    let history = cost(rig, &mut asker, &Ask::History { below: u64::MAX }, |answer| match answer {
-        Answer::History(page) => page.last().map(|p| Ask::History { below: p.id.number }),
+    let history = cost(rig, &mut asker, &Request::History { below: u64::MAX }, |answer| match answer {
+        Response::History(page) => page.last().map(|p| Request::History { below: p.id.number }),
         _ => None,
     })?;
-    let all = |after: Box<str>| Ask::Fronts { after, filter: Filter::All };
+    let all = |after: Box<str>| Request::Fronts { after, filter: Filter::All };
     let fronts = cost(rig, &mut asker, &all("".into()), |answer| match answer {
-        Answer::Fronts { rows, more: true } => rows.last().map(|row| all(row.front.clone())),
+        Response::Fronts { rows, more: true } => rows.last().map(|row| all(row.front.clone())),
         _ => None,
     })?;
-    let status = cost(rig, &mut asker, &Ask::Status, |_| None)?;
+    let status = cost(rig, &mut asker, &Request::Status, |_| None)?;
     Ok(Costs { status, fronts, history, watch_bytes: median(watch_bytes) })
 }
 
--- a/crates/lab/src/scale/control_rig.rs
+++ b/crates/lab/src/scale/control_rig.rs
@@ -9,8 +9,8 @@
 use doorgrade_standins::links::{Links, Way};
 use doorgrade_standins::process::Process;
 use doorgrade_standins::versions::{Place, SERVICE};
-use doorgrade_versions::Id;
-use doorgrade_versions::service::{Answer, Ask, Totals};
+use doorgrade_versions::VersionId;
+use doorgrade_versions::service::{Request, Response, Totals};
 use serde_json::json;
 use tokio::runtime::Runtime;
 
@@ -218,21 +218,25 @@
 
 impl Operator {
     pub fn totals(&mut self) -> Result<Totals, Fault> {
-        match self.runtime.block_on(self.asker.ask(&Ask::Status))? {
-            Answer::Status(totals) => Ok(*totals),
+        match self.runtime.block_on(self.asker.ask(&Request::Status))? {
+            Response::Status(totals) => Ok(*totals),
             other => Err(format!("{other:?}")),
         }
     }
 
     /// Publishes as soon as the service takes it; how often it refused, since another was under way.
-    pub fn publish(&mut self, content: &str) -> Result<(Id, usize), Fault> {
+    pub fn publish(&mut self, content: &str) -> Result<(VersionId, usize), Fault> {
         let (begun, mut refused) = (Instant::now(), 0);
         loop {
             let expects = self.totals()?.last;
-            let ask = Ask::Publish { content: content.as_bytes().into(), note: "".into(), expects };
+            let ask = Request::Publish {
+                content: content.as_bytes().into(),
+                note: "".into(),
+                expected_last: expects,
+            };
             match self.runtime.block_on(self.asker.ask(&ask))? {
-                Answer::Published(id) => return Ok((id, refused)),
-                Answer::NotPublished(_) if begun.elapsed() < WITHIN => refused += 1,
+                Response::Published(id) => return Ok((id, refused)),
+                Response::NotPublished(_) if begun.elapsed() < WITHIN => refused += 1,
                 other => return Err(format!("not published: {other:?}")),
             }
             std::thread::sleep(LOOK);
--- a/crates/lab/src/scale/hollow.rs
+++ b/crates/lab/src/scale/hollow.rs
@@ -21,7 +21,7 @@
 use doorgrade_front::ring::Ring;
 use doorgrade_operator::Version;
 use doorgrade_recall::Purge;
-use doorgrade_versions::{Id, Ticks};
+use doorgrade_versions::{Ticks, VersionId};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::runtime::Handle;
@@ -67,7 +67,7 @@
 #[derive(Default)]
 pub struct Record {
     /// Versions brought into use, and when.
-    applied: Mutex<Vec<(Id, Ticks)>>,
+    applied: Mutex<Vec<(VersionId, Ticks)>>,
     /// Accesses that ended, and of those the ones answered in time.
     asked: AtomicU64,
     in_time: AtomicU64,
@@ -76,11 +76,11 @@
 }
 
 impl Record {
-    pub fn applied(&self) -> Vec<(Id, Ticks)> {
+    pub fn applied(&self) -> Vec<(VersionId, Ticks)> {
         self.applied.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    pub fn runs(&self) -> Option<Id> {
+    pub fn runs(&self) -> Option<VersionId> {
         self.applied.lock().unwrap_or_else(PoisonError::into_inner).last().map(|a| a.0)
     }
 
@@ -111,7 +111,7 @@
         self.first.needs_restart(version)
     }
 
-    async fn apply(&mut self, id: &Id, version: &Arc<Version>) -> Result<(), String> {
+    async fn apply(&mut self, id: &VersionId, version: &Arc<Version>) -> Result<(), String> {
         // As a front's own: the files are read anew, with the version over them.
         let read = self.place.read()?.overlaid(version);
         let _renewal = self.first.renewal(read);
--- a/crates/lab/src/scale/rollouts.rs
+++ b/crates/lab/src/scale/rollouts.rs
@@ -17,7 +17,7 @@
 
 use doorgrade_stream::clock::now;
 use doorgrade_versions::Ticks;
-use doorgrade_versions::service::{Answer, Ask, Line};
+use doorgrade_versions::service::{LogEvent, Request, Response};
 
 use super::{Context, Needs, Part, ScaleError};
 use crate::rig::{Got, Planned, Played, cpu_ms, memory_mb, play, thread_cpu_ms};
@@ -49,7 +49,7 @@
 struct Outcome {
     published: Vec<Published>,
     refused: usize,
-    lines: Vec<(Ticks, Line)>,
+    lines: Vec<(Ticks, LogEvent)>,
     /// Bytes of each connection, second by second, and from which of them on changes were published.
     bytes: Vec<Vec<u64>>,
     changes_from: usize,
@@ -98,7 +98,7 @@
         .map_err(|e| context.fault(e))?;
     // The first content, without any change.
     let first = rig.publish(&mut asker, &content::first(), 0).map_err(|e| context.fault(e))?;
-    let Answer::Published(first) = first else { return Err(context.fault(format!("{first:?}"))) };
+    let Response::Published(first) = first else { return Err(context.fault(format!("{first:?}"))) };
     rig.until(&mut asker, "the first content", Duration::from_secs(180), |t| {
         t.current == all && t.base.is_some_and(|base| base.hash == first.hash)
     })
@@ -116,8 +116,8 @@
     let mut asker = rig.asker()?;
     let lines = Arc::new(Mutex::new(Vec::new()));
     let mut watcher = rig.asker()?;
-    match rig.runtime.block_on(watcher.ask(&Ask::Watch))? {
-        Answer::Watching => {}
+    match rig.runtime.block_on(watcher.ask(&Request::Watch))? {
+        Response::Watching => {}
         other => return Err(format!("{other:?}")),
     }
     let told = lines.clone();
@@ -152,7 +152,9 @@
         let (number, head) = rig.head(&mut asker)?;
         let (at, text) = (now(), content::changed(&head, due.change, due.harm));
         match rig.publish(&mut asker, &text, number)? {
-            Answer::Published(id) => published.push(Published { change: due.change, number: id.number, at }),
+            Response::Published(id) => {
+                published.push(Published { change: due.change, number: id.number, at })
+            }
             _ => refused += 1,
         }
     }
@@ -198,7 +200,7 @@
     let Outcome { published, lines, bytes, played, .. } = outcome;
     let taken_out = |number: u64| {
         lines.iter().find_map(|(at, line)| match line {
-            Line::TakenOut { change, .. } if *change == number => Some(*at),
+            LogEvent::ChangeRemoved { change, .. } if *change == number => Some(*at),
             _ => None,
         })
     };
@@ -232,13 +234,13 @@
     let stops = good.iter().filter(|p| taken_out(p.number).is_some()).count();
     context.put("false_stops", stops);
     let untrue = lines.iter().filter(|(at, line)| match line {
-        Line::InForce(id) => published
+        LogEvent::InForce(id) => published
             .iter()
             .find(|p| p.number == id.number)
             .is_some_and(|p| records.lacking(p.change, *at) > 0),
         _ => false,
     });
-    context.put("in_force_told", lines.iter().filter(|l| matches!(l.1, Line::InForce(_))).count());
+    context.put("in_force_told", lines.iter().filter(|l| matches!(l.1, LogEvent::InForce(_))).count());
     context.put("untrue_states", untrue.count());
 
     let samples = || played.iter().flat_map(|p| &p.samples);
@@ -271,9 +273,9 @@
 }
 
 /// What became of each harmful change, and of what was stopped without being one, for whoever reads along.
-fn describe(plan: &Plan, published: &[Published], lines: &[(Ticks, Line)]) {
+fn describe(plan: &Plan, published: &[Published], lines: &[(Ticks, LogEvent)]) {
     for (at, line) in lines {
-        if let Line::TakenOut { change, why } = line {
+        if let LogEvent::ChangeRemoved { change, reason: why } = line {
             let own = published.iter().find(|p| p.number == *change);
             let after = own.map_or(0.0, |p| at.saturating_sub(p.at) as f64 / 1e4);
             let harm =
@@ -297,7 +299,7 @@
         .map_err(|e| context.fault(e))?;
     let (at, text) = (now(), content::changed(&content::first(), 1, None));
     let answer = rig.publish(&mut asker, &text, 0).map_err(|e| context.fault(e))?;
-    let Answer::Published(id) = answer else { return Err(context.fault(format!("{answer:?}"))) };
+    let Response::Published(id) = answer else { return Err(context.fault(format!("{answer:?}"))) };
     rig.until(&mut asker, "a change in waves", Duration::from_secs(240), |t| t.base == Some(id))
         .map_err(|e| context.fault(e))?;
     let published = Published { change: 1, number: id.number, at };
@@ -320,7 +322,7 @@
         .map_err(|e| context.fault(e))?;
     let text = content::changed(&content::first(), 1, Some(Harm::Drop(0.5)));
     let answer = rig.publish(&mut asker, &text, 0).map_err(|e| context.fault(e))?;
-    let Answer::Published(_) = answer else { return Err(context.fault(format!("{answer:?}"))) };
+    let Response::Published(_) = answer else { return Err(context.fault(format!("{answer:?}"))) };
     std::thread::sleep(Duration::from_secs(10));
     context.ratio("all_at_once_harmful_reach", Records(rig.records()).reach(&[1]));
     rig.end();
--- a/crates/lab/src/scale/rollouts/hollow.rs
+++ b/crates/lab/src/scale/rollouts/hollow.rs
@@ -11,9 +11,9 @@
 use doorgrade_standins::versions::{SERVICE, keys};
 use doorgrade_stream::clock::now;
 use doorgrade_stream::follow::{AccessCounts, Command, Follow, Host, To};
-use doorgrade_versions::front::{Content, Found, Front, Line};
+use doorgrade_versions::front::{Content, Front, LogEvent, StoredState};
 use doorgrade_versions::seal::{Keys, Seal};
-use doorgrade_versions::{Id, Reason, Ticks};
+use doorgrade_versions::{RejectionReason, Ticks, VersionId};
 use fastrand::Rng;
 use tokio::sync::mpsc;
 
@@ -32,7 +32,7 @@
 }
 
 impl Shared {
-    fn facts(&self, id: &Id, content: &[u8]) -> Arc<Facts> {
+    fn facts(&self, id: &VersionId, content: &[u8]) -> Arc<Facts> {
         let mut known = self.facts.lock().unwrap_or_else(PoisonError::into_inner);
         let read = || Arc::new(Facts::read(&String::from_utf8_lossy(content)));
         known.entry(id.hash).or_insert_with(read).clone()
@@ -92,31 +92,31 @@
 }
 
 impl Host for Runs {
-    fn check(&mut self, id: &Id, content: &Content) -> Result<(), Reason> {
+    fn check(&mut self, id: &VersionId, content: &Content) -> Result<(), RejectionReason> {
         match self.shared.facts(id, content).usable() {
             true => Ok(()),
-            false => Err(Reason::Unusable("a change that no front can use".into())),
+            false => Err(RejectionReason::Unusable("a change that no front can use".into())),
         }
     }
 
-    async fn apply(&mut self, id: &Id, content: &Content) -> Result<(), Reason> {
+    async fn apply(&mut self, id: &VersionId, content: &Content) -> Result<(), RejectionReason> {
         self.count();
         let facts = self.shared.facts(id, content);
         self.ran.lock().unwrap_or_else(PoisonError::into_inner).push((now(), facts));
         Ok(())
     }
 
-    fn stage(&mut self, _: Id, _: u32) -> bool {
+    fn stage(&mut self, _: VersionId, _: u32) -> bool {
         true
     }
 
-    fn keep(&mut self, _: Id, _: Seal, _: &Content) -> bool {
+    fn keep(&mut self, _: VersionId, _: Seal, _: &Content) -> bool {
         true
     }
 
     fn unstage(&mut self) {}
 
-    fn tell(&mut self, _: Line) {}
+    fn tell(&mut self, _: LogEvent) {}
 
     /// As a front of the waves' mode says it.
     fn serves(&mut self) -> Option<f32> {
@@ -153,7 +153,7 @@
         let to = To { at: vec![who.service], name };
         let (keys, named) = (Keys::new(keys(&[1])), (who.name, who.station));
         let (mut follow, first) = Follow::new(host, to, tls, |at, out| {
-            Front::start(at, who.seed, named, keys, Found::default(), Ok(()), out)
+            Front::start(at, who.seed, named, keys, StoredState::default(), Ok(()), out)
         });
         let (commands, mut told) = mpsc::channel(4);
         tokio::spawn(async move { follow.run(first, &mut told).await });
--- a/crates/lab/src/scale/rollouts/rig.rs
+++ b/crates/lab/src/scale/rollouts/rig.rs
@@ -13,7 +13,7 @@
 use doorgrade_standins::versions::{Place, SERVICE};
 use doorgrade_standins::{Directory, Feed, Member, Role, Spec};
 use doorgrade_stream::FRONTS;
-use doorgrade_versions::service::{Answer, Ask, Totals};
+use doorgrade_versions::service::{Request, Response, Totals};
 use serde_json::json;
 
 use super::content::Facts;
@@ -177,8 +177,8 @@
     }
 
     pub fn totals(&self, asker: &mut Asker) -> Result<Totals, String> {
-        match self.runtime.block_on(asker.ask(&Ask::Status))? {
-            Answer::Status(totals) => Ok(*totals),
+        match self.runtime.block_on(asker.ask(&Request::Status))? {
+            Response::Status(totals) => Ok(*totals),
             other => Err(format!("{other:?}")),
         }
     }
@@ -186,14 +186,15 @@
     /// The content that changes are made to, and its number.
     pub fn head(&self, asker: &mut Asker) -> Result<(u64, String), String> {
         let number = self.totals(asker)?.last;
-        match self.runtime.block_on(asker.ask(&Ask::Content { number }))? {
-            Answer::Content { content, .. } => Ok((number, String::from_utf8_lossy(&content).into_owned())),
+        match self.runtime.block_on(asker.ask(&Request::Content { number }))? {
+            Response::Content { content, .. } => Ok((number, String::from_utf8_lossy(&content).into_owned())),
             other => Err(format!("{other:?}")),
         }
     }
 
-    pub fn publish(&self, asker: &mut Asker, content: &str, expects: u64) -> Result<Answer, String> {
-        let ask = Ask::Publish { content: content.as_bytes().into(), note: "".into(), expects };
+    pub fn publish(&self, asker: &mut Asker, content: &str, expects: u64) -> Result<Response, String> {
+        let ask =
+            Request::Publish { content: content.as_bytes().into(), note: "".into(), expected_last: expects };
         self.runtime.block_on(asker.ask(&ask))
     }
 
--- a/crates/lab/src/stream.rs
+++ b/crates/lab/src/stream.rs
@@ -19,8 +19,8 @@
 use doorgrade_control::settings::Settings;
 use doorgrade_standins::versions::{Place, Puppet, SERVICE, Who, keys};
 use doorgrade_standins::{Client, Directory, Feed, Member, Role, Spec};
-use doorgrade_versions::Id;
-use doorgrade_versions::service::{Answer, Ask, Filter, Totals};
+use doorgrade_versions::VersionId;
+use doorgrade_versions::service::{Filter, Request, Response, Totals};
 use fastrand::Rng;
 use serde_json::json;
 
@@ -111,8 +111,8 @@
     }
 
     fn totals(&self, asker: &mut Asker) -> Result<Totals, String> {
-        match self.runtime.block_on(asker.ask(&Ask::Status))? {
-            Answer::Status(totals) => Ok(*totals),
+        match self.runtime.block_on(asker.ask(&Request::Status))? {
+            Response::Status(totals) => Ok(*totals),
             other => Err(format!("{other:?}")),
         }
     }
@@ -136,11 +136,12 @@
         }
     }
 
-    fn publish(&self, asker: &mut Asker, content: &str) -> Result<Id, String> {
+    fn publish(&self, asker: &mut Asker, content: &str) -> Result<VersionId, String> {
         let expects = self.totals(asker)?.last;
-        let ask = Ask::Publish { content: content.as_bytes().into(), note: "".into(), expects };
+        let ask =
+            Request::Publish { content: content.as_bytes().into(), note: "".into(), expected_last: expects };
         match self.runtime.block_on(asker.ask(&ask))? {
-            Answer::Published(id) => Ok(id),
+            Response::Published(id) => Ok(id),
             other => Err(format!("{other:?}")),
         }
     }
@@ -229,7 +230,7 @@
         let (name, papers) = (format!("p{n}.{station}"), lab.place.papers(&station));
         let (service, keys, seed) = (fronts_at, keys(&[1]), how.seed.wrapping_add(1_000 + n as u64));
         let who = Who { name: &name, station: &station, service, papers: &papers, keys, seed };
-        others.push(Puppet::start(&who, Arc::new(|_: &Id, _: &[u8]| Ok(())))?);
+        others.push(Puppet::start(&who, Arc::new(|_: &VersionId, _: &[u8]| Ok(())))?);
     }
     let all = FRONTS + puppets;
     let mut asker = lab.asker()?;
@@ -262,8 +263,8 @@
     figures.ratio("line_in_use_p99_s", quantile(&took, 0.99));
     let delta = doorgrade_versions::delta::between(first_text.as_bytes(), second_text.as_bytes());
     let body = doorgrade_versions::message::Body::Delta(delta);
-    let seal = doorgrade_versions::seal::Seal { key: 1, code: [0; 32] };
-    let whole = doorgrade_versions::message::Body::Whole(second_text.as_bytes().into());
+    let seal = doorgrade_versions::seal::Seal { key: 1, mac: [0; 32] };
+    let whole = doorgrade_versions::message::Body::Full(second_text.as_bytes().into());
     let bytes = |body| {
         let message = doorgrade_versions::message::ToFront::Content { id: second, seal, body };
         doorgrade_stream::frame::frame(&message).map_or(0, |f| f.len())
@@ -311,7 +312,7 @@
 
     // What each front says it runs, against what its own log says.
     let rows = lab.runtime.block_on(asker.fronts(Filter::All))?;
-    let untrue = rows.iter().filter(|r| r.runs != Some(last) || r.lies).count();
+    let untrue = rows.iter().filter(|r| r.running != Some(last) || r.false_claim).count();
     figures.put("untrue_states", untrue);
     let bad: usize = others.iter().filter_map(|p| Some(p.record.lock().ok()?.bad_in_use)).sum();
     figures.ratio("on_good_version", if bad == 0 && bad_starts == 0 { 1.0 } else { 0.0 });
@@ -358,7 +359,7 @@
         "harmful_why",
         stopped.as_ref().and_then(|p| p.stopped.as_ref()).map_or(String::new(), ToString::to_string),
     );
-    figures.put("fronts_touched", stopped.as_ref().map_or(all, |p| p.went));
+    figures.put("fronts_touched", stopped.as_ref().map_or(all, |p| p.offered));
     figures.put("first_wave", 2);
     figures.ratio("harmful_stopped_s", begun.elapsed().as_secs_f64());
     Ok(figures)
--- a/crates/lab/tests/hollow.rs
+++ b/crates/lab/tests/hollow.rs
@@ -12,7 +12,7 @@
 use doorgrade_standins::Feed;
 use doorgrade_standins::links::Links;
 use doorgrade_standins::versions::{Place, SERVICE};
-use doorgrade_versions::service::{Answer, Ask};
+use doorgrade_versions::service::{Request, Response};
 
 /// For what is to come to be; a busy machine takes longer than an idle one.
 const LONG: Duration = Duration::from_secs(60);
@@ -57,12 +57,16 @@
     let mut publish = |text: String| {
         let begun = Instant::now();
         loop {
-            let Answer::Status(totals) = runtime.block_on(asker.ask(&Ask::Status)).unwrap() else {
+            let Response::Status(totals) = runtime.block_on(asker.ask(&Request::Status)).unwrap() else {
                 panic!("no status")
             };
-            let ask = Ask::Publish { content: text.as_bytes().into(), note: "".into(), expects: totals.last };
+            let ask = Request::Publish {
+                content: text.as_bytes().into(),
+                note: "".into(),
+                expected_last: totals.last,
+            };
             let connected = totals.connected == 2;
-            if connected && let Answer::Published(id) = runtime.block_on(asker.ask(&ask)).unwrap() {
+            if connected && let Response::Published(id) = runtime.block_on(asker.ask(&ask)).unwrap() {
                 return id;
             }
             assert!(begun.elapsed() < LONG, "not published: {totals:?}");
--- a/crates/standins/src/versions.rs
+++ b/crates/standins/src/versions.rs
@@ -12,9 +12,9 @@
 use doorgrade_stream::FRONTS;
 use doorgrade_stream::clock::now;
 use doorgrade_stream::follow::{AccessCounts, Command, Follow, Host, To};
-use doorgrade_versions::front::{Content, Found, Front, Line};
+use doorgrade_versions::front::{Content, Front, LogEvent, StoredState};
 use doorgrade_versions::seal::{Keys, Seal};
-use doorgrade_versions::{Id, Reason, Ticks};
+use doorgrade_versions::{RejectionReason, Ticks, VersionId};
 use tokio::sync::mpsc;
 
 use crate::lock;
@@ -108,14 +108,14 @@
     }
 }
 
-pub type Verdict = dyn Fn(&Id, &[u8]) -> Result<(), Reason> + Send + Sync;
+pub type Verdict = dyn Fn(&VersionId, &[u8]) -> Result<(), RejectionReason> + Send + Sync;
 
 /// What one of these fronts has seen, and when.
 #[derive(Default)]
 pub struct Record {
     /// Versions brought into use, and when.
-    pub ran: Vec<(Id, Ticks)>,
-    pub turned_down: Vec<(Id, Reason)>,
+    pub ran: Vec<(VersionId, Ticks)>,
+    pub turned_down: Vec<(VersionId, RejectionReason)>,
     pub lost: Vec<String>,
     pub serves: Option<f32>,
     /// What it says that it has served since it started, and how often it was asked for that.
@@ -135,35 +135,35 @@
 struct Runs {
     record: Arc<Mutex<Record>>,
     verdict: Arc<Verdict>,
-    good: BTreeMap<Id, bool>,
+    good: BTreeMap<VersionId, bool>,
 }
 
 impl Host for Runs {
-    fn check(&mut self, id: &Id, content: &Content) -> Result<(), Reason> {
+    fn check(&mut self, id: &VersionId, content: &Content) -> Result<(), RejectionReason> {
         let verdict = (self.verdict)(id, content);
         self.good.insert(*id, verdict.is_ok());
         verdict
     }
 
-    async fn apply(&mut self, id: &Id, _: &Content) -> Result<(), Reason> {
+    async fn apply(&mut self, id: &VersionId, _: &Content) -> Result<(), RejectionReason> {
         let mut record = lock(&self.record);
         record.bad_in_use += usize::from(self.good.get(id) != Some(&true));
         record.ran.push((*id, now()));
         Ok(())
     }
 
-    fn stage(&mut self, _: Id, _: u32) -> bool {
+    fn stage(&mut self, _: VersionId, _: u32) -> bool {
         true
     }
 
-    fn keep(&mut self, _: Id, _: Seal, _: &Content) -> bool {
+    fn keep(&mut self, _: VersionId, _: Seal, _: &Content) -> bool {
         true
     }
 
     fn unstage(&mut self) {}
 
-    fn tell(&mut self, line: Line) {
-        if let Line::TurnedDown(id, why) = line {
+    fn tell(&mut self, line: LogEvent) {
+        if let LogEvent::Rejected(id, why) = line {
             lock(&self.record).turned_down.push((id, why));
         }
     }
@@ -203,7 +203,7 @@
         let to = To { at: vec![who.service], name };
         let (keys, who_is) = (Keys::new(who.keys.clone()), (who.name, who.station));
         let (mut follow, first) = Follow::new(host, to, tls, |at, out| {
-            Front::start(at, who.seed, who_is, keys, Found::default(), Ok(()), out)
+            Front::start(at, who.seed, who_is, keys, StoredState::default(), Ok(()), out)
         });
         let (commands, mut told) = mpsc::channel(4);
         let task = tokio::spawn(async move {
@@ -213,7 +213,7 @@
         Ok(Puppet { record, commands, task })
     }
 
-    pub fn runs(&self) -> Option<Id> {
+    pub fn runs(&self) -> Option<VersionId> {
         lock(&self.record).ran.last().map(|r| r.0)
     }
 
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -13,8 +13,8 @@
 use std::sync::Arc;
 
 use doorgrade_versions::seal::Seal;
-use doorgrade_versions::service::{Found as ServiceFound, Saved, SavedTrials, Version};
-use doorgrade_versions::{Id, front};
+use doorgrade_versions::service::{SavedRollout, SavedTrials, StoredState as ServiceFound, Version};
+use doorgrade_versions::{VersionId, front};
 use serde::Serialize;
 
 pub use records::Records;
@@ -71,20 +71,22 @@
         FrontStore(records)
     }
 
-    pub fn load(&self) -> (front::Found, Vec<Trouble>) {
+    pub fn load(&self) -> (front::StoredState, Vec<Trouble>) {
         let mut troubles = Vec::new();
-        let good: Option<(Id, Seal, Arc<[u8]>)> = self.0.value("good", &mut troubles);
+        let good: Option<(VersionId, Seal, Arc<[u8]>)> = self.0.value("good", &mut troubles);
         // Its own hash, too: a content under the wrong number is no better than a damaged one.
-        let whole = |(id, _, content): &(Id, Seal, Arc<[u8]>)| Id::of(id.epoch, id.number, content) == *id;
+        let whole = |(id, _, content): &(VersionId, Seal, Arc<[u8]>)| {
+            VersionId::of(id.epoch, id.number, content) == *id
+        };
         let good = good.filter(whole);
-        (front::Found { good, staged: self.0.value("staged", &mut troubles) }, troubles)
+        (front::StoredState { last_good: good, staged: self.0.value("staged", &mut troubles) }, troubles)
     }
 
-    pub fn stage(&self, id: Id, falls: u32) -> Result<(), Trouble> {
+    pub fn stage(&self, id: VersionId, falls: u32) -> Result<(), Trouble> {
         self.0.write(&[("staged", payload(&(id, falls))?)], &[])
     }
 
-    pub fn keep(&self, id: Id, seal: Seal, content: &Arc<[u8]>) -> Result<(), Trouble> {
+    pub fn keep(&self, id: VersionId, seal: Seal, content: &Arc<[u8]>) -> Result<(), Trouble> {
         self.0.write(&[("good", payload(&(id, seal, content))?)], &["staged"])
     }
 
@@ -97,9 +99,9 @@
 /// releases leave alone, the changes that are on trial or watched.
 pub struct ServiceStore(Records);
 
-type State = (u64, Option<u64>, Option<Saved>);
+type State = (u64, Option<u64>, Option<SavedRollout>);
 
-fn version_key(id: &Id) -> String {
+fn version_key(id: &VersionId) -> String {
     format!("version/{:016x}/{:016x}", id.epoch, id.number)
 }
 
@@ -133,7 +135,7 @@
     }
 
     /// A version that nothing needs any more.
-    pub fn forget(&self, id: &Id) -> Result<(), Trouble> {
+    pub fn forget(&self, id: &VersionId) -> Result<(), Trouble> {
         self.0.write(&[], &[&version_key(id)])
     }
 
@@ -142,7 +144,12 @@
     }
 
     /// The state; what is of an earlier epoch is no more.
-    pub fn put_state(&self, epoch: u64, base: Option<u64>, rollout: &Option<Saved>) -> Result<(), Trouble> {
+    pub fn put_state(
+        &self,
+        epoch: u64,
+        base: Option<u64>,
+        rollout: &Option<SavedRollout>,
+    ) -> Result<(), Trouble> {
         let current = format!("version/{epoch:016x}/");
         let old: Vec<String> =
             self.0.keys("version/")?.into_iter().filter(|k| !k.starts_with(&current)).collect();
--- a/crates/store/tests/crashes.rs
+++ b/crates/store/tests/crashes.rs
@@ -4,12 +4,12 @@
 use std::sync::{Arc, Mutex};
 
 use doorgrade_store::{FrontStore, Records, ServiceStore, Trouble};
-use doorgrade_versions::Id;
+use doorgrade_versions::VersionId;
 use doorgrade_versions::seal::Seal;
 use doorgrade_versions::service::Version;
 use redb::StorageBackend;
 
-const SEAL: Seal = Seal { key: 1, code: [5; 32] };
+const SEAL: Seal = Seal { key: 1, mac: [5; 32] };
 
 #[derive(Clone, Debug)]
 enum Op {
@@ -108,7 +108,7 @@
     let disk = Disk::default();
     let store = FrontStore::new(Records::on(disk.clone()).unwrap());
     let (one, two) = (content("one"), content("two"));
-    let (id_one, id_two) = (Id::of(1, 1, &one), Id::of(1, 2, &two));
+    let (id_one, id_two) = (VersionId::of(1, 1, &one), VersionId::of(1, 2, &two));
     store.keep(id_one, SEAL, &one).unwrap();
     let start = disk.bytes.lock().unwrap().clone();
     disk.ops.lock().unwrap().clear();
@@ -124,7 +124,7 @@
                 let records = Records::on(Disk::with(bytes)).expect("it opens after any crash");
                 let (found, troubles) = FrontStore::new(records).load();
                 assert_eq!(troubles, []);
-                let (id, _, kept) = found.good.expect("a good version");
+                let (id, _, kept) = found.last_good.expect("a good version");
                 let state = match (id, found.staged) {
                     (id, None) if id == id_one => 0,
                     (id, Some((staged, 0))) if id == id_one && staged == id_two => 1,
@@ -144,7 +144,7 @@
     let disk = Disk::default();
     let store = FrontStore::new(Records::on(disk.clone()).unwrap());
     let one = content("one");
-    let id = Id::of(1, 1, &one);
+    let id = VersionId::of(1, 1, &one);
     store.keep(id, SEAL, &one).unwrap();
     drop(store);
     let sound = disk.bytes.lock().unwrap().clone();
@@ -163,9 +163,13 @@
         match Records::on(Disk::with(bytes)) {
             Err(_) => found_out += 1,
             Ok(records) => match FrontStore::new(records).load() {
-                (found, _) if found.good.is_none() => found_out += 1,
+                (found, _) if found.last_good.is_none() => found_out += 1,
                 (found, _) => {
-                    assert_eq!(found.good, Some((id, SEAL, one.clone())), "what is run is what was kept");
+                    assert_eq!(
+                        found.last_good,
+                        Some((id, SEAL, one.clone())),
+                        "what is run is what was kept"
+                    );
                     unharmed += 1;
                 }
             },
@@ -180,16 +184,16 @@
     let disk = Disk::default();
     let store = FrontStore::new(Records::on(disk.clone()).unwrap());
     let (one, two): (Arc<[u8]>, Arc<[u8]>) = (content("one"), vec![7; 4 << 20].into());
-    let (id_one, id_two) = (Id::of(1, 1, &one), Id::of(1, 2, &two));
+    let (id_one, id_two) = (VersionId::of(1, 1, &one), VersionId::of(1, 2, &two));
     store.keep(id_one, SEAL, &one).unwrap();
     *disk.full.lock().unwrap() = true;
     assert!(matches!(store.keep(id_two, SEAL, &two), Err(Trouble::Failed(_))));
     drop(store);
     *disk.full.lock().unwrap() = false;
     let again = FrontStore::new(Records::on(Disk::with(disk.bytes.lock().unwrap().clone())).unwrap());
-    assert_eq!(again.load().0.good, Some((id_one, SEAL, one)));
+    assert_eq!(again.load().0.last_good, Some((id_one, SEAL, one)));
     again.keep(id_two, SEAL, &two).unwrap();
-    assert_eq!(again.load().0.good, Some((id_two, SEAL, two)));
+    assert_eq!(again.load().0.last_good, Some((id_two, SEAL, two)));
 }
 
 /// The store's own code takes nothing more after one failed write or sync, until it is opened anew.
@@ -199,17 +203,17 @@
     let of = disk.clone();
     let store = FrontStore::new(Records::reopening(move || Ok(of.clone())).unwrap());
     let (one, two) = (content("one"), content("two"));
-    let (id_one, id_two) = (Id::of(1, 1, &one), Id::of(1, 2, &two));
+    let (id_one, id_two) = (VersionId::of(1, 1, &one), VersionId::of(1, 2, &two));
     store.keep(id_one, SEAL, &one).unwrap();
     for round in 0..3 {
         *disk.full.lock().unwrap() = true;
         assert!(matches!(store.keep(id_two, SEAL, &two), Err(Trouble::Failed(_))), "{round}");
         assert!(matches!(store.keep(id_two, SEAL, &two), Err(Trouble::Failed(_))), "{round}: tried again");
         *disk.full.lock().unwrap() = false;
-        assert_eq!(store.load().0.good, Some((id_one, SEAL, one.clone())), "{round}");
+        assert_eq!(store.load().0.last_good, Some((id_one, SEAL, one.clone())), "{round}");
     }
     store.keep(id_two, SEAL, &two).unwrap();
-    assert_eq!(store.load().0.good, Some((id_two, SEAL, two)));
+    assert_eq!(store.load().0.last_good, Some((id_two, SEAL, two)));
 }
 
 #[test]
@@ -223,10 +227,10 @@
     assert!(aside.exists());
     let store = FrontStore::new(records);
     let one = content("one");
-    store.keep(Id::of(1, 1, &one), SEAL, &one).unwrap();
+    store.keep(VersionId::of(1, 1, &one), SEAL, &one).unwrap();
     drop(store);
     let (records, trouble) = Records::open(&path).unwrap();
-    assert!(trouble.is_none() && FrontStore::new(records).load().0.good.is_some());
+    assert!(trouble.is_none() && FrontStore::new(records).load().0.last_good.is_some());
     std::fs::remove_dir_all(folder).unwrap();
 }
 
@@ -237,7 +241,7 @@
     assert_eq!(store.load().0.epoch, 0, "nothing yet");
     let version = |epoch, number| {
         let text = content(&format!("{epoch} {number}"));
-        Version { id: Id::of(epoch, number, &text), content: text, note: "n".into(), at: 5 }
+        Version { id: VersionId::of(epoch, number, &text), content: text, note: "n".into(), published_at: 5 }
     };
     for number in 1..4 {
         store.put(&version(7, number)).unwrap();
--- a/crates/store/tests/formats.rs
+++ b/crates/store/tests/formats.rs
@@ -4,8 +4,8 @@
 use std::path::PathBuf;
 
 use doorgrade_store::{Records, ServiceStore, Trouble};
-use doorgrade_versions::service::{Saved, SavedTrials, Stop};
-use doorgrade_versions::{Id, Reason};
+use doorgrade_versions::service::{SavedRollout, SavedTrials, StopReason};
+use doorgrade_versions::{RejectionReason, VersionId};
 use redb::{Database, ReadableDatabase, TableDefinition};
 
 const RECORDS: TableDefinition<'_, &str, &[u8]> = TableDefinition::new("records");
@@ -62,11 +62,15 @@
     assert_eq!((found.epoch, found.base), (EPOCH, Some(1)));
     let contents: Vec<&[u8]> = found.versions.iter().map(|v| &*v.content).collect();
     assert_eq!(contents, [&b"log { level = \"info\" }\n"[..], b"log { level = \"warn\" }\n"]);
-    let saved = Saved {
-        id: Id::of(EPOCH, 2, contents[1]),
+    let saved = SavedRollout {
+        id: VersionId::of(EPOCH, 2, contents[1]),
         wave: 1,
         canaries: ["n1".into(), "n2".into()].into(),
-        stopped: Some(Stop::Refused { count: 1, of: 2, first: Reason::NeedsRestart("hierarchy".into()) }),
+        stopped: Some(StopReason::Rejected {
+            count: 1,
+            of: 2,
+            first: RejectionReason::NeedsRestart("hierarchy".into()),
+        }),
     };
     assert_eq!(found.rollout, Some(saved));
     std::fs::remove_file(path).unwrap();
--- a/crates/stream/src/follow.rs
+++ b/crates/stream/src/follow.rs
@@ -10,10 +10,10 @@
 use doorgrade_keys::rustls::ClientConfig;
 use doorgrade_keys::rustls::pki_types::ServerName;
 use doorgrade_trust::pace;
-use doorgrade_versions::front::{Content, Effect, Front, Line};
+use doorgrade_versions::front::{Content, Effect, Front, LogEvent};
 use doorgrade_versions::message::{ToFront, ToService};
 use doorgrade_versions::seal::{Keys, Seal};
-use doorgrade_versions::{Id, Reason, Ticks};
+use doorgrade_versions::{RejectionReason, Ticks, VersionId};
 use tokio::io::{ReadHalf, WriteHalf};
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
@@ -39,14 +39,18 @@
 /// What runs the versions.
 pub trait Host {
     /// Whether a content can be used, and would do no harm.
-    fn check(&mut self, id: &Id, content: &Content) -> Result<(), Reason>;
+    fn check(&mut self, id: &VersionId, content: &Content) -> Result<(), RejectionReason>;
     /// Brings it into use, whole or not at all.
-    fn apply(&mut self, id: &Id, content: &Content) -> impl Future<Output = Result<(), Reason>>;
+    fn apply(
+        &mut self,
+        id: &VersionId,
+        content: &Content,
+    ) -> impl Future<Output = Result<(), RejectionReason>>;
     /// Whether it was stored.
-    fn stage(&mut self, id: Id, falls: u32) -> bool;
-    fn keep(&mut self, id: Id, seal: Seal, content: &Content) -> bool;
+    fn stage(&mut self, id: VersionId, falls: u32) -> bool;
+    fn keep(&mut self, id: VersionId, seal: Seal, content: &Content) -> bool;
     fn unstage(&mut self);
-    fn tell(&mut self, line: Line);
+    fn tell(&mut self, line: LogEvent);
     /// What share of the benefit asked for it had within the soft limit since the last call; none where nothing was asked.
     fn serves(&mut self) -> Option<f32>;
     /// What it has served since it started; asked for only where the service judges versions by it.
@@ -146,8 +150,8 @@
         (Follow { host, front, to, tls, next, link, connecting, wake, report, sent: 0, connections: 0 }, out)
     }
 
-    pub fn runs(&self) -> Option<Id> {
-        self.front.runs()
+    pub fn runs(&self) -> Option<VersionId> {
+        self.front.running()
     }
 
     /// Until it is told to stop, or whoever could tell it is gone.
@@ -175,7 +179,7 @@
                         Ok(link) => {
                             self.link = Some(link);
                             self.connections += 1;
-                            self.front.up(now(), &mut out);
+                            self.front.on_connected(now(), &mut out);
                         }
                         Err((at, why)) => self.lost(at, &why, &mut out),
                     }
@@ -186,7 +190,7 @@
                         None => pending().await,
                     }
                 } => match read {
-                    Ok(message) => self.front.heard(now(), message, &mut out),
+                    Ok(message) => self.front.on_message(now(), message, &mut out),
                     Err(why) => self.cut(&why, &mut out),
                 },
                 () = async {
@@ -198,7 +202,7 @@
                     // Timers may be a little early by the system's clock, which may also have been set back.
                     if wake.is_some_and(|at| now() >= at) {
                         self.wake = None;
-                        self.front.due(now(), &mut out);
+                        self.front.on_timer(now(), &mut out);
                     }
                 }
                 () = async {
@@ -212,7 +216,7 @@
                 }
                 _ = serves.tick() => {
                     if let Some(share) = self.host.serves() {
-                        self.front.serves(share, &mut out);
+                        self.front.report_service_level(share, &mut out);
                     }
                 }
             }
@@ -227,7 +231,7 @@
         // Another place is tried next.
         self.next = self.next.wrapping_add(1);
         self.host.lost(at, why);
-        self.front.down(now(), out);
+        self.front.on_disconnected(now(), out);
     }
 
     fn cut(&mut self, why: &Ended, out: &mut Vec<Effect>) {
@@ -263,24 +267,24 @@
                     Effect::Send(message) => self.send(&message, &mut out).await,
                     Effect::Check(id, content) => {
                         let result = self.host.check(&id, &content);
-                        self.front.checked(now(), id, result, &mut out);
+                        self.front.on_checked(now(), id, result, &mut out);
                     }
-                    Effect::Stage { id, falls } => {
+                    Effect::Stage { id, crashes: falls } => {
                         self.host.stage(id, falls);
-                        self.front.staged(now(), id, &mut out);
+                        self.front.on_staged(now(), id, &mut out);
                     }
                     Effect::Apply(id, content) => {
                         let result = self.host.apply(&id, &content).await;
-                        self.front.applied(now(), id, result, &mut out);
+                        self.front.on_applied(now(), id, result, &mut out);
                     }
-                    Effect::Keep(id, seal, content) => {
+                    Effect::Store(id, seal, content) => {
                         let stored = self.host.keep(id, seal, &content);
-                        self.front.kept(now(), id, stored, &mut out);
+                        self.front.on_stored(now(), id, stored, &mut out);
                     }
                     Effect::Unstage => self.host.unstage(),
-                    Effect::Wake(at) => self.wake = Some(self.wake.map_or(at, |w| w.min(at))),
-                    Effect::Tell(line) => self.host.tell(line),
-                    Effect::Report { every } => self.report = every.map(ticks),
+                    Effect::SetTimer(at) => self.wake = Some(self.wake.map_or(at, |w| w.min(at))),
+                    Effect::Log(line) => self.host.tell(line),
+                    Effect::SetReportInterval { interval: every } => self.report = every.map(ticks),
                 }
             }
             todo = out;
--- a/crates/stream/src/lib.rs
+++ b/crates/stream/src/lib.rs
@@ -12,7 +12,7 @@
 pub mod frame;
 pub mod wire;
 
-use doorgrade_versions::MOST_CONTENT;
+use doorgrade_versions::MAX_CONTENT_BYTES;
 
 pub const FRONTS: &[u8] = b"doorgrade-versions/1";
 pub const OPERATORS: &[u8] = b"doorgrade-operators/1";
@@ -22,4 +22,4 @@
 /// The longest later word of a front: a refusal, with the reasons that a person is to read.
 pub const MOST_WORD: usize = 64 << 10;
 /// The longest message with a content in it; a change of one can be a little longer than the content it makes.
-pub const MOST_WITH_CONTENT: usize = MOST_CONTENT + (4 << 20);
+pub const MOST_WITH_CONTENT: usize = MAX_CONTENT_BYTES + (4 << 20);
--- a/crates/versions/src/evidence/boundary.rs
+++ b/crates/versions/src/evidence/boundary.rs
@@ -1,30 +1,33 @@
-//! How far an estimate may stray by chance, at whatever time it is looked at.
+//! Bounds how far an estimate may deviate by chance at any number of evaluations.
 
 use statrs::distribution::{ContinuousCDF, Normal, StudentsT};
 
 use super::group::Deviation;
 
-/// Settings outside are taken for the nearest of these.
-const PROBABILITIES: (f64, f64) = (1e-12, 0.5);
-const DROPS: (f64, f64) = (1e-4, 1.0);
+/// Settings are clamped to these ranges.
+const ALPHA_RANGE: (f64, f64) = (1e-12, 0.5);
+const TOLERATED_RANGE: (f64, f64) = (1e-4, 1.0);
 
-/// Robbins' normal-mixture boundary: under no drop, an estimate with information `i` (one over its variance) leaves
-/// `radius(i)` with probability `alpha` at most in all times together.
+/// Robbins' normal-mixture boundary: if there is no drop, an estimate with information `i` (one over its
+/// variance) ever exceeds `radius(i)` with probability `alpha` at most.
 pub(super) struct Boundary {
     alpha: f64,
-    /// Information at which the boundary is narrowest beside one for a single look.
+    /// Information at which the boundary is closest to the one for a single evaluation.
     prior: f64,
 }
 
 impl Boundary {
-    /// Narrowest where a drop of `tolerated` comes to be told from none.
+    /// Tightest where a drop of `tolerated` becomes distinguishable from none.
     pub fn new(alpha: f64, tolerated: f64) -> Boundary {
-        let alpha =
-            if alpha.is_finite() { alpha.clamp(PROBABILITIES.0, PROBABILITIES.1) } else { PROBABILITIES.0 };
-        let tolerated = if tolerated.is_finite() { tolerated.clamp(DROPS.0, DROPS.1) } else { DROPS.1 };
-        // Howard, Ramdas and others 2021, section 3.5: the prior for which the boundary at information `v` is least is
-        // v / (2 ln(1/alpha) + ln(1 + 2 ln(1/alpha))); `v` where the boundary itself is at `tolerated` is near
-        // that same divisor over tolerated squared. So:
+        let alpha = if alpha.is_finite() { alpha.clamp(ALPHA_RANGE.0, ALPHA_RANGE.1) } else { ALPHA_RANGE.0 };
+        let tolerated = if tolerated.is_finite() {
+            tolerated.clamp(TOLERATED_RANGE.0, TOLERATED_RANGE.1)
+        } else {
+            TOLERATED_RANGE.1
+        };
+        // Howard, Ramdas and others 2021, section 3.5: the prior that minimizes the boundary at information `v`
+        // is v / (2 ln(1/alpha) + ln(1 + 2 ln(1/alpha))). The `v` at which the boundary equals `tolerated` is
+        // close to that same divisor over `tolerated` squared, so the divisor cancels.
         Boundary { alpha, prior: 1.0 / (tolerated * tolerated) }
     }
 
@@ -33,14 +36,16 @@
         (sum * (sum / self.prior / (self.alpha * self.alpha)).ln()).sqrt() / information
     }
 
-    /// Factor by which fronts vary more than by chance alone; none if there are too few to tell. As large as
-    /// it may be by chance: as much as Student's quantile is over the normal one, squared.
-    pub fn dispersion(&self, of: Deviation) -> Option<f64> {
-        if of.freedom == 0 {
+    /// Factor by which fronts vary more than by chance alone, or `None` if there are too few fronts. It is an
+    /// upper estimate: scaled by the squared ratio of Student's quantile to the normal one.
+    pub fn dispersion(&self, deviation: Deviation) -> Option<f64> {
+        if deviation.degrees_of_freedom == 0 {
             return None;
         }
-        let student = StudentsT::new(0.0, 1.0, of.freedom as f64).ok()?.inverse_cdf(1.0 - self.alpha);
+        let student =
+            StudentsT::new(0.0, 1.0, deviation.degrees_of_freedom as f64).ok()?.inverse_cdf(1.0 - self.alpha);
         let normal = Normal::standard().inverse_cdf(1.0 - self.alpha);
-        Some((of.squares / of.freedom as f64 * (student / normal).powi(2)).max(1.0)).filter(|d| d.is_finite())
+        Some((deviation.squares / deviation.degrees_of_freedom as f64 * (student / normal).powi(2)).max(1.0))
+            .filter(|d| d.is_finite())
     }
 }
--- a/crates/versions/src/front.rs
+++ b/crates/versions/src/front.rs
@@ -1,9 +1,11 @@
-//! A front's side: offered, fetched, checked, staged, applied, confirmed or turned down.
+//! A front's side of configuration distribution: a version is offered, fetched, checked, staged, applied and
+//! then confirmed or rejected.
 //!
-//! The shell hands in what happens and does what [`Effect`] says. At any time the front runs what was applied last;
-//! what it says that it runs is that. A version is staged, with a count, before it is applied, and good once it
-//! was: a front that goes down while applying finds it staged at its next start, runs the last good one, and after
-//! `MOST_FALLS` such starts turns the version down by itself. That a store fails stops nothing but storing.
+//! The caller passes in events and executes the returned [`Effect`]s. The front always runs and reports the
+//! version that was applied last. A version is staged, with a crash counter, before it is applied, and is good
+//! once it was applied. A front that crashes while applying a version finds it staged at its next start and
+//! runs the last good one instead; after `MAX_CRASHES` such starts it rejects the version by itself. A failing
+//! store affects nothing but storing.
 
 mod candidate;
 mod types;
@@ -13,21 +15,21 @@
 use crate::delta;
 use crate::message::{Body, ToFront, ToService};
 use crate::seal::{Keys, Seal};
-use crate::{Id, MOST_CONTENT, Reason, Ticks};
+use crate::{MAX_CONTENT_BYTES, RejectionReason, Ticks, VersionId};
 
-use candidate::{Candidate, Step};
-pub use types::{Content, Effect, Found, Line};
+use candidate::{Candidate, CandidateState};
+pub use types::{Content, Effect, LogEvent, StoredState};
 
 #[derive(Clone, Debug)]
-enum Link {
-    /// Next try at the time.
-    Down {
-        at: Ticks,
+enum Connection {
+    /// Reconnects at `retry_at`.
+    Disconnected {
+        retry_at: Ticks,
     },
-    Trying,
-    Up {
-        heard: Ticks,
-        every: Ticks,
+    Connecting,
+    Connected {
+        last_received: Ticks,
+        heartbeat_interval: Ticks,
     },
 }
 
@@ -37,61 +39,64 @@
     station: Box<str>,
     keys: Keys,
     rng: Rng,
-    runs: Option<(Id, Seal, Content)>,
-    /// What it runs would be run again after a crash.
+    running: Option<(VersionId, Seal, Content)>,
+    /// Whether the running version is stored and would be run again after a crash.
     stored: bool,
     candidate: Option<Candidate>,
-    /// Offered while another was on its way.
-    next: Option<Id>,
-    /// Turned down lately, so that an offer repeated is not fetched again.
-    refused: Vec<(Id, Reason)>,
-    /// Found staged at the start: the version, and how often the front went down on it.
-    fell: Option<(Id, u32)>,
-    link: Link,
-    pause: Ticks,
-    /// Its moment within the longest pause is drawn.
-    placed: bool,
+    /// Offered while the candidate could not be replaced any more.
+    next: Option<VersionId>,
+    /// Recently rejected versions, so that a repeated offer is not fetched again.
+    rejected: Vec<(VersionId, RejectionReason)>,
+    /// The version that was found staged at the start, and how often the front crashed while applying it.
+    crashed: Option<(VersionId, u32)>,
+    connection: Connection,
+    backoff: Ticks,
+    /// Whether the random delay within the longest backoff has been drawn.
+    retry_spread: bool,
     silent_since: Option<Ticks>,
-    told_silent: bool,
-    /// The earliest time asked for that has not come.
-    wakes: Option<Ticks>,
-    /// How often the service wants to hear counts, on this connection.
-    report_every: Option<Ticks>,
-    /// Of the last report.
+    silence_logged: bool,
+    /// The earliest requested timer that has not fired.
+    timer_at: Option<Ticks>,
+    /// The report interval that the service requested on this connection.
+    report_interval: Option<Ticks>,
+    /// Sequence number of the last report.
     sequence: u64,
 }
 
-/// Twice is chance (a machine lost at the wrong moment), three times is the version.
-pub const MOST_FALLS: u32 = 2;
-/// Refusals remembered: a service offers one version at a time, and seldom a second before the first is withdrawn.
-const MOST_REFUSED: usize = 8;
-/// Pauses between tries, from half a second; the longest is some minutes' share of what a service lets in.
-const PAUSES: [Ticks; 2] = [5_000, 600_000];
-/// Silence for three times as long as the service promised to say something.
-const SILENCE: u64 = 3;
-/// A content that has not come in this time is asked for again; a connection that takes longer is no good.
-const CONTENT_WITHIN: Ticks = 300_000;
-/// A minute without word is worth a line.
-const TELL_SILENT: Ticks = 600_000;
-/// Reports go no more often, and no less: a quarter of a second is enough for a trial and costs some 500 bytes a second.
-pub const REPORT_EVERY: [Ticks; 2] = [2_500, 300_000];
+/// Starts with a version left staged after which it is rejected. One crash may be coincidence (a machine lost
+/// at the wrong moment); a second one is blamed on the version.
+pub const MAX_CRASHES: u32 = 2;
+/// A service offers one version at a time, and rarely a second one before the first is withdrawn.
+const MAX_REMEMBERED_REJECTIONS: usize = 8;
+/// Backoff between connection attempts: from half a second, doubling up to a minute. The longest one limits the
+/// rate at which a whole fleet returns to a service.
+const RETRY_BACKOFF: [Ticks; 2] = [5_000, 600_000];
+/// The connection is considered lost after this many heartbeat intervals without a message.
+const MISSED_HEARTBEATS: u64 = 3;
+/// A content that has not arrived in this time is requested again; a connection that needs longer is unusable.
+const FETCH_TIMEOUT: Ticks = 300_000;
+/// Silence of the service is logged after this time.
+const LOG_SILENCE_AFTER: Ticks = 600_000;
+/// Limits of the report interval. A quarter of a second is enough for a trial and costs about 500 bytes per
+/// second.
+pub const REPORT_INTERVAL: [Ticks; 2] = [2_500, 300_000];
 
 impl Front {
-    /// At the start: what the store had is run by the shell before anything else (it is checked as any version;
-    /// `usable` is what came of that).
+    /// Starts with what was found in the store. The caller checks the last good version as any other and runs
+    /// it before anything else; `usable` is the result of that check.
     pub fn start(
         now: Ticks,
         seed: u64,
         (name, station): (&str, &str),
         keys: Keys,
-        found: Found,
-        usable: Result<(), Reason>,
-        out: &mut Vec<Effect>,
+        stored: StoredState,
+        usable: Result<(), RejectionReason>,
+        effects: &mut Vec<Effect>,
     ) -> Front {
-        let runs = match usable {
-            Ok(()) => found.good,
-            Err(why) => {
-                out.push(Effect::Tell(Line::OwnFile(why)));
+        let running = match usable {
+            Ok(()) => stored.last_good,
+            Err(reason) => {
+                effects.push(Effect::Log(LogEvent::StoredVersionUnusable(reason)));
                 None
             }
         };
@@ -100,241 +105,258 @@
             station: station.into(),
             keys,
             rng: Rng::with_seed(seed),
-            stored: runs.is_some(),
-            runs,
+            stored: running.is_some(),
+            running,
             candidate: None,
             next: None,
-            refused: Vec::new(),
-            fell: None,
-            link: Link::Trying,
-            pause: PAUSES[0],
-            placed: false,
+            rejected: Vec::new(),
+            crashed: None,
+            connection: Connection::Connecting,
+            backoff: RETRY_BACKOFF[0],
+            retry_spread: false,
             silent_since: Some(now),
-            told_silent: false,
-            wakes: None,
-            report_every: None,
+            silence_logged: false,
+            timer_at: None,
+            report_interval: None,
             sequence: 0,
         };
-        if let Some((id, falls)) = found.staged {
-            let falls = falls + 1;
-            front.fell = Some((id, falls));
-            if falls >= MOST_FALLS {
-                front.remember(id, Reason::Fatal(falls));
-                out.push(Effect::Tell(Line::TurnedDown(id, Reason::Fatal(falls))));
+        if let Some((id, crashes)) = stored.staged {
+            let crashes = crashes + 1;
+            front.crashed = Some((id, crashes));
+            if crashes >= MAX_CRASHES {
+                front.remember_rejection(id, RejectionReason::CrashLoop(crashes));
+                effects.push(Effect::Log(LogEvent::Rejected(id, RejectionReason::CrashLoop(crashes))));
             }
         }
-        out.push(Effect::Connect);
+        effects.push(Effect::Connect);
         front
     }
 
-    pub fn runs(&self) -> Option<Id> {
-        self.runs.as_ref().map(|r| r.0)
+    pub fn running(&self) -> Option<VersionId> {
+        self.running.as_ref().map(|r| r.0)
     }
 
     pub fn set_keys(&mut self, keys: Keys) {
         self.keys = keys;
-        // What was not vouched for may be now.
-        self.refused.retain(|r| !matches!(r.1, Reason::Unsealed(_)));
+        // A seal that could not be verified may be valid with the new keys.
+        self.rejected.retain(|r| !matches!(r.1, RejectionReason::InvalidSeal(_)));
     }
 
-    // ---- the connection
+    // ---- connection
 
-    pub fn up(&mut self, now: Ticks, out: &mut Vec<Effect>) {
-        // Until it says how often it speaks, as long as a content may take.
-        self.link = Link::Up { heard: now, every: CONTENT_WITHIN / SILENCE };
-        let runs = self.runs.as_ref().map(|r| (r.0, r.1));
-        let hello = ToService::Hello { front: self.name.clone(), station: self.station.clone(), runs };
-        out.push(Effect::Send(hello));
-        self.wake(now + CONTENT_WITHIN, out);
+    pub fn on_connected(&mut self, now: Ticks, effects: &mut Vec<Effect>) {
+        // Until the service announces its heartbeat interval, it has as long as for a content.
+        self.connection = Connection::Connected {
+            last_received: now,
+            heartbeat_interval: FETCH_TIMEOUT / MISSED_HEARTBEATS,
+        };
+        let running = self.running.as_ref().map(|r| (r.0, r.1));
+        let hello = ToService::Hello { front: self.name.clone(), station: self.station.clone(), running };
+        effects.push(Effect::Send(hello));
+        self.set_timer(now + FETCH_TIMEOUT, effects);
     }
 
-    /// It is lost, or could not be made.
-    pub fn down(&mut self, now: Ticks, out: &mut Vec<Effect>) {
-        // They were cut off together. While pauses grow each doubles its own; at the longest it draws a moment within
-        // it once, and keeps to that: so whenever the service returns they come evenly over one pause.
-        let longest = PAUSES[1];
-        let after = match self.pause {
-            pause if pause < longest => pause / 2 + self.rng.u64(0..=pause),
-            _ if !std::mem::replace(&mut self.placed, true) => self.rng.u64(0..=longest),
+    /// The connection was lost or could not be established.
+    pub fn on_disconnected(&mut self, now: Ticks, effects: &mut Vec<Effect>) {
+        // All fronts may have lost the service together. While the backoff grows, it doubles with jitter. At
+        // the longest backoff a front draws a random delay within it once and then retries periodically, so
+        // that fronts return evenly spread over one backoff period whenever the service comes back.
+        let longest = RETRY_BACKOFF[1];
+        let delay = match self.backoff {
+            backoff if backoff < longest => backoff / 2 + self.rng.u64(0..=backoff),
+            _ if !std::mem::replace(&mut self.retry_spread, true) => self.rng.u64(0..=longest),
             _ => longest - longest / 40 + self.rng.u64(0..=longest / 20),
         };
-        let at = now + after;
-        self.pause = (2 * self.pause).min(longest);
-        self.part(now, at, out);
+        let retry_at = now + delay;
+        self.backoff = (2 * self.backoff).min(longest);
+        self.disconnect(now, retry_at, effects);
     }
 
-    fn part(&mut self, now: Ticks, at: Ticks, out: &mut Vec<Effect>) {
-        self.link = Link::Down { at };
+    fn disconnect(&mut self, now: Ticks, retry_at: Ticks, effects: &mut Vec<Effect>) {
+        self.connection = Connection::Disconnected { retry_at };
         self.silent_since.get_or_insert(now);
-        // What was on its way comes to nothing; what has come goes on without the service.
-        if matches!(self.candidate, Some(Candidate { step: Step::Asked { .. }, .. })) {
+        // A fetch in progress is dropped; a content that has arrived is processed without the service.
+        if matches!(self.candidate, Some(Candidate { state: CandidateState::Fetching { .. }, .. })) {
             self.candidate = None;
         }
         self.next = None;
-        if self.report_every.take().is_some() {
-            out.push(Effect::Report { every: None });
+        if self.report_interval.take().is_some() {
+            effects.push(Effect::SetReportInterval { interval: None });
         }
-        self.wake(at, out);
+        self.set_timer(retry_at, effects);
     }
 
-    fn wake(&mut self, at: Ticks, out: &mut Vec<Effect>) {
-        if self.wakes.is_none_or(|w| at < w) {
-            self.wakes = Some(at);
-            out.push(Effect::Wake(at));
+    fn set_timer(&mut self, at: Ticks, effects: &mut Vec<Effect>) {
+        if self.timer_at.is_none_or(|w| at < w) {
+            self.timer_at = Some(at);
+            effects.push(Effect::SetTimer(at));
         }
     }
 
-    pub fn due(&mut self, now: Ticks, out: &mut Vec<Effect>) {
-        if self.wakes.is_some_and(|w| w > now) {
+    pub fn on_timer(&mut self, now: Ticks, effects: &mut Vec<Effect>) {
+        if self.timer_at.is_some_and(|w| w > now) {
             return;
         }
-        self.wakes = None;
-        match self.link {
-            Link::Down { at } if now >= at => {
-                self.link = Link::Trying;
-                out.push(Effect::Connect);
+        self.timer_at = None;
+        match self.connection {
+            Connection::Disconnected { retry_at } if now >= retry_at => {
+                self.connection = Connection::Connecting;
+                effects.push(Effect::Connect);
+            }
+            Connection::Connected { last_received, heartbeat_interval }
+                if now >= last_received + MISSED_HEARTBEATS * heartbeat_interval =>
+            {
+                effects.push(Effect::Close);
+                self.on_disconnected(now, effects);
             }
-            Link::Up { heard, every } if now >= heard + SILENCE * every => {
-                out.push(Effect::Close);
-                self.down(now, out);
+            Connection::Connected { last_received, heartbeat_interval } => {
+                self.set_timer(last_received + MISSED_HEARTBEATS * heartbeat_interval, effects)
             }
-            Link::Up { heard, every } => self.wake(heard + SILENCE * every, out),
-            Link::Down { at } => self.wake(at, out),
-            Link::Trying => {}
+            Connection::Disconnected { retry_at } => self.set_timer(retry_at, effects),
+            Connection::Connecting => {}
         }
-        if let Some(Candidate { id, step: Step::Asked { tries }, since }) = &self.candidate {
-            let (id, tries, by) = (*id, tries + 1, since + CONTENT_WITHIN);
-            if now >= by {
-                self.ask(now, id, tries, out);
+        if let Some(Candidate { id, state: CandidateState::Fetching { attempts }, since }) = &self.candidate {
+            let (id, attempts, deadline) = (*id, attempts + 1, since + FETCH_TIMEOUT);
+            if now >= deadline {
+                self.fetch(now, id, attempts, effects);
             } else {
-                self.wake(by, out);
+                self.set_timer(deadline, effects);
             }
         }
-        if let Some(since) = self.silent_since.filter(|&s| now >= s + TELL_SILENT && !self.told_silent) {
-            self.told_silent = true;
-            out.push(Effect::Tell(Line::Silent(now - since)));
+        if let Some(since) =
+            self.silent_since.filter(|&since| now >= since + LOG_SILENCE_AFTER && !self.silence_logged)
+        {
+            self.silence_logged = true;
+            effects.push(Effect::Log(LogEvent::ServiceSilent(now - since)));
         }
     }
 
-    // ---- what the service says
+    // ---- messages from the service
 
-    pub fn heard(&mut self, now: Ticks, message: ToFront, out: &mut Vec<Effect>) {
-        let Link::Up { heard, every } = &mut self.link else { return };
-        *heard = now;
-        if let ToFront::Welcome { every: told } = &message {
-            *every = (*told).clamp(1_000, CONTENT_WITHIN);
-            let at = now + SILENCE * *every;
-            self.wake(at, out);
+    pub fn on_message(&mut self, now: Ticks, message: ToFront, effects: &mut Vec<Effect>) {
+        let Connection::Connected { last_received, heartbeat_interval } = &mut self.connection else {
+            return;
+        };
+        *last_received = now;
+        if let ToFront::Welcome { heartbeat_interval: promised } = &message {
+            *heartbeat_interval = (*promised).clamp(1_000, FETCH_TIMEOUT);
+            let at = now + MISSED_HEARTBEATS * *heartbeat_interval;
+            self.set_timer(at, effects);
         }
-        if !matches!(message, ToFront::Later { .. }) {
-            (self.pause, self.placed) = (PAUSES[0], false);
+        if !matches!(message, ToFront::RetryLater { .. }) {
+            (self.backoff, self.retry_spread) = (RETRY_BACKOFF[0], false);
             self.silent_since = None;
-            if std::mem::take(&mut self.told_silent) {
-                out.push(Effect::Tell(Line::Back));
+            if std::mem::take(&mut self.silence_logged) {
+                effects.push(Effect::Log(LogEvent::ServiceBack));
             }
         }
         match message {
-            ToFront::Welcome { .. } | ToFront::Alive => {}
-            ToFront::ReportEvery { millis } => {
-                self.report_every = Some(millis.saturating_mul(10).clamp(REPORT_EVERY[0], REPORT_EVERY[1]));
-                out.push(Effect::Report { every: self.report_every });
+            ToFront::Welcome { .. } | ToFront::Heartbeat => {}
+            ToFront::SetReportInterval { millis } => {
+                self.report_interval =
+                    Some(millis.saturating_mul(10).clamp(REPORT_INTERVAL[0], REPORT_INTERVAL[1]));
+                effects.push(Effect::SetReportInterval { interval: self.report_interval });
             }
-            ToFront::Later { after } => {
-                out.push(Effect::Close);
-                // As told, and a little more: nobody before its turn.
-                let after = after.min(10 * PAUSES[1]);
-                let at = now + after + self.rng.u64(0..=500);
-                self.part(now, at, out);
+            ToFront::RetryLater { delay } => {
+                effects.push(Effect::Close);
+                // Adds a little jitter to the requested delay, so that no front returns before its turn.
+                let delay = delay.min(10 * RETRY_BACKOFF[1]);
+                let retry_at = now + delay + self.rng.u64(0..=500);
+                self.disconnect(now, retry_at, effects);
             }
-            ToFront::Offer { id } => self.offered(now, id, out),
+            ToFront::Offer { id } => self.on_offer(now, id, effects),
             ToFront::Content { id, seal, body } => {
-                let asked = |c: &Candidate| c.id == id && matches!(c.step, Step::Asked { .. });
-                if !self.candidate.as_ref().is_some_and(asked) {
+                let fetching =
+                    |c: &Candidate| c.id == id && matches!(c.state, CandidateState::Fetching { .. });
+                if !self.candidate.as_ref().is_some_and(fetching) {
                     return;
                 }
-                if !self.keys.good(&id, &seal) {
-                    return self.turn_down(now, id, Reason::Unsealed(seal.key), out);
+                if !self.keys.verify(&id, &seal) {
+                    return self.reject(now, id, RejectionReason::InvalidSeal(seal.key), effects);
                 }
-                self.came(now, id, seal, body, out);
+                self.on_content(now, id, seal, body, effects);
             }
         }
     }
 
-    fn offered(&mut self, now: Ticks, id: Id, out: &mut Vec<Effect>) {
-        if let Some((runs, ..)) = &self.runs {
-            if *runs == id {
-                return out.push(Effect::Send(ToService::Runs { id, stored: self.stored }));
+    fn on_offer(&mut self, now: Ticks, id: VersionId, effects: &mut Vec<Effect>) {
+        if let Some((running, ..)) = &self.running {
+            if *running == id {
+                return effects.push(Effect::Send(ToService::Running { id, stored: self.stored }));
             }
-            if id.place() <= runs.place() {
-                let same = id.place() == runs.place();
-                let why = if same { Reason::Contradicts } else { Reason::Older };
-                out.push(Effect::Tell(Line::TurnedDown(id, why.clone())));
-                return out.push(Effect::Send(ToService::TurnedDown { id, why }));
+            if id.position() <= running.position() {
+                let same = id.position() == running.position();
+                let reason =
+                    if same { RejectionReason::ConflictingContent } else { RejectionReason::Outdated };
+                effects.push(Effect::Log(LogEvent::Rejected(id, reason.clone())));
+                return effects.push(Effect::Send(ToService::Rejected { id, reason }));
             }
         }
-        if let Some((_, why)) = self.refused.iter().find(|r| r.0 == id) {
-            return out.push(Effect::Send(ToService::TurnedDown { id, why: why.clone() }));
+        if let Some((_, reason)) = self.rejected.iter().find(|r| r.0 == id) {
+            return effects.push(Effect::Send(ToService::Rejected { id, reason: reason.clone() }));
         }
         match &self.candidate {
             Some(c) if c.id == id => {}
-            // One that is being applied can't be stopped; the later of those that wait comes after it.
-            Some(c) if !matches!(c.step, Step::Asked { .. }) => {
-                if self.next.is_none_or(|n| n.place() < id.place()) {
+            // A version that is past fetching is not interrupted; the latest one offered meanwhile comes next.
+            Some(c) if !matches!(c.state, CandidateState::Fetching { .. }) => {
+                if self.next.is_none_or(|n| n.position() < id.position()) {
                     self.next = Some(id);
                 }
             }
-            Some(c) if id.place() < c.id.place() => {}
-            _ => self.ask(now, id, 0, out),
+            Some(c) if id.position() < c.id.position() => {}
+            _ => self.fetch(now, id, 0, effects),
         }
     }
 
-    fn ask(&mut self, now: Ticks, id: Id, tries: u32, out: &mut Vec<Effect>) {
-        self.candidate = Some(Candidate { id, step: Step::Asked { tries }, since: now });
-        // A delta that did not fit once is not asked for again.
-        let base = self.runs().filter(|_| tries == 0);
-        out.push(Effect::Send(ToService::Ask { id, base }));
-        self.wake(now + CONTENT_WITHIN, out);
+    fn fetch(&mut self, now: Ticks, id: VersionId, attempts: u32, effects: &mut Vec<Effect>) {
+        self.candidate = Some(Candidate { id, state: CandidateState::Fetching { attempts }, since: now });
+        // If a delta did not fit, the full content is requested.
+        let base = self.running().filter(|_| attempts == 0);
+        effects.push(Effect::Send(ToService::Fetch { id, base }));
+        self.set_timer(now + FETCH_TIMEOUT, effects);
     }
 
-    fn came(&mut self, now: Ticks, id: Id, seal: Seal, body: Body, out: &mut Vec<Effect>) {
-        let whole = matches!(body, Body::Whole(_));
+    fn on_content(&mut self, now: Ticks, id: VersionId, seal: Seal, body: Body, effects: &mut Vec<Effect>) {
+        let whole = matches!(body, Body::Full(_));
         let content: Option<Content> = match body {
-            Body::Whole(content) => Some(content),
-            Body::Delta(steps) => self.runs.as_ref().and_then(|r| delta::apply(&r.2, &steps)).map(Into::into),
+            Body::Full(content) => Some(content),
+            Body::Delta(steps) => {
+                self.running.as_ref().and_then(|r| delta::apply(&r.2, &steps)).map(Into::into)
+            }
         };
-        if let Some(long) = content.as_ref().map(|c| c.len()).filter(|&l| l > MOST_CONTENT) {
-            return self.turn_down(now, id, Reason::TooLong(long as u64), out);
+        if let Some(long) = content.as_ref().map(|c| c.len()).filter(|&l| l > MAX_CONTENT_BYTES) {
+            return self.reject(now, id, RejectionReason::TooLarge(long as u64), effects);
         }
         match content.filter(|c| *blake3::hash(c).as_bytes() == id.hash) {
             Some(content) => {
-                let step = Step::Checking(seal, content.clone());
-                self.candidate = Some(Candidate { id, step, since: now });
-                out.push(Effect::Check(id, content));
+                let state = CandidateState::Checking(seal, content.clone());
+                self.candidate = Some(Candidate { id, state, since: now });
+                effects.push(Effect::Check(id, content));
             }
-            // A delta may have been made against something else: then the whole of it is asked for.
-            None if !whole => self.ask(now, id, 1, out),
-            None => self.turn_down(now, id, Reason::Altered, out),
+            // The delta may have been made against another base: request the full content.
+            None if !whole => self.fetch(now, id, 1, effects),
+            None => self.reject(now, id, RejectionReason::HashMismatch, effects),
         }
     }
 
-    /// Counts since the process started: accesses that ended, and of those answered within the soft limit. Says nothing
-    /// where the service has not asked for it.
-    pub fn report(&mut self, asked: u64, answered: u64, out: &mut Vec<Effect>) {
-        if self.report_every.is_some() {
+    /// Reports counters since the process started: accesses that ended, and those of them that were answered
+    /// within the soft limit. Does nothing unless the service has requested reports.
+    pub fn report(&mut self, accesses: u64, answered: u64, effects: &mut Vec<Effect>) {
+        if self.report_interval.is_some() {
             self.sequence += 1;
-            let (running, sequence) = (self.runs(), self.sequence);
-            self.say(ToService::Report { running, asked, answered, sequence }, out);
+            let (running, sequence) = (self.running(), self.sequence);
+            self.send(ToService::Report { running, accesses, answered, sequence }, effects);
         }
     }
 
-    /// How it serves, from time to time.
-    pub fn serves(&mut self, share: f32, out: &mut Vec<Effect>) {
-        self.say(ToService::Serves { share }, out);
+    /// Reports the front's service level; called periodically.
+    pub fn report_service_level(&mut self, share: f32, effects: &mut Vec<Effect>) {
+        self.send(ToService::ServiceLevel { share }, effects);
     }
 
-    fn say(&mut self, message: ToService, out: &mut Vec<Effect>) {
-        if matches!(self.link, Link::Up { .. }) {
-            out.push(Effect::Send(message));
+    fn send(&mut self, message: ToService, effects: &mut Vec<Effect>) {
+        if matches!(self.connection, Connection::Connected { .. }) {
+            effects.push(Effect::Send(message));
         }
     }
 }
--- a/crates/versions/src/front/candidate.rs
+++ b/crates/versions/src/front/candidate.rs
@@ -1,111 +1,141 @@
-//! The version on its way to being what a front runs: checked, staged, applied, kept, or turned down.
+//! The version that a front is about to run: checked, staged, applied and stored, or rejected.
 
-use super::{Content, Effect, Front, Line, MOST_REFUSED};
+use super::{Content, Effect, Front, LogEvent, MAX_REMEMBERED_REJECTIONS};
 use crate::message::ToService;
 use crate::seal::Seal;
-use crate::{Id, Reason, Ticks};
+use crate::{RejectionReason, Ticks, VersionId};
 
-/// How far it has come.
+/// Progress of a candidate version.
 #[derive(Clone, Debug)]
-pub(super) enum Step {
-    Asked { tries: u32 },
+pub(super) enum CandidateState {
+    Fetching { attempts: u32 },
     Checking(Seal, Content),
     Staging(Seal, Content),
     Applying(Seal, Content),
-    Keeping,
+    Storing,
 }
 
-/// A version that was offered, and since when it stands at its step.
+/// A version that was offered, and since when it has been in its state.
 #[derive(Clone, Debug)]
 pub(super) struct Candidate {
-    pub id: Id,
-    pub step: Step,
+    pub id: VersionId,
+    pub state: CandidateState,
     pub since: Ticks,
 }
 
-/// What the shell answers.
+/// Results of effects.
 impl Front {
-    /// What the check came to; of a version that is no more the candidate it means nothing.
-    pub fn checked(&mut self, now: Ticks, id: Id, result: Result<(), Reason>, out: &mut Vec<Effect>) {
-        let Some((seal, content)) = self.at(id, |s| matches!(s, Step::Checking(..))) else { return };
-        if let Err(why) = result {
-            return self.turn_down(now, id, why, out);
+    /// The result of a check; ignored if the version is no longer the candidate.
+    pub fn on_checked(
+        &mut self,
+        now: Ticks,
+        id: VersionId,
+        result: Result<(), RejectionReason>,
+        effects: &mut Vec<Effect>,
+    ) {
+        let Some((seal, content)) =
+            self.content_at(id, |state| matches!(state, CandidateState::Checking(..)))
+        else {
+            return;
+        };
+        if let Err(reason) = result {
+            return self.reject(now, id, reason, effects);
         }
-        let falls = self.fell.filter(|f| f.0 == id).map_or(0, |f| f.1);
-        self.candidate = Some(Candidate { id, step: Step::Staging(seal, content), since: now });
-        out.push(Effect::Stage { id, falls });
+        let crashes = self.crashed.filter(|c| c.0 == id).map_or(0, |c| c.1);
+        self.candidate = Some(Candidate { id, state: CandidateState::Staging(seal, content), since: now });
+        effects.push(Effect::Stage { id, crashes });
     }
 
-    /// It is staged, or could not be: then a crash while it is applied is not counted.
-    pub fn staged(&mut self, now: Ticks, id: Id, out: &mut Vec<Effect>) {
-        let Some((seal, content)) = self.at(id, |s| matches!(s, Step::Staging(..))) else { return };
-        self.candidate = Some(Candidate { id, step: Step::Applying(seal, content.clone()), since: now });
-        out.push(Effect::Apply(id, content));
+    /// The version was staged, or staging failed: then a crash while it is applied is not counted.
+    pub fn on_staged(&mut self, now: Ticks, id: VersionId, effects: &mut Vec<Effect>) {
+        let Some((seal, content)) = self.content_at(id, |state| matches!(state, CandidateState::Staging(..)))
+        else {
+            return;
+        };
+        self.candidate =
+            Some(Candidate { id, state: CandidateState::Applying(seal, content.clone()), since: now });
+        effects.push(Effect::Apply(id, content));
     }
 
-    /// It is in use, or could not be taken.
-    pub fn applied(&mut self, now: Ticks, id: Id, result: Result<(), Reason>, out: &mut Vec<Effect>) {
-        let Some((seal, content)) = self.at(id, |s| matches!(s, Step::Applying(..))) else { return };
-        if let Err(why) = result {
-            return self.turn_down(now, id, why, out);
+    /// The version was applied, or could not be applied.
+    pub fn on_applied(
+        &mut self,
+        now: Ticks,
+        id: VersionId,
+        result: Result<(), RejectionReason>,
+        effects: &mut Vec<Effect>,
+    ) {
+        let Some((seal, content)) =
+            self.content_at(id, |state| matches!(state, CandidateState::Applying(..)))
+        else {
+            return;
+        };
+        if let Err(reason) = result {
+            return self.reject(now, id, reason, effects);
         }
-        self.runs = Some((id, seal, content.clone()));
+        self.running = Some((id, seal, content.clone()));
         self.stored = false;
-        self.fell = None;
-        self.candidate = Some(Candidate { id, step: Step::Keeping, since: now });
-        out.push(Effect::Tell(Line::Runs(id)));
-        out.push(Effect::Keep(id, seal, content));
+        self.crashed = None;
+        self.candidate = Some(Candidate { id, state: CandidateState::Storing, since: now });
+        effects.push(Effect::Log(LogEvent::Running(id)));
+        effects.push(Effect::Store(id, seal, content));
     }
 
-    /// It stands in the store, or could not be stored: then a restart begins with the one before.
-    pub fn kept(&mut self, now: Ticks, id: Id, stored: bool, out: &mut Vec<Effect>) {
-        if !matches!(&self.candidate, Some(c) if c.id == id && matches!(c.step, Step::Keeping)) {
+    /// The version was stored, or storing failed: then a restart begins with the previous one.
+    pub fn on_stored(&mut self, now: Ticks, id: VersionId, stored: bool, effects: &mut Vec<Effect>) {
+        if !matches!(&self.candidate, Some(c) if c.id == id && matches!(c.state, CandidateState::Storing)) {
             return;
         }
         self.stored = stored;
         if !stored {
-            out.push(Effect::Tell(Line::NotStored(id)));
+            effects.push(Effect::Log(LogEvent::NotStored(id)));
         }
-        self.say(ToService::Runs { id, stored }, out);
-        // Where it is counted what it serves with this version, from here on.
-        if self.report_every.is_some() {
-            out.push(Effect::Report { every: self.report_every });
+        self.send(ToService::Running { id, stored }, effects);
+        // Restarts the reports, so that accesses are counted for this version from here on.
+        if self.report_interval.is_some() {
+            effects.push(Effect::SetReportInterval { interval: self.report_interval });
         }
-        self.go_on(now, out);
+        self.next_candidate(now, effects);
     }
 
-    fn at(&self, id: Id, step: impl Fn(&Step) -> bool) -> Option<(Seal, Content)> {
-        let candidate = self.candidate.as_ref().filter(|c| c.id == id && step(&c.step))?;
-        match &candidate.step {
-            Step::Checking(seal, content) | Step::Staging(seal, content) | Step::Applying(seal, content) => {
-                Some((*seal, content.clone()))
-            }
-            Step::Asked { .. } | Step::Keeping => None,
+    fn content_at(&self, id: VersionId, state: impl Fn(&CandidateState) -> bool) -> Option<(Seal, Content)> {
+        let candidate = self.candidate.as_ref().filter(|c| c.id == id && state(&c.state))?;
+        match &candidate.state {
+            CandidateState::Checking(seal, content)
+            | CandidateState::Staging(seal, content)
+            | CandidateState::Applying(seal, content) => Some((*seal, content.clone())),
+            CandidateState::Fetching { .. } | CandidateState::Storing => None,
         }
     }
 
-    pub(super) fn turn_down(&mut self, now: Ticks, id: Id, why: Reason, out: &mut Vec<Effect>) {
-        let staged = matches!(&self.candidate, Some(c) if matches!(c.step, Step::Applying(..)));
+    pub(super) fn reject(
+        &mut self,
+        now: Ticks,
+        id: VersionId,
+        reason: RejectionReason,
+        effects: &mut Vec<Effect>,
+    ) {
+        let staged = matches!(&self.candidate, Some(c) if matches!(c.state, CandidateState::Applying(..)));
         if staged {
-            out.push(Effect::Unstage);
+            effects.push(Effect::Unstage);
         }
-        self.remember(id, why.clone());
-        out.push(Effect::Tell(Line::TurnedDown(id, why.clone())));
-        self.say(ToService::TurnedDown { id, why }, out);
-        self.go_on(now, out);
+        self.remember_rejection(id, reason.clone());
+        effects.push(Effect::Log(LogEvent::Rejected(id, reason.clone())));
+        self.send(ToService::Rejected { id, reason }, effects);
+        self.next_candidate(now, effects);
     }
 
-    pub(super) fn remember(&mut self, id: Id, why: Reason) {
-        if self.refused.len() == MOST_REFUSED {
-            self.refused.remove(0);
+    pub(super) fn remember_rejection(&mut self, id: VersionId, reason: RejectionReason) {
+        if self.rejected.len() == MAX_REMEMBERED_REJECTIONS {
+            self.rejected.remove(0);
         }
-        self.refused.push((id, why));
+        self.rejected.push((id, reason));
     }
 
-    pub(super) fn go_on(&mut self, now: Ticks, out: &mut Vec<Effect>) {
+    pub(super) fn next_candidate(&mut self, now: Ticks, effects: &mut Vec<Effect>) {
         self.candidate = None;
         if let Some(next) = self.next.take() {
-            self.offered(now, next, out);
+            self.on_offer(now, next, effects);
         }
     }
 }
--- a/crates/versions/src/front/types.rs
+++ b/crates/versions/src/front/types.rs
@@ -1,59 +1,62 @@
-//! What a front's side asks of its shell, and what it is handed at its start.
+//! What a front requests from its caller, and what it is given at its start.
 
 use std::sync::Arc;
 
 use crate::message::ToService;
 use crate::seal::Seal;
-use crate::{Id, Reason, Ticks};
+use crate::{RejectionReason, Ticks, VersionId};
 
-/// The bytes of a version.
+/// The content of a version.
 pub type Content = Arc<[u8]>;
 
-/// What the shell is to do.
+/// What the caller is to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     Connect,
     Close,
     Send(ToService),
-    /// Say whether it can be used, and why not: [`super::Front::checked`].
-    Check(Id, Content),
-    /// Answered by [`super::Front::staged`], whatever came of it. `falls`: how often the front went down on it.
+    /// Check whether the content is usable; the result goes to [`super::Front::on_checked`].
+    Check(VersionId, Content),
+    /// Followed by [`super::Front::on_staged`] whether or not it succeeded. `crashes`: how often the front
+    /// crashed while applying this version.
     Stage {
-        id: Id,
-        falls: u32,
+        id: VersionId,
+        crashes: u32,
     },
-    /// Answered by [`super::Front::applied`].
-    Apply(Id, Content),
-    /// Answered by [`super::Front::kept`], whatever came of it. What was staged is no more.
-    Keep(Id, Seal, Content),
-    /// Nothing is staged any more; unanswered.
+    /// Followed by [`super::Front::on_applied`].
+    Apply(VersionId, Content),
+    /// Store this version as the last good one and clear the staged one. Followed by
+    /// [`super::Front::on_stored`] whether or not it succeeded.
+    Store(VersionId, Seal, Content),
+    /// Clear the staged version; there is no result.
     Unstage,
-    /// Call [`super::Front::due`] then.
-    Wake(Ticks),
-    Tell(Line),
-    /// Call [`super::Front::report`] now and then each `every`, in place of what was asked before; none: no more.
-    Report {
-        every: Option<Ticks>,
+    /// Call [`super::Front::on_timer`] at this time.
+    SetTimer(Ticks),
+    Log(LogEvent),
+    /// Call [`super::Front::report`] now and then at this interval, replacing the previous one; `None`: stop.
+    SetReportInterval {
+        interval: Option<Ticks>,
     },
 }
 
-/// A line for the log.
+/// An event to be logged.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Line {
-    Runs(Id),
-    TurnedDown(Id, Reason),
-    /// The service says nothing, or can't be reached, since so long.
-    Silent(Ticks),
-    Back,
-    /// What was kept could not be used; it runs its own file.
-    OwnFile(Reason),
-    NotStored(Id),
+pub enum LogEvent {
+    Running(VersionId),
+    Rejected(VersionId, RejectionReason),
+    /// The service has been silent or unreachable for this long.
+    ServiceSilent(Ticks),
+    ServiceBack,
+    /// The stored version was unusable; the front runs its own configuration file.
+    StoredVersionUnusable(RejectionReason),
+    NotStored(VersionId),
 }
 
-/// What a start finds in the store.
+/// What a front finds in its store at the start.
 #[derive(Clone, Debug, Default)]
-pub struct Found {
-    pub good: Option<(Id, Seal, Content)>,
-    /// A version that was being applied when the front went down, and how often it was before.
-    pub staged: Option<(Id, u32)>,
+pub struct StoredState {
+    pub last_good: Option<(VersionId, Seal, Content)>,
+    /// A version that was being applied when the front went down, and how often the front had crashed on it
+    /// before.
+    pub staged: Option<(VersionId, u32)>,
 }
--- a/crates/versions/src/merge.rs
+++ b/crates/versions/src/merge.rs
@@ -1,6 +1,7 @@
-//! Contents joined line by line: a change laid on a content that has moved on, or taken out of a later one.
+//! Line-based merges: applying a change to a content that has been changed since, or reverting a change from a
+//! later content.
 //!
-//! Three-way as `diff3` does it; the same on every machine, in bounded time on whatever content.
+//! A three-way merge as in `diff3`. It is deterministic and takes bounded time for any content.
 
 mod hunks;
 
@@ -9,10 +10,10 @@
 
 use hunks::{Hunk, lines};
 
-/// Two changes at one place: neither can be laid on the other.
+/// Two changes overlap: neither can be merged with the other.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Conflict {
-    /// Lines of the base, counted from 1, that both change; empty where both insert before `start`.
+    /// 1-based lines of the base that both change; empty if both insert before `start`.
     pub lines: Range<usize>,
 }
 
@@ -23,31 +24,32 @@
         let Range { start, end } = self.lines;
         write!(
             f,
-            "two changes meet at lines {start} to {}: publish again from the newest content",
+            "two changes conflict at lines {start} to {}: publish again from the newest content",
             end.max(start + 1) - 1
         )
     }
 }
 
-/// Whether two hunks share lines of the base, or a place, or adjoin within one block. Where a block ends between them they
-/// don't: a member added after one that another change added is no part of that.
-fn meet(a: &Hunk, b: &Hunk, base: &[&[u8]]) -> bool {
-    let (first, second) = if place(a) <= place(b) { (a, b) } else { (b, a) };
-    if first.at.end != second.at.start || first.at.is_empty() && second.at.is_empty() {
-        return second.at.start <= first.at.end;
+/// Whether two hunks overlap, insert at the same position, or are adjacent within one block. Adjacent hunks
+/// don't conflict if a block ends between them: a member added after another change's new member is independent
+/// of it.
+fn overlap(a: &Hunk, b: &Hunk, base: &[&[u8]]) -> bool {
+    let (first, second) = if position(a) <= position(b) { (a, b) } else { (b, a) };
+    if first.range.end != second.range.start || first.range.is_empty() && second.range.is_empty() {
+        return second.range.start <= first.range.end;
     }
-    let between_blocks = first.at.end.checked_sub(1).is_none_or(|before| base[before].starts_with(b"}"));
+    let between_blocks = first.range.end.checked_sub(1).is_none_or(|before| base[before].starts_with(b"}"));
     !between_blocks
 }
 
-fn place(hunk: &Hunk) -> (usize, usize) {
-    (hunk.at.start, hunk.at.end)
+fn position(hunk: &Hunk) -> (usize, usize) {
+    (hunk.range.start, hunk.range.end)
 }
 
-/// The base with both changes.
+/// Applies both changes to the base.
 ///
 /// # Errors
-/// Where both change the same lines, or adjoining ones of one block, in different ways.
+/// If both change the same lines, or adjacent lines of one block, in different ways.
 pub fn merge(base: &[u8], ours: &[u8], theirs: &[u8]) -> Result<Vec<u8>, Conflict> {
     if ours == theirs || theirs == base {
         return Ok(ours.to_vec());
@@ -56,35 +58,44 @@
         return Ok(theirs.to_vec());
     }
     let (base, ours, theirs) = (lines(base), lines(ours), lines(theirs));
-    let mut a = hunks::between(&base, &ours).into_iter().peekable();
-    let mut b = hunks::between(&base, &theirs).into_iter().peekable();
-    let (mut out, mut done) = (Vec::new(), 0);
+    let mut ours_hunks = hunks::between(&base, &ours).into_iter().peekable();
+    let mut theirs_hunks = hunks::between(&base, &theirs).into_iter().peekable();
+    let (mut merged, mut copied) = (Vec::new(), 0);
     loop {
-        let next = match (a.peek(), b.peek()) {
-            (Some(x), Some(y)) if x.at == y.at && x.with == y.with => {
-                b.next();
-                a.next()
+        let next = match (ours_hunks.peek(), theirs_hunks.peek()) {
+            (Some(ours_hunk), Some(theirs_hunk))
+                if ours_hunk.range == theirs_hunk.range
+                    && ours_hunk.replacement == theirs_hunk.replacement =>
+            {
+                theirs_hunks.next();
+                ours_hunks.next()
             }
-            (Some(x), Some(y)) if meet(x, y, &base) => {
-                let lines = x.at.start.min(y.at.start) + 1..x.at.end.max(y.at.end) + 1;
+            (Some(ours_hunk), Some(theirs_hunk)) if overlap(ours_hunk, theirs_hunk, &base) => {
+                let lines = ours_hunk.range.start.min(theirs_hunk.range.start) + 1
+                    ..ours_hunk.range.end.max(theirs_hunk.range.end) + 1;
                 return Err(Conflict { lines });
             }
-            (Some(x), Some(y)) if place(x) < place(y) => a.next(),
-            (_, Some(_)) => b.next(),
-            _ => a.next(),
+            (Some(ours_hunk), Some(theirs_hunk)) if position(ours_hunk) < position(theirs_hunk) => {
+                ours_hunks.next()
+            }
+            (_, Some(_)) => theirs_hunks.next(),
+            _ => ours_hunks.next(),
         };
         let Some(hunk) = next else { break };
-        base[done..hunk.at.start].iter().chain(hunk.with).for_each(|line| out.extend_from_slice(line));
-        done = hunk.at.end;
+        base[copied..hunk.range.start]
+            .iter()
+            .chain(hunk.replacement)
+            .for_each(|line| merged.extend_from_slice(line));
+        copied = hunk.range.end;
     }
-    base[done..].iter().for_each(|line| out.extend_from_slice(line));
-    Ok(out)
+    base[copied..].iter().for_each(|line| merged.extend_from_slice(line));
+    Ok(merged)
 }
 
-/// `current` without the change that made `after` from `before`.
+/// Reverts the change from `before` to `after` in `current`.
 ///
 /// # Errors
-/// Where a later change builds on that one.
-pub fn take_out(before: &[u8], after: &[u8], current: &[u8]) -> Result<Vec<u8>, Conflict> {
+/// If a later change overlaps with that one.
+pub fn revert(before: &[u8], after: &[u8], current: &[u8]) -> Result<Vec<u8>, Conflict> {
     merge(after, current, before)
 }
--- a/crates/versions/src/message.rs
+++ b/crates/versions/src/message.rs
@@ -1,4 +1,4 @@
-//! What a front and the service say to each other. How it goes over a connection is the shells' matter.
+//! Messages between a front and the service. Transport and framing are up to the callers.
 
 use std::sync::Arc;
 
@@ -6,76 +6,78 @@
 
 use crate::delta::Delta;
 use crate::seal::Seal;
-use crate::{Id, Reason};
+use crate::{RejectionReason, VersionId};
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ToService {
-    /// The first word on a connection.
+    /// The first message on a connection.
     Hello {
         front: Box<str>,
         station: Box<str>,
-        /// With its seal, which proves it: a front can't make one.
-        runs: Option<(Id, Seal)>,
+        /// The seal proves the claim: a front can't make one.
+        running: Option<(VersionId, Seal)>,
     },
-    /// Asks for a version's content; as a delta if it has a base.
-    Ask {
-        id: Id,
-        base: Option<Id>,
+    /// Requests a version's content, as a delta if `base` is given.
+    Fetch {
+        id: VersionId,
+        base: Option<VersionId>,
     },
-    /// It runs this version; `stored`: and would after a crash.
-    Runs {
-        id: Id,
+    /// The front runs this version. `stored`: it would run it again after a crash.
+    Running {
+        id: VersionId,
         stored: bool,
     },
-    TurnedDown {
-        id: Id,
-        why: Reason,
+    Rejected {
+        id: VersionId,
+        reason: RejectionReason,
     },
-    /// What share of the benefit asked for it had within the soft limit, lately; also says that it lives.
-    Serves {
+    /// Share of the requested benefit that the front recently served within the soft limit. Also serves as a
+    /// keep-alive.
+    ServiceLevel {
         share: f32,
     },
-    /// Counts since the process started: accesses that ended, and of those answered within the soft limit. Sent only where
-    /// the service has asked for it (`ReportEvery`).
+    /// Counters since the process started: accesses that ended, and those of them that were answered within the
+    /// soft limit. Sent only when the service has requested it (`SetReportInterval`).
     Report {
-        /// What it runs at that moment.
-        running: Option<Id>,
-        asked: u64,
+        /// The version that the front runs when it reports.
+        running: Option<VersionId>,
+        accesses: u64,
         answered: u64,
-        /// Grows by one with each report of a process: one that is late or doubled is told by it.
+        /// Incremented with each report of a process, to detect late or duplicate reports.
         sequence: u64,
     },
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ToFront {
-    /// It is heard; something is said at least this often.
+    /// The front is admitted; the service sends a message at least this often.
     Welcome {
-        every: u64,
+        heartbeat_interval: u64,
     },
-    /// Too many come at once: come back after this time.
-    Later {
-        after: u64,
+    /// Too many fronts connect at once: reconnect after this time.
+    RetryLater {
+        delay: u64,
     },
     Offer {
-        id: Id,
+        id: VersionId,
     },
     Content {
-        id: Id,
+        id: VersionId,
         seal: Seal,
         body: Body,
     },
-    /// Nothing new.
-    Alive,
-    /// Report now and then this often, until the connection ends. The front keeps it within its own bounds.
-    ReportEvery {
+    /// Keep-alive.
+    Heartbeat,
+    /// Send a report now and then at this interval until the connection ends. The front clamps it to its own
+    /// limits.
+    SetReportInterval {
         millis: u64,
     },
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Body {
-    Whole(Arc<[u8]>),
-    /// Against the base that was asked for.
+    Full(Arc<[u8]>),
+    /// Against the base given in the request.
     Delta(Delta),
 }
--- a/crates/versions/src/seal.rs
+++ b/crates/versions/src/seal.rs
@@ -1,5 +1,6 @@
-//! Who vouches for a version: HMAC-SHA-256 over its place and the hash of its content, under a key with a number.
-//! While keys change hands, both the old and the new one are known. A relay in between has no key.
+//! Seals authenticate versions: HMAC-SHA-256 over a version's position and the hash of its content, with a
+//! numbered key. During a key rotation both the old and the new key are known. A relay between service and
+//! front has no key.
 
 use std::fmt;
 
@@ -7,32 +8,32 @@
 use serde::{Deserialize, Serialize};
 use sha2::Sha256;
 
-use crate::Id;
+use crate::VersionId;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Seal {
     pub key: u32,
-    pub code: [u8; 32],
+    pub mac: [u8; 32],
 }
 
-/// Keys by their numbers; the last one seals.
+/// Keys with their numbers; the last one is used to seal.
 #[derive(Clone, Default)]
 pub struct Keys(Vec<(u32, Vec<u8>)>);
 
 impl fmt::Debug for Keys {
-    /// Their numbers; the rest is nobody's to read.
+    /// Prints only the key numbers, never the secrets.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_list().entries(self.0.iter().map(|k| k.0)).finish()
     }
 }
 
-fn code(key: &[u8], id: &Id) -> Option<Hmac<Sha256>> {
-    let mut code = Hmac::<Sha256>::new_from_slice(key).ok()?;
-    code.update(b"doorgrade version 1");
-    code.update(&id.epoch.to_be_bytes());
-    code.update(&id.number.to_be_bytes());
-    code.update(&id.hash);
-    Some(code)
+fn mac(key: &[u8], id: &VersionId) -> Option<Hmac<Sha256>> {
+    let mut hmac = Hmac::<Sha256>::new_from_slice(key).ok()?;
+    hmac.update(b"doorgrade version 1");
+    hmac.update(&id.epoch.to_be_bytes());
+    hmac.update(&id.number.to_be_bytes());
+    hmac.update(&id.hash);
+    Some(hmac)
 }
 
 impl Keys {
@@ -44,15 +45,15 @@
         &self.0
     }
 
-    /// None without a key.
-    pub fn seal(&self, id: &Id) -> Option<Seal> {
+    /// `None` if there is no key.
+    pub fn seal(&self, id: &VersionId) -> Option<Seal> {
         let (key, secret) = self.0.last()?;
-        Some(Seal { key: *key, code: code(secret, id)?.finalize().into_bytes().into() })
+        Some(Seal { key: *key, mac: mac(secret, id)?.finalize().into_bytes().into() })
     }
 
-    /// Compared in constant time.
-    pub fn good(&self, id: &Id, seal: &Seal) -> bool {
+    /// Whether a known key made this seal; compares in constant time.
+    pub fn verify(&self, id: &VersionId, seal: &Seal) -> bool {
         let known = self.0.iter().filter(|k| k.0 == seal.key);
-        known.filter_map(|k| code(&k.1, id)).any(|c| c.verify_slice(&seal.code).is_ok())
+        known.filter_map(|k| mac(&k.1, id)).any(|mac| mac.verify_slice(&seal.mac).is_ok())
     }
 }
--- a/crates/versions/src/service.rs
+++ b/crates/versions/src/service.rs
@@ -1,19 +1,21 @@
-//! The service's side: what each front has, wants and said; publication in waves; who comes in, and when.
+//! The service's side of configuration distribution: the state of each front, rollout in waves, and admission
+//! of connecting fronts.
 //!
-//! **Who gets what.** Every front has a rank, the hash of its name. A publication goes to a few canaries of
-//! different stations first, then to a share of all ranks from a place that its number draws, then to all. A front
-//! is offered what it is its turn to have; one that runs something later is never offered anything older.
+//! **Targets.** Every front has a rank, the hash of its name. A publication goes to a few canaries of different
+//! stations first, then to growing shares of all ranks, starting at a rank derived from the version number,
+//! then to all. A front is offered its current target, and never an older version than it runs.
 //!
-//! **When it stops.** When refusals, missing answers or drops of service among those it went to pass a bound. Then
-//! nobody else is offered it; those that run it go on until a version with a new number is published to them, be
-//! it the content that was good before.
+//! **Stopping.** A rollout stops when rejections, missing responses or a drop of the service level among the
+//! fronts that were offered the version exceed a limit. Then it is offered to nobody else. Fronts that run it
+//! keep running it until a version with a new number is published to them, which may be the earlier good
+//! content.
 //!
-//! **Work.** A publication costs work for the fronts whose turn it is, and an answer for one front: all that is
-//! asked of many is kept as counts.
+//! **Cost.** A publication costs work only for the fronts of the current wave, and an event only for the front
+//! it is about. Everything about many fronts is kept as counters.
 
-mod ask;
 mod evidence;
 mod fronts;
+mod requests;
 mod status;
 mod types;
 mod waves;
@@ -22,100 +24,106 @@
 use std::sync::Arc;
 
 pub use crate::trial::{
-    ChangeRow, ChangeState, Harm, RolloutMode, SavedChange, SavedTrials, Stage, ThinTraffic, TrialRules,
+    ChangeRow, ChangeState, RemovalReason, RolloutMode, SavedChange, SavedTrials, Stage, ThinTraffic,
+    TrialRules,
 };
-pub use ask::{Answer, Ask, Denied, Filter, Past, Role, Row, Totals};
+pub use requests::{Denial, Filter, FrontRow, Request, Response, Role, Totals, VersionSummary};
 use rustc_hash::FxHashMap;
-pub use types::{Do, Found, Line, NotPublished, Progress, Rules, Saved, State, Status, Stop, Version};
+pub use types::{
+    Effect, FrontState, LogEvent, Progress, PublishError, Rules, SavedRollout, Status, StopReason,
+    StoredState, Version,
+};
 
 use crate::delta;
 use crate::message::ToFront;
 use crate::seal::Keys;
 use crate::trial::Trials;
-use crate::{Id, Reason, Ticks};
+use crate::{RejectionReason, Ticks, VersionId};
 
-pub type Conn = u64;
+pub type ConnectionId = u64;
 
 #[derive(Clone, Debug)]
 struct Front {
     name: Box<str>,
     station: Box<str>,
     rank: u64,
-    conn: Option<Conn>,
-    heard: Ticks,
-    runs: Option<Id>,
+    conn: Option<ConnectionId>,
+    last_seen: Ticks,
+    running: Option<VersionId>,
     stored: bool,
-    offered: Option<(Id, Ticks)>,
-    turned_down: Option<(Id, Reason)>,
-    /// How it counts in the tally of the publication of this number.
-    account: (u64, Account),
-    lies: bool,
-    /// What it serves counts in the tally of that publication.
+    offered: Option<(VersionId, Ticks)>,
+    rejected: Option<(VersionId, RejectionReason)>,
+    /// The number of a publication, and how the front counts in that publication's tally.
+    response: (u64, FrontResponse),
+    false_claim: bool,
+    /// Whether the front's service level is included in that tally.
     counted: bool,
-    /// The key that sealed what it runs, and what was sent to it last.
-    sealed: Option<u32>,
-    sent: Option<(Id, u32)>,
-    /// Benefit that it serves, an average; NaN until it has said so.
-    serves: f32,
+    /// Number of the key that sealed the running version; then the version that was sent last, with its key
+    /// number.
+    seal_key: Option<u32>,
+    sent: Option<(VersionId, u32)>,
+    /// Moving average of the share of requested benefit that the front serves; NaN until it has reported.
+    service_level: f32,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Account {
-    Apart,
-    Went,
-    Runs,
-    Refused,
-    Missing,
+enum FrontResponse {
+    NotOffered,
+    Offered,
+    Running,
+    Rejected,
+    TimedOut,
 }
 
 #[derive(Clone, Debug, Default)]
 struct Tally {
-    went: usize,
-    runs: usize,
-    refused: usize,
-    missing: usize,
-    first: Option<Reason>,
-    served: Served,
+    offered: usize,
+    running: usize,
+    rejected: usize,
+    timed_out: usize,
+    first_rejection: Option<RejectionReason>,
+    service: ServiceLevels,
 }
 
-/// How the fronts serve that a publication has gone to: their sum when it came to each, and now; and the sum of the
-/// mean service that all others had when it came to each, where that was known.
+/// Service levels of the fronts that a publication was offered to: their sums when each was offered it
+/// (`before`) and now; and the sum of the mean level of all other fronts at those moments (`others`), where it
+/// was known.
 #[derive(Clone, Debug, Default)]
-struct Served {
+struct ServiceLevels {
     before: f64,
-    now: f64,
+    current: f64,
     count: usize,
     others: f64,
-    beside: usize,
+    others_count: usize,
 }
 
 impl Tally {
-    fn count(&mut self, account: Account) -> Option<&mut usize> {
-        match account {
-            Account::Apart | Account::Went => None,
-            Account::Runs => Some(&mut self.runs),
-            Account::Refused => Some(&mut self.refused),
-            Account::Missing => Some(&mut self.missing),
+    fn count(&mut self, response: FrontResponse) -> Option<&mut usize> {
+        match response {
+            FrontResponse::NotOffered | FrontResponse::Offered => None,
+            FrontResponse::Running => Some(&mut self.running),
+            FrontResponse::Rejected => Some(&mut self.rejected),
+            FrontResponse::TimedOut => Some(&mut self.timed_out),
         }
     }
 }
 
 #[derive(Clone, Debug)]
 struct Rollout {
-    id: Id,
+    id: VersionId,
     wave: usize,
     since: Ticks,
-    /// Since when all of the wave have answered.
-    answered: Option<Ticks>,
+    /// Since when all fronts of the wave have responded.
+    answered_since: Option<Ticks>,
     tally: Tally,
     canaries: BTreeSet<Box<str>>,
-    stopped: Option<Stop>,
-    /// Since when the service of those it went to has been too low.
-    falling: Option<Ticks>,
+    stopped: Option<StopReason>,
+    /// Since when the service level of the fronts that were offered it has been too low.
+    dropping_since: Option<Ticks>,
 }
 
-/// A delta that was made, with the hashes it leads from and to.
-type Made = ([u8; 32], [u8; 32], Arc<Vec<delta::Step>>);
+/// A computed delta with the hashes of its old and new content.
+type CachedDelta = ([u8; 32], [u8; 32], Arc<Vec<delta::Op>>);
 
 #[derive(Clone, Debug)]
 pub struct Service {
@@ -123,35 +131,35 @@
     keys: Keys,
     epoch: u64,
     versions: BTreeMap<u64, Version>,
-    /// The version that all are to have, the rollout's apart.
+    /// The version that all fronts outside the rollout are to run.
     base: Option<u64>,
     rollout: Option<Rollout>,
     fronts: Vec<Front>,
     by_name: FxHashMap<Box<str>, usize>,
-    by_conn: FxHashMap<Conn, usize>,
+    by_conn: FxHashMap<ConnectionId, usize>,
     by_rank: BTreeMap<(u64, usize), ()>,
-    /// Connected fronts in the order in which they are due a word.
-    due: VecDeque<(Ticks, usize, Conn)>,
-    /// Offers that are to be answered by a time.
-    awaited: VecDeque<(Ticks, usize, Id)>,
-    /// When the next front may come in, and who was told when.
-    next_place: f64,
-    places: FxHashMap<Box<str>, Ticks>,
+    /// When the next heartbeat is due to each connected front, in order.
+    heartbeats: VecDeque<(Ticks, usize, ConnectionId)>,
+    /// Offers that are not answered yet, with their deadlines, in order.
+    pending_responses: VecDeque<(Ticks, usize, VersionId)>,
+    /// When the next front may be admitted, and when each delayed front was told to return.
+    next_admission: f64,
+    admissions: FxHashMap<Box<str>, Ticks>,
     superseded: Option<u64>,
-    /// Until when its store may be an older copy, of which it would hear.
-    listens: Option<Ticks>,
-    /// The first number that was published since its start.
-    first: u64,
-    /// The earliest time asked for that has not come: there is one timer, however much waits.
-    wakes: Option<Ticks>,
-    /// Deltas made lately, by what they lead from and to.
-    deltas: VecDeque<Made>,
-    /// The sum of what all fronts serve that have said so, and their count.
-    serves: (f64, usize),
-    /// Where rollouts are judged by evidence: all about them.
+    /// While set, the store may turn out to be an older copy: fronts that reconnect until then would reveal it.
+    recovering_until: Option<Ticks>,
+    /// The first number published since the start.
+    first_published: u64,
+    /// The earliest requested timer that has not fired; there is only one timer.
+    timer_at: Option<Ticks>,
+    /// Recently computed deltas, newest first.
+    deltas: VecDeque<CachedDelta>,
+    /// Sum and count of the service levels of all fronts that have reported one.
+    service_levels: (f64, usize),
+    /// Present if rollouts are judged by evidence.
     trials: Option<Trials>,
-    /// Numbers up to this were given out by a service that judged by evidence, whatever is kept of them.
-    spent: u64,
+    /// Numbers up to this one may have been issued by trials, whose contents are not all stored.
+    reserved: u64,
 }
 
 fn rank(name: &str) -> u64 {
@@ -159,64 +167,71 @@
     u64::from_le_bytes(*hash.as_bytes().first_chunk::<8>().unwrap_or(&[0; 8]))
 }
 
-/// Deltas kept: two publications back, for those who missed one.
-const MOST_DELTAS: usize = 8;
-/// ... and where trials overlap: two batches of nine arms, each from what is proven and from the one before, and back.
-const MOST_DELTAS_OF_TRIALS: usize = 64;
+/// Cached deltas: enough for two publications, for fronts that missed one.
+const MAX_DELTAS: usize = 8;
+/// With overlapping trials: two batches of nine arms, each against the proven content and the one before, in
+/// both directions.
+const MAX_DELTAS_OF_TRIALS: usize = 64;
 
 impl Service {
-    /// `found.epoch` 0: there was no store, and a new epoch is opened.
-    pub fn start(now: Ticks, rules: Rules, keys: Keys, found: Found, out: &mut Vec<Do>) -> Service {
-        let fresh = found.epoch == 0;
-        let listens = (!found.versions.is_empty()).then_some(now + rules.listen);
+    /// `stored.epoch` 0 means that there was no store: a new epoch is opened.
+    pub fn start(
+        now: Ticks,
+        rules: Rules,
+        keys: Keys,
+        stored: StoredState,
+        effects: &mut Vec<Effect>,
+    ) -> Service {
+        let fresh = stored.epoch == 0;
+        let recovering_until = (!stored.versions.is_empty()).then_some(now + rules.recovery_delay);
         let mut service = Service {
             rules,
             keys,
-            epoch: if fresh { now.max(1) } else { found.epoch },
-            versions: found.versions.into_iter().map(|v| (v.id.number, v)).collect(),
-            base: found.base,
+            epoch: if fresh { now.max(1) } else { stored.epoch },
+            versions: stored.versions.into_iter().map(|v| (v.id.number, v)).collect(),
+            base: stored.base,
             rollout: None,
             fronts: Vec::new(),
             by_name: FxHashMap::default(),
             by_conn: FxHashMap::default(),
             by_rank: BTreeMap::new(),
-            due: VecDeque::new(),
-            awaited: VecDeque::new(),
-            next_place: now as f64,
-            places: FxHashMap::default(),
+            heartbeats: VecDeque::new(),
+            pending_responses: VecDeque::new(),
+            next_admission: now as f64,
+            admissions: FxHashMap::default(),
             superseded: None,
-            listens,
-            first: u64::MAX,
-            wakes: None,
+            recovering_until,
+            first_published: u64::MAX,
+            timer_at: None,
             deltas: VecDeque::new(),
-            serves: (0.0, 0),
+            service_levels: (0.0, 0),
             trials: None,
-            spent: found.trials.as_ref().filter(|t| t.epoch == found.epoch).map_or(0, |t| t.reserved),
+            reserved: stored.trials.as_ref().filter(|t| t.epoch == stored.epoch).map_or(0, |t| t.reserved),
         };
         if let RolloutMode::Evidence(_) = service.rules.rollout {
-            service.start_trials(now, found.rollout, found.trials);
+            service.start_trials(now, stored.rollout, stored.trials);
         } else {
-            service.go_on(now, found.rollout);
+            service.restore_rollout(now, stored.rollout);
         }
         if fresh {
-            service.store_state(out);
+            service.store_state(effects);
         }
-        service.drain(now, out);
-        service.wake(now + service.rules.alive, out);
-        listens.into_iter().for_each(|at| service.wake(at, out));
+        service.apply_trial_effects(now, effects);
+        service.set_timer(now + service.rules.heartbeat_interval, effects);
+        recovering_until.into_iter().for_each(|at| service.set_timer(at, effects));
         service
     }
 
-    fn go_on(&mut self, now: Ticks, saved: Option<Saved>) {
+    fn restore_rollout(&mut self, now: Ticks, saved: Option<SavedRollout>) {
         self.rollout = saved.map(|saved| Rollout {
             id: saved.id,
             wave: saved.wave,
             since: now,
-            answered: None,
+            answered_since: None,
             tally: Tally::default(),
             canaries: saved.canaries,
             stopped: saved.stopped,
-            falling: None,
+            dropping_since: None,
         });
     }
 
@@ -224,11 +239,12 @@
         self.epoch
     }
 
-    /// The last number that was published; where rollouts are judged by evidence, that of the content with all changes.
+    /// The last published number; if rollouts are judged by evidence, the number of the content with all
+    /// changes.
     pub fn last(&self) -> u64 {
         match &self.trials {
             Some(trials) => trials.head(),
-            None => self.versions.last_key_value().map_or(0, |v| *v.0).max(self.spent),
+            None => self.versions.last_key_value().map_or(0, |v| *v.0).max(self.reserved),
         }
     }
 
@@ -240,49 +256,49 @@
         self.versions.values()
     }
 
-    fn store_state(&self, out: &mut Vec<Do>) {
+    fn store_state(&self, effects: &mut Vec<Effect>) {
         let rollout = self.rollout.as_ref();
-        let rollout = rollout.map(|r| Saved {
+        let rollout = rollout.map(|r| SavedRollout {
             id: r.id,
             wave: r.wave,
             canaries: r.canaries.clone(),
             stopped: r.stopped.clone(),
         });
-        out.push(Do::StoreState { epoch: self.epoch, base: self.base, rollout });
+        effects.push(Effect::StoreState { epoch: self.epoch, base: self.base, rollout });
     }
 
-    // ---- time
+    // ---- timers
 
-    fn wake(&mut self, at: Ticks, out: &mut Vec<Do>) {
-        if self.wakes.is_none_or(|w| at < w) {
-            self.wakes = Some(at);
-            out.push(Do::Wake(at));
+    fn set_timer(&mut self, at: Ticks, effects: &mut Vec<Effect>) {
+        if self.timer_at.is_none_or(|timer| at < timer) {
+            self.timer_at = Some(at);
+            effects.push(Effect::SetTimer(at));
         }
     }
 
-    pub fn due(&mut self, now: Ticks, out: &mut Vec<Do>) {
-        if self.wakes.is_some_and(|w| w > now) {
+    pub fn on_timer(&mut self, now: Ticks, effects: &mut Vec<Effect>) {
+        if self.timer_at.is_some_and(|timer| timer > now) {
             return;
         }
-        self.wakes = None;
-        if self.listens.is_some_and(|at| at <= now) {
-            self.listens = None;
-            (0..self.fronts.len()).for_each(|at| self.offer(now, at, out));
+        self.timer_at = None;
+        if self.recovering_until.is_some_and(|at| at <= now) {
+            self.recovering_until = None;
+            (0..self.fronts.len()).for_each(|index| self.offer(now, index, effects));
         }
-        while let Some(&(at, front, conn)) = self.due.front() {
+        while let Some(&(at, front, conn)) = self.heartbeats.front() {
             if at > now {
                 break;
             }
-            self.due.pop_front();
+            self.heartbeats.pop_front();
             if self.fronts[front].conn == Some(conn) {
-                out.push(Do::Send(conn, ToFront::Alive));
-                self.due.push_back((now + self.rules.alive, front, conn));
+                effects.push(Effect::Send(conn, ToFront::Heartbeat));
+                self.heartbeats.push_back((now + self.rules.heartbeat_interval, front, conn));
             }
         }
-        self.places.retain(|_, place| *place + 600_000 > now);
-        self.trials_due(now, out);
-        self.look(now, out);
-        self.wake(now + self.rules.alive / 4, out);
-        self.listens.into_iter().for_each(|at| self.wake(at, out));
+        self.admissions.retain(|_, admitted_at| *admitted_at + 600_000 > now);
+        self.trials_on_timer(now, effects);
+        self.evaluate_rollout(now, effects);
+        self.set_timer(now + self.rules.heartbeat_interval / 4, effects);
+        self.recovering_until.into_iter().for_each(|at| self.set_timer(at, effects));
     }
 }
