--- a/crates/versions/src/service/evidence.rs
+++ b/crates/versions/src/service/evidence.rs
@@ -1,29 +1,43 @@
-//! Rollouts judged by evidence: what happens goes to the trials, and what they want done is done.
+//! Connects the service to the trials: passes events to them and executes their effects.
 
 use std::sync::Arc;
 
-use super::{Answer, Do, NotPublished, RolloutMode, Saved, SavedChange, SavedTrials, Service, Ticks};
-use super::{Denied, Harm, Version};
+use super::{Denial, RemovalReason, Version};
+use super::{
+    Effect, PublishError, Response, RolloutMode, SavedChange, SavedRollout, SavedTrials, Service, Ticks,
+};
 use crate::message::ToFront;
-use crate::trial::{Step, Trials};
-use crate::{Id, delta};
+use crate::trial::{Effect as TrialEffect, Trials};
+use crate::{VersionId, delta};
 
-/// A front that says nothing for so many of its reports has been cut off, though nobody has heard of the end.
-const SILENCE: u64 = 3;
+/// A front that is silent for this many slow report intervals is treated as disconnected, even if its
+/// connection was not closed.
+const MISSED_REPORTS: u64 = 3;
 
 impl Service {
-    pub(super) fn start_trials(&mut self, now: Ticks, under_way: Option<Saved>, saved: Option<SavedTrials>) {
+    pub(super) fn start_trials(
+        &mut self,
+        now: Ticks,
+        under_way: Option<SavedRollout>,
+        saved: Option<SavedTrials>,
+    ) {
         let RolloutMode::Evidence(rules) = self.rules.rollout.clone() else { return };
         let newest = self.versions.last_key_value().map_or(0, |v| *v.0);
-        let saved = saved.or_else(|| self.under_way(under_way.filter(|r| r.stopped.is_none())));
-        let mut trials = Trials::new(rules, self.rules.drop, self.rules.refused, self.epoch, newest);
-        let tell_from = self.listens.unwrap_or(now);
-        trials.restore(tell_from, &self.versions, self.base, saved);
+        let saved = saved.or_else(|| self.rollout_as_trial(under_way.filter(|r| r.stopped.is_none())));
+        let mut trials = Trials::new(
+            rules,
+            self.rules.max_service_drop,
+            self.rules.max_rejected_share,
+            self.epoch,
+            newest,
+        );
+        let log_from = self.recovering_until.unwrap_or(now);
+        trials.restore(log_from, &self.versions, self.base, saved);
         self.trials = Some(trials);
     }
 
-    /// A publication that was under way in waves is tried anew.
-    fn under_way(&self, saved: Option<Saved>) -> Option<SavedTrials> {
+    /// A rollout that was in progress in waves becomes a trial.
+    fn rollout_as_trial(&self, saved: Option<SavedRollout>) -> Option<SavedTrials> {
         let number = saved?.id.number;
         let after = self.versions.get(&number)?;
         let before =
@@ -41,100 +55,109 @@
         })
     }
 
-    /// Something happens that the trials are to know of.
-    pub(super) fn on_trials(&mut self, now: Ticks, out: &mut Vec<Do>, event: impl FnOnce(&mut Trials)) {
+    /// Passes an event to the trials and executes the resulting effects.
+    pub(super) fn on_trials(
+        &mut self,
+        now: Ticks,
+        effects: &mut Vec<Effect>,
+        event: impl FnOnce(&mut Trials),
+    ) {
         if let Some(trials) = &mut self.trials {
             event(trials);
-            self.drain(now, out);
+            self.apply_trial_effects(now, effects);
         }
     }
 
-    pub(super) fn trial_came(&mut self, now: Ticks, at: usize, out: &mut Vec<Do>) {
-        let (station, runs) = (self.fronts[at].station.clone(), self.fronts[at].runs);
-        self.on_trials(now, out, |t| t.came(now, at, &station, runs));
+    pub(super) fn trial_connected(&mut self, now: Ticks, index: usize, effects: &mut Vec<Effect>) {
+        let (station, running) = (self.fronts[index].station.clone(), self.fronts[index].running);
+        self.on_trials(now, effects, |t| t.on_connected(now, index, &station, running));
     }
 
-    pub(super) fn trials_due(&mut self, now: Ticks, out: &mut Vec<Do>) {
+    pub(super) fn trials_on_timer(&mut self, now: Ticks, effects: &mut Vec<Effect>) {
         let RolloutMode::Evidence(rules) = &self.rules.rollout else { return };
-        let silence = SILENCE * rules.report_slow.max(self.rules.alive);
-        // In the order in which they are due a word: each is looked at about as often as it is spoken to.
+        let silence = MISSED_REPORTS * rules.report_slow.max(self.rules.heartbeat_interval);
+        // Fronts with a recent heartbeat only: each front is checked about as often as it is sent a heartbeat.
         let silent: Vec<_> = self
-            .due
+            .heartbeats
             .iter()
             .rev()
-            .take_while(|d| d.0 >= now + self.rules.alive)
-            .filter(|d| self.fronts[d.1].conn == Some(d.2) && now >= self.fronts[d.1].heard + silence)
+            .take_while(|d| d.0 >= now + self.rules.heartbeat_interval)
+            .filter(|d| self.fronts[d.1].conn == Some(d.2) && now >= self.fronts[d.1].last_seen + silence)
             .map(|d| d.2)
             .collect();
         for conn in silent {
-            out.push(Do::Close(conn));
-            self.gone(now, conn, out);
+            effects.push(Effect::Close(conn));
+            self.on_disconnected(now, conn, effects);
         }
-        self.on_trials(now, out, |t| t.due(now));
+        self.on_trials(now, effects, |t| t.on_timer(now));
     }
 
-    /// Does what the trials want: what is to be stored first, before anything of it is offered.
-    pub(super) fn drain(&mut self, now: Ticks, out: &mut Vec<Do>) {
+    /// Executes the effects of the trials; versions and state are stored before anything is offered.
+    pub(super) fn apply_trial_effects(&mut self, now: Ticks, effects: &mut Vec<Effect>) {
         let Some(trials) = &mut self.trials else { return };
-        let (steps, dirty) = trials.take_steps();
+        let (trial_effects, dirty) = trials.take_effects();
         let mut base = None;
-        for step in &steps {
-            match step {
-                Step::Keep(version) => self.keep(version.clone(), out),
-                Step::Base(number) => base = Some(*number),
+        for effect in &trial_effects {
+            match effect {
+                TrialEffect::Store(version) => self.store_version(version.clone(), effects),
+                TrialEffect::SetBase(number) => base = Some(*number),
                 _ => {}
             }
         }
         if let Some(base) = base {
             self.base = base;
-            self.store_state(out);
+            self.store_state(effects);
         }
         if dirty && let Some(trials) = &self.trials {
-            out.push(Do::StoreTrials(trials.saved()));
+            effects.push(Effect::StoreTrials(trials.saved()));
         }
-        for step in steps {
-            match step {
-                Step::Keep(_) | Step::Base(_) => {}
-                Step::Offer(at) => self.offer_trial(now, at, out),
-                Step::Pace(at, every) => {
-                    if let Some(conn) = self.fronts[at].conn {
-                        out.push(Do::Send(conn, ToFront::ReportEvery { millis: every / 10 }));
+        for effect in trial_effects {
+            match effect {
+                TrialEffect::Store(_) | TrialEffect::SetBase(_) => {}
+                TrialEffect::Offer(index) => self.offer_trial(now, index, effects),
+                TrialEffect::SetReportInterval(index, interval) => {
+                    if let Some(conn) = self.fronts[index].conn {
+                        effects
+                            .push(Effect::Send(conn, ToFront::SetReportInterval { millis: interval / 10 }));
                     }
                 }
-                Step::Tell(line) => out.push(Do::Tell(line)),
-                Step::Wake(at) => self.wake(at, out),
+                TrialEffect::Log(line) => effects.push(Effect::Log(line)),
+                TrialEffect::SetTimer(time) => self.set_timer(time, effects),
             }
         }
     }
 
-    fn keep(&mut self, version: Version, out: &mut Vec<Do>) {
-        out.push(Do::Store(version.clone()));
+    fn store_version(&mut self, version: Version, effects: &mut Vec<Effect>) {
+        effects.push(Effect::Store(version.clone()));
         self.versions.insert(version.id.number, version);
         while self.versions.len() > self.rules.history {
-            let needed = |n: &u64| self.trials.as_ref().is_some_and(|t| t.needs(*n));
+            let needed = |n: &u64| self.trials.as_ref().is_some_and(|t| t.is_needed(*n));
             let Some(oldest) = self.versions.keys().copied().find(|n| !needed(n)) else { break };
-            if let Some(gone) = self.versions.remove(&oldest) {
-                out.push(Do::Forget(gone.id));
+            if let Some(removed) = self.versions.remove(&oldest) {
+                effects.push(Effect::Delete(removed.id));
             }
         }
     }
 
-    pub(super) fn offer_trial(&mut self, now: Ticks, at: usize, out: &mut Vec<Do>) {
-        let (Some(goal), None) = (self.goal(at), self.superseded) else { return };
-        let old = self.listens.is_some() && self.trials.as_ref().is_some_and(|t| t.goal_is_old(at));
-        let front = &mut self.fronts[at];
+    pub(super) fn offer_trial(&mut self, now: Ticks, index: usize, effects: &mut Vec<Effect>) {
+        let (Some(target), None) = (self.target(index), self.superseded) else { return };
+        let restored = self.recovering_until.is_some()
+            && self.trials.as_ref().is_some_and(|t| t.target_is_restored(index));
+        let front = &mut self.fronts[index];
         let Some(conn) = front.conn else { return };
-        let has = front.runs.is_some_and(|r| r.hash == goal.hash || r.place() >= goal.place());
-        let asked = front.offered.is_some_and(|o| o.0 == goal);
-        // What it ran it can't say; of what is published from now on nobody ran anything later.
-        let unknown = front.runs.is_none() && old;
-        // It never starts on one that it turned down.
-        let refused = front.turned_down.as_ref().is_some_and(|t| t.0.hash == goal.hash);
-        if has || asked || unknown || refused {
+        let up_to_date =
+            front.running.is_some_and(|r| r.hash == target.hash || r.position() >= target.position());
+        let already_offered = front.offered.is_some_and(|o| o.0 == target);
+        // A front without a version may have run a later one. Versions published since this start are safe:
+        // nothing later exists.
+        let unknown = front.running.is_none() && restored;
+        // A front never applies a content that it rejected.
+        let rejected = front.rejected.as_ref().is_some_and(|t| t.0.hash == target.hash);
+        if up_to_date || already_offered || unknown || rejected {
             return;
         }
-        front.offered = Some((goal, now));
-        out.push(Do::Send(conn, ToFront::Offer { id: goal }));
+        front.offered = Some((target, now));
+        effects.push(Effect::Send(conn, ToFront::Offer { id: target }));
     }
 
     pub(super) fn publish_change(
@@ -142,21 +165,21 @@
         now: Ticks,
         content: Arc<[u8]>,
         note: &str,
-        expects: u64,
-        out: &mut Vec<Do>,
-    ) -> Result<Id, NotPublished> {
+        expected_last: u64,
+        effects: &mut Vec<Effect>,
+    ) -> Result<VersionId, PublishError> {
         if self.keys.all().is_empty() {
-            return Err(NotPublished::NoKey);
+            return Err(PublishError::NoKey);
         }
         let last = self.last();
-        let against = match self.versions.get(&expects) {
-            _ if expects == last => None,
+        let against = match self.versions.get(&expected_last) {
+            _ if expected_last == last => None,
             Some(version) => Some(version.content.clone()),
-            None => return Err(NotPublished::Expected { last }),
+            None => return Err(PublishError::Conflict { last }),
         };
-        let Some(trials) = &mut self.trials else { return Err(NotPublished::NoSuchVersion) };
+        let Some(trials) = &mut self.trials else { return Err(PublishError::NoSuchVersion) };
         let id = trials.publish(now, content, note, against)?;
-        self.drain(now, out);
+        self.apply_trial_effects(now, effects);
         Ok(id)
     }
 
@@ -165,25 +188,25 @@
         now: Ticks,
         number: u64,
         content: Arc<[u8]>,
-        out: &mut Vec<Do>,
-    ) -> Result<Id, NotPublished> {
+        effects: &mut Vec<Effect>,
+    ) -> Result<VersionId, PublishError> {
         if let Some(by) = self.superseded {
-            return Err(NotPublished::Superseded { by });
+            return Err(PublishError::Superseded { by });
         }
         if self.keys.all().is_empty() {
-            return Err(NotPublished::NoKey);
+            return Err(PublishError::NoKey);
         }
         let note = format!("back to {number}");
-        let made = self.trials.as_mut().and_then(|t| t.roll_back(now, content, &note));
-        self.drain(now, out);
-        made.ok_or(NotPublished::NoSuchVersion)
+        let id = self.trials.as_mut().and_then(|t| t.roll_back(now, content, &note));
+        self.apply_trial_effects(now, effects);
+        id.ok_or(PublishError::NoSuchVersion)
     }
 
-    pub(super) fn take_out(&mut self, now: Ticks, number: u64, out: &mut Vec<Do>) -> Answer {
-        if !self.trials.as_ref().is_some_and(|t| t.is_open(number)) {
-            return Answer::Denied(Denied::OtherUnderWay(None));
+    pub(super) fn remove_change(&mut self, now: Ticks, number: u64, effects: &mut Vec<Effect>) -> Response {
+        if !self.trials.as_ref().is_some_and(|t| t.is_unsettled(number)) {
+            return Response::Denied(Denial::NotInProgress(None));
         }
-        self.on_trials(now, out, |t| t.take_out(now, number, Harm::ByHand));
-        Answer::Done
+        self.on_trials(now, effects, |t| t.remove_change(now, number, RemovalReason::Manual));
+        Response::Done
     }
 }
--- a/crates/versions/src/service/status.rs
+++ b/crates/versions/src/service/status.rs
@@ -1,48 +1,60 @@
-//! What can be asked of a service: how each front stands, and how far a publication is.
+//! The status of each front and the progress of the rollout.
 
-use super::{Progress, Service, State, Status, Tally};
+use super::{FrontState, Progress, Service, Status, Tally};
 
 impl Service {
     pub fn fronts(&self) -> impl Iterator<Item = Status<'_>> {
-        (0..self.fronts.len()).map(|at| self.status(at))
+        (0..self.fronts.len()).map(|index| self.status(index))
     }
 
-    pub(super) fn status(&self, at: usize) -> Status<'_> {
-        let f = &self.fronts[at];
-        let goal = self.goal(at);
-        let waits = f.offered.filter(|o| Some(o.0) == goal);
-        let state = match (goal, &f.turned_down, waits) {
-            (Some(goal), ..) if f.runs == Some(goal) => State::Current,
-            // The same content under an earlier number.
-            (Some(goal), ..) if self.trials.is_some() && f.runs.is_some_and(|r| r.hash == goal.hash) => {
-                State::Current
+    pub(super) fn status(&self, index: usize) -> Status<'_> {
+        let f = &self.fronts[index];
+        let target = self.target(index);
+        let offered = f.offered.filter(|o| Some(o.0) == target);
+        let state = match (target, &f.rejected, offered) {
+            (Some(target), ..) if f.running == Some(target) => FrontState::Current,
+            // The same content with an earlier number.
+            (Some(target), ..)
+                if self.trials.is_some() && f.running.is_some_and(|r| r.hash == target.hash) =>
+            {
+                FrontState::Current
             }
-            (Some(goal), Some((id, why)), _) if *id == goal => State::TurnedDown(why.clone()),
-            (Some(_), _, Some((_, since))) if f.heard.max(since) < since + self.rules.answer_within => {
-                State::Offered
+            (Some(target), Some((id, reason)), _) if *id == target => FrontState::Rejected(reason.clone()),
+            (Some(_), _, Some((_, since)))
+                if f.last_seen.max(since) < since + self.rules.response_timeout =>
+            {
+                FrontState::Offered
             }
-            (Some(_), _, Some(_)) => State::Missing,
-            _ => State::Waiting,
+            (Some(_), _, Some(_)) => FrontState::TimedOut,
+            _ => FrontState::Waiting,
         };
         Status {
             front: &f.name,
             station: &f.station,
             connected: f.conn.is_some(),
-            heard: f.heard,
-            runs: f.runs,
+            last_seen: f.last_seen,
+            running: f.running,
             stored: f.stored,
-            goal,
+            target,
             state,
-            lies: f.lies,
-            serves: Some(f.serves).filter(|s| !s.is_nan()),
-            sealed: f.sealed,
+            false_claim: f.false_claim,
+            service_level: Some(f.service_level).filter(|s| !s.is_nan()),
+            seal_key: f.seal_key,
         }
     }
 
-    /// The publication under way or stopped: its id, wave, how many it went to, run it, turned it down, are missing.
+    /// The rollout in progress or stopped, if any.
     pub fn progress(&self) -> Option<Progress> {
         let r = self.rollout.as_ref()?;
-        let Tally { went, runs, refused, missing, .. } = r.tally;
-        Some(Progress { id: r.id, wave: r.wave, went, runs, refused, missing, stopped: r.stopped.clone() })
+        let Tally { offered, running, rejected, timed_out, .. } = r.tally;
+        Some(Progress {
+            id: r.id,
+            wave: r.wave,
+            offered,
+            running,
+            rejected,
+            timed_out,
+            stopped: r.stopped.clone(),
+        })
     }
 }
--- a/crates/versions/src/service/types.rs
+++ b/crates/versions/src/service/types.rs
@@ -1,210 +1,211 @@
-//! What a service is told, says and keeps: settings, lines, versions, refusals.
+//! Settings, effects, log events, versions and errors of the service.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
 use serde::{Deserialize, Serialize};
 
-use super::{Conn, Harm, RolloutMode, SavedTrials, Stage};
+use super::{ConnectionId, RemovalReason, RolloutMode, SavedTrials, Stage};
 use crate::message::ToFront;
-use crate::{Id, Reason, Ticks};
+use crate::{RejectionReason, Ticks, VersionId};
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rules {
-    /// Fronts let in a second when many come at once.
-    pub admit: f64,
-    /// Something is said to each front at least this often.
-    pub alive: Ticks,
-    /// A front that was offered a version has to answer in this time.
-    pub answer_within: Ticks,
-    /// How long a wave that has answered is watched before the next.
+    /// Fronts admitted per second when many connect at once.
+    pub admissions_per_second: f64,
+    /// A message is sent to each front at least this often.
+    pub heartbeat_interval: Ticks,
+    /// A front must respond to an offer within this time.
+    pub response_timeout: Ticks,
+    /// How long a wave is observed after all its fronts have responded.
     pub soak: Ticks,
     pub canaries: usize,
-    /// Shares of all fronts that the waves after the canaries bring it to; the last is 1.
-    pub shares: Vec<f64>,
-    /// A publication stops when a greater share of those it went to turned it down, or did not answer.
-    pub refused: f64,
-    pub missing: f64,
-    /// ... or when their service has fallen by more than this against what it was when it came to them, less what
-    /// that of all others has fallen meanwhile: a storm is not the version's fault.
-    pub drop: f64,
-    pub most_fronts: usize,
-    /// Contents kept, for deltas and for going back.
+    /// Cumulative shares of all fronts for the waves after the canaries; the last is 1.
+    pub wave_shares: Vec<f64>,
+    /// A rollout stops when a greater share of the fronts that were offered the version rejected it, or did not
+    /// respond.
+    pub max_rejected_share: f64,
+    pub max_timed_out_share: f64,
+    /// A rollout also stops when the service level of these fronts has dropped by more than this since they
+    /// were offered it, minus the drop of all other fronts in that time: a general overload is not the
+    /// version's fault.
+    pub max_service_drop: f64,
+    pub max_fronts: usize,
+    /// Number of versions kept, for deltas and rollbacks.
     pub history: usize,
-    /// A service that starts on what it finds in its store offers nothing for so long to fronts that run nothing: the
-    /// store may be an older copy, and whoever ran what came after it has to be heard first.
-    pub listen: Ticks,
+    /// After starting with a non-empty store, the service waits this long before it offers anything to fronts
+    /// that run nothing: the store may be an older copy, so fronts that ran later versions must be heard first.
+    pub recovery_delay: Ticks,
     pub rollout: RolloutMode,
 }
 
 impl Default for Rules {
     fn default() -> Rules {
         Rules {
-            // A guess, until the transport is there to be measured.
-            admit: 200.0,
-            alive: 50_000,
-            answer_within: 300_000,
-            // Long enough for a change to show in the service of some hundred accesses a front.
+            admissions_per_second: 200.0,
+            heartbeat_interval: 50_000,
+            response_timeout: 300_000,
+            // Long enough for a change to show in the service level of some hundred accesses per front.
             soak: 300_000,
             canaries: 2,
-            shares: vec![0.1, 0.5, 1.0],
-            refused: 0.0,
-            missing: 0.2,
-            drop: 0.03,
-            most_fronts: 200_000,
+            wave_shares: vec![0.1, 0.5, 1.0],
+            max_rejected_share: 0.0,
+            max_timed_out_share: 0.2,
+            max_service_drop: 0.03,
+            max_fronts: 200_000,
             history: 64,
-            // The longest pause between a front's tries: whoever lives has come by then.
-            listen: 600_000,
+            // The longest backoff of a front: every live front has reconnected by then.
+            recovery_delay: 600_000,
             rollout: RolloutMode::Waves,
         }
     }
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Do {
-    Send(Conn, ToFront),
-    Close(Conn),
-    /// Before anything of it is offered, the version is to be on the disk.
+pub enum Effect {
+    Send(ConnectionId, ToFront),
+    Close(ConnectionId),
+    /// Store the version before any front is offered it.
     Store(Version),
-    /// The epoch changes, or how far a publication is.
+    /// Store the epoch, the base or the progress of the rollout, which has changed.
     StoreState {
         epoch: u64,
         base: Option<u64>,
-        rollout: Option<Saved>,
+        rollout: Option<SavedRollout>,
     },
-    Wake(Ticks),
-    Tell(Line),
-    /// What survives a restart where rollouts are judged by evidence; beside the state, in a record of its own.
+    SetTimer(Ticks),
+    Log(LogEvent),
+    /// Store the state of the trials, in a record of its own.
     StoreTrials(SavedTrials),
-    /// A version that nothing needs any more is to leave the store.
-    Forget(Id),
+    /// Delete a version that is not needed any more from the store.
+    Delete(VersionId),
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Line {
-    Wave {
-        id: Id,
+pub enum LogEvent {
+    WaveStarted {
+        id: VersionId,
         wave: usize,
         of: usize,
         fronts: usize,
     },
     Stopped {
-        id: Id,
-        why: Stop,
+        id: VersionId,
+        reason: StopReason,
     },
-    Everywhere(Id),
-    TurnedDown {
+    Everywhere(VersionId),
+    Rejected {
         front: Box<str>,
-        id: Id,
-        why: Reason,
+        id: VersionId,
+        reason: RejectionReason,
     },
-    /// A front says what can't be.
-    Lies {
+    /// A front claims to run a version that it can't have.
+    FalseClaim {
         front: Box<str>,
-        id: Id,
+        id: VersionId,
     },
-    /// Fronts have what this service does not know: it lost its store, or found an old one.
+    /// Fronts run versions that this service does not know: it lost its store or started with an older copy.
     NewEpoch {
         epoch: u64,
-        because: Id,
+        because: VersionId,
     },
-    /// Another service, of a later epoch, is about; this one publishes nothing.
+    /// Another service with a later epoch is active; this one publishes nothing.
     Superseded {
         by: u64,
     },
-    /// A stage of trials begins, on so many fronts, for these changes.
-    Trial {
+    /// A stage of a trial begins for these changes, on this many fronts.
+    StageStarted {
         stage: Stage,
         changes: Vec<u64>,
         fronts: usize,
     },
-    /// A change is in nobody's configuration any more, or on its way out of it.
-    TakenOut {
+    /// A change was removed, or is being removed, from all fronts.
+    ChangeRemoved {
         change: u64,
-        why: Harm,
+        reason: RemovalReason,
     },
-    /// Every connected front has confirmed what this change, and all before it, came to.
-    InForce(Id),
-    /// Everyone's service has fallen since these changes came: each is tried without.
-    UnderWatch {
+    /// Every connected front has confirmed a content that includes this change and all before it.
+    InForce(VersionId),
+    /// The service level of all fronts has dropped since these changes: each is tried without.
+    UnderObservation {
         changes: Vec<u64>,
     },
-    /// Too few accesses to tell; the setting says that it goes on.
-    WentOnUnproven {
+    /// Too few accesses for a verdict; continued because the settings say so.
+    ContinuedUnproven {
         change: u64,
     },
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Version {
-    pub id: Id,
+    pub id: VersionId,
     pub content: Arc<[u8]>,
     pub note: Box<str>,
-    pub at: Ticks,
+    pub published_at: Ticks,
 }
 
-/// What of a publication survives a restart.
+/// The part of a rollout that survives a restart.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Saved {
-    pub id: Id,
+pub struct SavedRollout {
+    pub id: VersionId,
     pub wave: usize,
-    /// By name: after a restart nobody else is to go first.
+    /// By name, so that the same fronts are the canaries after a restart.
     pub canaries: BTreeSet<Box<str>>,
-    pub stopped: Option<Stop>,
+    pub stopped: Option<StopReason>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Stop {
-    Refused {
+pub enum StopReason {
+    Rejected {
         count: usize,
         of: usize,
-        first: Reason,
+        first: RejectionReason,
     },
-    Missing {
+    TimedOut {
         count: usize,
         of: usize,
     },
-    /// In thousandths of the benefit; `others`: by how much that of all others changed meanwhile.
-    Dropped {
+    /// Service levels in thousandths; `others`: the change of all other fronts' level in the same time.
+    ServiceDrop {
         from: u32,
         to: u32,
         others: i32,
     },
-    ByHand,
+    Manual,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum NotPublished {
-    /// Somebody else has published since.
-    Expected {
+pub enum PublishError {
+    /// Another version was published since the one that the caller has seen.
+    Conflict {
         last: u64,
     },
-    UnderWay {
-        id: Id,
+    InProgress {
+        id: VersionId,
     },
-    TooLong(usize),
+    TooLarge(usize),
     NoSuchVersion,
     NoKey,
     Superseded {
         by: u64,
     },
-    /// So many changes wait for their trial.
+    /// Too many changes are waiting for their trial.
     QueueFull {
         waiting: usize,
     },
 }
 
-/// What a front was last known to be doing.
+/// The last known state of a front in relation to its target.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum State {
-    /// It runs what it is its turn to have.
+pub enum FrontState {
+    /// It runs its target.
     Current,
-    /// It was offered a version and has not answered yet.
+    /// It was offered its target and has not responded yet.
     Offered,
-    TurnedDown(Reason),
-    /// It has not answered in time.
-    Missing,
-    /// Nothing was published yet, or it waits for its wave.
+    Rejected(RejectionReason),
+    /// It has not responded in time.
+    TimedOut,
+    /// Nothing was published yet, or the front is waiting for its wave.
     Waiting,
 }
 
@@ -213,35 +214,35 @@
     pub front: &'a str,
     pub station: &'a str,
     pub connected: bool,
-    pub heard: Ticks,
-    pub runs: Option<Id>,
+    pub last_seen: Ticks,
+    pub running: Option<VersionId>,
     pub stored: bool,
-    pub goal: Option<Id>,
-    pub state: State,
-    pub lies: bool,
-    /// What share of the benefit asked for it serves; none until it has said so.
-    pub serves: Option<f32>,
-    /// The key that sealed what it runs.
-    pub sealed: Option<u32>,
+    pub target: Option<VersionId>,
+    pub state: FrontState,
+    pub false_claim: bool,
+    /// Share of the requested benefit that it serves; `None` until it has reported.
+    pub service_level: Option<f32>,
+    /// Number of the key that sealed the running version.
+    pub seal_key: Option<u32>,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Progress {
-    pub id: Id,
+    pub id: VersionId,
     pub wave: usize,
-    pub went: usize,
-    pub runs: usize,
-    pub refused: usize,
-    pub missing: usize,
-    pub stopped: Option<Stop>,
+    pub offered: usize,
+    pub running: usize,
+    pub rejected: usize,
+    pub timed_out: usize,
+    pub stopped: Option<StopReason>,
 }
 
-/// What a service finds in its store.
+/// What a service finds in its store at the start.
 #[derive(Clone, Debug, Default)]
-pub struct Found {
+pub struct StoredState {
     pub epoch: u64,
     pub versions: Vec<Version>,
     pub base: Option<u64>,
-    pub rollout: Option<Saved>,
+    pub rollout: Option<SavedRollout>,
     pub trials: Option<SavedTrials>,
 }
--- a/crates/versions/src/service/waves.rs
+++ b/crates/versions/src/service/waves.rs
@@ -1,72 +1,75 @@
-//! Publication in waves, and when one stops.
+//! Rollout in waves, and when it stops.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-use super::{Account, Do, Line, NotPublished, Rollout, Service, Stop, Tally, Ticks, Version, rank};
+use super::{
+    Effect, FrontResponse, LogEvent, PublishError, Rollout, Service, StopReason, Tally, Ticks, Version, rank,
+};
 use crate::message::ToFront;
-use crate::{Id, MOST_CONTENT, Reason};
+use crate::{MAX_CONTENT_BYTES, RejectionReason, VersionId};
 
 impl Service {
-    /// Whether anything may be published now.
-    pub(super) fn may_publish(&self, bytes: usize, expects: u64) -> Result<(), NotPublished> {
+    /// Whether a publication is allowed now.
+    pub(super) fn may_publish(&self, bytes: usize, expected_last: u64) -> Result<(), PublishError> {
         if let Some(by) = self.superseded {
-            return Err(NotPublished::Superseded { by });
+            return Err(PublishError::Superseded { by });
         }
         if let Some(trials) = &self.trials {
             return trials.may_publish(bytes);
         }
-        if expects != self.last() {
-            return Err(NotPublished::Expected { last: self.last() });
+        if expected_last != self.last() {
+            return Err(PublishError::Conflict { last: self.last() });
         }
         if let Some(r) = self.rollout.as_ref().filter(|r| r.stopped.is_none()) {
-            return Err(NotPublished::UnderWay { id: r.id });
+            return Err(PublishError::InProgress { id: r.id });
         }
-        if bytes > MOST_CONTENT {
-            return Err(NotPublished::TooLong(bytes));
+        if bytes > MAX_CONTENT_BYTES {
+            return Err(PublishError::TooLarge(bytes));
         }
         Ok(())
     }
 
-    /// A new version. `expects`: the last number that whoever publishes has seen.
+    /// Publishes a new version. `expected_last`: the last number that the publisher has seen.
     pub fn publish(
         &mut self,
         now: Ticks,
         content: Arc<[u8]>,
         note: &str,
-        expects: u64,
-        out: &mut Vec<Do>,
-    ) -> Result<Id, NotPublished> {
-        self.may_publish(content.len(), expects)?;
+        expected_last: u64,
+        effects: &mut Vec<Effect>,
+    ) -> Result<VersionId, PublishError> {
+        self.may_publish(content.len(), expected_last)?;
         if self.trials.is_some() {
-            return self.publish_change(now, content, note, expects, out);
+            return self.publish_change(now, content, note, expected_last, effects);
         }
-        let id = Id::of(self.epoch, self.last() + 1, &content);
+        let id = VersionId::of(self.epoch, self.last() + 1, &content);
         if self.keys.seal(&id).is_none() {
-            return Err(NotPublished::NoKey);
+            return Err(PublishError::NoKey);
         }
-        let version = Version { id, content, note: note.into(), at: now };
-        out.push(Do::Store(version.clone()));
+        let version = Version { id, content, note: note.into(), published_at: now };
+        effects.push(Effect::Store(version.clone()));
         self.versions.insert(id.number, version);
-        self.first = self.first.min(id.number);
-        let keeps = |n: &u64| Some(*n) == self.base || *n == id.number;
+        self.first_published = self.first_published.min(id.number);
+        let needed = |n: &u64| Some(*n) == self.base || *n == id.number;
         while self.versions.len() > self.rules.history
-            && let Some(oldest) = self.versions.keys().copied().find(|n| !keeps(n))
+            && let Some(oldest) = self.versions.keys().copied().find(|n| !needed(n))
         {
             self.versions.remove(&oldest);
         }
         let (wave, tally) = (0, Tally::default());
         let canaries = self.canaries(id.number);
-        let (answered, stopped, falling) = (None, None, None);
+        let (answered_since, stopped, dropping_since) = (None, None, None);
         let since = now;
-        self.rollout = Some(Rollout { id, wave, since, answered, tally, canaries, stopped, falling });
-        self.store_state(out);
-        self.open_wave(now, out);
+        self.rollout =
+            Some(Rollout { id, wave, since, answered_since, tally, canaries, stopped, dropping_since });
+        self.store_state(effects);
+        self.open_wave(now, effects);
         Ok(id)
     }
 
-    /// It could not be stored: whoever hears of this before anything of it was sent has never published it.
-    pub fn withdraw(&mut self, id: Id) {
+    /// Undoes a publication that could not be stored. To be called before any of its offers is sent.
+    pub fn withdraw(&mut self, id: VersionId) {
         if let Some(trials) = &mut self.trials {
             trials.withdraw(id.number);
             self.versions.remove(&id.number);
@@ -77,51 +80,57 @@
             self.versions.remove(&id.number);
             for front in &mut self.fronts {
                 front.offered = front.offered.filter(|o| o.0 != id);
-                if front.account.0 == id.number {
-                    (front.account, front.counted) = ((0, Account::Apart), false);
+                if front.response.0 == id.number {
+                    (front.response, front.counted) = ((0, FrontResponse::NotOffered), false);
                 }
             }
-            self.awaited.retain(|a| a.2 != id);
+            self.pending_responses.retain(|a| a.2 != id);
         }
     }
 
-    /// Back to an older content, as a new number: it goes to all at once that it may, which is who runs the bad one.
-    pub fn roll_back(&mut self, now: Ticks, number: u64, out: &mut Vec<Do>) -> Result<Id, NotPublished> {
-        let content = self.versions.get(&number).ok_or(NotPublished::NoSuchVersion)?.content.clone();
+    /// Publishes an older content under a new number. It skips the waves: every front that runs the bad version
+    /// is offered it at once.
+    pub fn roll_back(
+        &mut self,
+        now: Ticks,
+        number: u64,
+        effects: &mut Vec<Effect>,
+    ) -> Result<VersionId, PublishError> {
+        let content = self.versions.get(&number).ok_or(PublishError::NoSuchVersion)?.content.clone();
         if self.trials.is_some() {
-            return self.roll_back_trials(now, number, content, out);
+            return self.roll_back_trials(now, number, content, effects);
         }
-        self.stop(Stop::ByHand, out);
+        self.stop(StopReason::Manual, effects);
         let note = format!("back to {number}");
-        let id = self.publish(now, content, &note, self.last(), out)?;
+        let id = self.publish(now, content, &note, self.last(), effects)?;
         if let Some(r) = &mut self.rollout {
-            // It was good before: no canary has to say so again.
-            (r.wave, r.since) = (self.rules.shares.len(), now);
+            // The content was good before: no canaries are needed.
+            (r.wave, r.since) = (self.rules.wave_shares.len(), now);
         }
-        self.store_state(out);
-        (0..self.fronts.len()).for_each(|at| self.offer(now, at, out));
+        self.store_state(effects);
+        (0..self.fronts.len()).for_each(|index| self.offer(now, index, effects));
         Ok(id)
     }
 
-    pub fn stop(&mut self, why: Stop, out: &mut Vec<Do>) {
+    pub fn stop(&mut self, reason: StopReason, effects: &mut Vec<Effect>) {
         if let Some(r) = self.rollout.as_mut().filter(|r| r.stopped.is_none()) {
-            r.stopped = Some(why.clone());
+            r.stopped = Some(reason.clone());
             let id = r.id;
-            out.push(Do::Tell(Line::Stopped { id, why }));
-            self.store_state(out);
+            effects.push(Effect::Log(LogEvent::Stopped { id, reason }));
+            self.store_state(effects);
         }
     }
 
-    /// Some connected fronts of different stations.
+    /// Chooses connected fronts of different stations.
     fn canaries(&self, number: u64) -> BTreeSet<Box<str>> {
         let (mut chosen, mut stations) = (BTreeSet::new(), BTreeSet::new());
         let start = rank(&number.to_string());
-        let ring = self.by_rank.range((start, 0)..).chain(self.by_rank.range(..(start, 0)));
-        for (&(_, at), ()) in ring {
+        let from_start = self.by_rank.range((start, 0)..).chain(self.by_rank.range(..(start, 0)));
+        for (&(_, index), ()) in from_start {
             if chosen.len() >= self.rules.canaries {
                 break;
             }
-            let front = &self.fronts[at];
+            let front = &self.fronts[index];
             if front.conn.is_some() && stations.insert(&front.station) {
                 chosen.insert(front.name.clone());
             }
@@ -129,207 +138,215 @@
         chosen
     }
 
-    /// Whether it is a front's turn to have the version that is being published.
-    fn turn(&self, r: &Rollout, at: usize) -> bool {
-        if r.canaries.contains(&self.fronts[at].name) {
+    /// Whether a front is in the current or an earlier wave of the rollout.
+    fn is_in_wave(&self, r: &Rollout, index: usize) -> bool {
+        if r.canaries.contains(&self.fronts[index].name) {
             return true;
         }
-        let Some(share) = r.wave.checked_sub(1).and_then(|w| self.rules.shares.get(w)) else {
-            return r.wave > self.rules.shares.len();
+        let Some(share) = r.wave.checked_sub(1).and_then(|w| self.rules.wave_shares.get(w)) else {
+            return r.wave > self.rules.wave_shares.len();
         };
-        let place = self.fronts[at].rank.wrapping_sub(rank(&r.id.number.to_string()));
-        *share >= 1.0 || (place as f64) < share * u64::MAX as f64
+        let distance = self.fronts[index].rank.wrapping_sub(rank(&r.id.number.to_string()));
+        *share >= 1.0 || (distance as f64) < share * u64::MAX as f64
     }
 
-    /// The fronts whose turn a wave makes it: work for them alone.
-    fn of_wave(&self, r: &Rollout) -> Vec<usize> {
+    /// The fronts that the current wave adds, found without visiting all fronts.
+    fn fronts_of_wave(&self, r: &Rollout) -> Vec<usize> {
         let Some(wave) = r.wave.checked_sub(1) else {
             return r.canaries.iter().filter_map(|name| self.by_name.get(name).copied()).collect();
         };
-        let share = |w: usize| self.rules.shares.get(w).copied().unwrap_or(1.0);
+        let share = |w: usize| self.rules.wave_shares.get(w).copied().unwrap_or(1.0);
         let before = wave.checked_sub(1).map_or(0.0, share);
         let start = rank(&r.id.number.to_string());
-        let at = |share: f64| start.wrapping_add((share.min(1.0) * u64::MAX as f64) as u64);
-        let (from, to) = (at(before), at(share(wave)));
-        let ring: Vec<usize> = if from <= to && share(wave) - before < 1.0 {
+        let rank_at = |share: f64| start.wrapping_add((share.min(1.0) * u64::MAX as f64) as u64);
+        let (from, to) = (rank_at(before), rank_at(share(wave)));
+        let fronts: Vec<usize> = if from <= to && share(wave) - before < 1.0 {
             self.by_rank.range((from, 0)..(to, 0)).map(|(k, ())| k.1).collect()
         } else {
             let ends = self.by_rank.range((from, 0)..).chain(self.by_rank.range(..(to, 0)));
             ends.map(|(k, ())| k.1).collect()
         };
-        ring
+        fronts
     }
 
-    fn open_wave(&mut self, now: Ticks, out: &mut Vec<Do>) {
+    fn open_wave(&mut self, now: Ticks, effects: &mut Vec<Effect>) {
         let Some(r) = &self.rollout else { return };
-        let fronts = self.of_wave(r);
-        let (id, wave, of) = (r.id, r.wave, self.rules.shares.len());
-        out.push(Do::Tell(Line::Wave { id, wave, of, fronts: fronts.len() }));
-        for at in fronts {
-            self.offer(now, at, out);
+        let fronts = self.fronts_of_wave(r);
+        let (id, wave, of) = (r.id, r.wave, self.rules.wave_shares.len());
+        effects.push(Effect::Log(LogEvent::WaveStarted { id, wave, of, fronts: fronts.len() }));
+        for index in fronts {
+            self.offer(now, index, effects);
         }
-        self.wake(now + self.rules.soak, out);
+        self.set_timer(now + self.rules.soak, effects);
     }
 
-    /// The mean service of all fronts that the publication has not gone to.
-    pub(super) fn others(&self) -> Option<f64> {
-        let served = &self.rollout.as_ref()?.tally.served;
-        let count = self.serves.1.checked_sub(served.count).filter(|&c| c > 0)?;
-        Some((self.serves.0 - served.now) / count as f64)
+    /// Mean service level of all fronts that the publication was not offered to.
+    pub(super) fn mean_of_others(&self) -> Option<f64> {
+        let service = &self.rollout.as_ref()?.tally.service;
+        let count = self.service_levels.1.checked_sub(service.count).filter(|&c| c > 0)?;
+        Some((self.service_levels.0 - service.current) / count as f64)
     }
 
-    /// What a front is to have now.
-    pub(super) fn goal(&self, at: usize) -> Option<Id> {
+    /// The version that a front is to run now.
+    pub(super) fn target(&self, index: usize) -> Option<VersionId> {
         if self.superseded.is_some() {
             return None;
         }
         if let Some(trials) = &self.trials {
-            return trials.goal(at);
+            return trials.target(index);
         }
         let base = self.base.and_then(|n| self.versions.get(&n)).map(|v| v.id);
         match &self.rollout {
-            Some(r) if r.stopped.is_none() && self.turn(r, at) => Some(r.id),
+            Some(r) if r.stopped.is_none() && self.is_in_wave(r, index) => Some(r.id),
             _ => base,
         }
     }
 
-    pub(super) fn offer(&mut self, now: Ticks, at: usize, out: &mut Vec<Do>) {
+    pub(super) fn offer(&mut self, now: Ticks, index: usize, effects: &mut Vec<Effect>) {
         if self.trials.is_some() {
-            return self.offer_trial(now, at, out);
+            return self.offer_trial(now, index, effects);
         }
-        let Some(goal) = self.goal(at) else { return };
-        let front = &mut self.fronts[at];
+        let Some(target) = self.target(index) else { return };
+        let front = &mut self.fronts[index];
         let Some(conn) = front.conn else { return };
-        let has = front.runs.is_some_and(|r| r.place() >= goal.place());
-        let asked = front.offered.is_some_and(|o| o.0 == goal);
-        // What it ran it can't say; of what is published from now on nobody ran anything later.
-        let unknown = front.runs.is_none() && self.listens.is_some() && goal.number < self.first;
-        if has || asked || unknown {
+        let up_to_date = front.running.is_some_and(|r| r.position() >= target.position());
+        let already_offered = front.offered.is_some_and(|o| o.0 == target);
+        // A front without a version may have run a later one. Versions published since this start are safe:
+        // nothing later exists.
+        let unknown = front.running.is_none()
+            && self.recovering_until.is_some()
+            && target.number < self.first_published;
+        if up_to_date || already_offered || unknown {
             return;
         }
-        front.offered = Some((goal, now));
-        out.push(Do::Send(conn, ToFront::Offer { id: goal }));
-        self.awaited.push_back((now + self.rules.answer_within, at, goal));
-        self.account(at, goal, Account::Went);
+        front.offered = Some((target, now));
+        effects.push(Effect::Send(conn, ToFront::Offer { id: target }));
+        self.pending_responses.push_back((now + self.rules.response_timeout, index, target));
+        self.record_response(index, target, FrontResponse::Offered);
     }
 
-    /// A front counts differently from now on, if it is about the version that is being published.
-    pub(super) fn account(&mut self, at: usize, id: Id, account: Account) {
-        let others = self.others();
+    /// Updates how a front counts in the tally, if `id` is the version being published.
+    pub(super) fn record_response(&mut self, index: usize, id: VersionId, response: FrontResponse) {
+        let others = self.mean_of_others();
         let Some(r) = self.rollout.as_mut().filter(|r| r.id == id) else { return };
-        let own = &mut self.fronts[at].account;
-        let before = if own.0 == id.number { own.1 } else { Account::Apart };
-        *own = (id.number, account);
-        if before == account {
+        let own = &mut self.fronts[index].response;
+        let before = if own.0 == id.number { own.1 } else { FrontResponse::NotOffered };
+        *own = (id.number, response);
+        if before == response {
             return;
         }
-        if before == Account::Apart {
-            r.tally.went += 1;
-            let serves = f64::from(self.fronts[at].serves);
-            if !serves.is_nan() {
-                let served = &mut r.tally.served;
-                (served.before, served.now) = (served.before + serves, served.now + serves);
-                served.count += 1;
+        if before == FrontResponse::NotOffered {
+            r.tally.offered += 1;
+            let service_level = f64::from(self.fronts[index].service_level);
+            if !service_level.is_nan() {
+                let service = &mut r.tally.service;
+                (service.before, service.current) =
+                    (service.before + service_level, service.current + service_level);
+                service.count += 1;
                 if let Some(mean) = others {
-                    (served.others, served.beside) = (served.others + mean, served.beside + 1);
+                    (service.others, service.others_count) =
+                        (service.others + mean, service.others_count + 1);
                 }
             }
-            self.fronts[at].counted = !serves.is_nan();
+            self.fronts[index].counted = !service_level.is_nan();
         }
         if let Some(count) = r.tally.count(before) {
             *count -= 1;
         }
-        if let Some(count) = r.tally.count(account) {
+        if let Some(count) = r.tally.count(response) {
             *count += 1;
         }
-        if account == Account::Went {
-            r.answered = None;
+        if response == FrontResponse::Offered {
+            r.answered_since = None;
         }
     }
 
-    /// Whether the publication goes on, or stops.
-    pub(super) fn look(&mut self, now: Ticks, out: &mut Vec<Do>) {
-        while let Some(&(by, at, id)) = self.awaited.front() {
-            let front = &self.fronts[at];
-            let waits = front.offered.is_some_and(|o| o.0 == id)
-                && front.runs != Some(id)
-                && front.turned_down.as_ref().is_none_or(|t| t.0 != id);
-            if waits && by > now {
+    /// Decides whether the rollout continues or stops.
+    pub(super) fn evaluate_rollout(&mut self, now: Ticks, effects: &mut Vec<Effect>) {
+        while let Some(&(deadline, index, id)) = self.pending_responses.front() {
+            let front = &self.fronts[index];
+            let waiting = front.offered.is_some_and(|o| o.0 == id)
+                && front.running != Some(id)
+                && front.rejected.as_ref().is_none_or(|t| t.0 != id);
+            if waiting && deadline > now {
                 break;
             }
-            self.awaited.pop_front();
-            // One that is on its way back has not answered either.
-            let away = front.conn.is_none() && front.account == (id.number, Account::Went);
-            if waits || away {
-                self.account(at, id, Account::Missing);
+            self.pending_responses.pop_front();
+            // A disconnected front has not responded either.
+            let disconnected = front.conn.is_none() && front.response == (id.number, FrontResponse::Offered);
+            if waiting || disconnected {
+                self.record_response(index, id, FrontResponse::TimedOut);
             }
         }
         let Some(r) = self.rollout.as_ref().filter(|r| r.stopped.is_none()) else { return };
-        let Tally { went, runs, refused, missing, .. } = r.tally;
-        let of = went.max(1) as f64;
-        if refused as f64 > self.rules.refused * of {
-            let first = r.tally.first.clone().unwrap_or(Reason::Contradicts);
-            return self.stop(Stop::Refused { count: refused, of: went, first }, out);
-        }
-        if missing as f64 > self.rules.missing * of {
-            return self.stop(Stop::Missing { count: missing, of: went }, out);
-        }
-        // Reports come seconds apart, so a storm is heard of one front first and of the others later: a fall counts
-        // once it has lasted for half the time that a wave is watched.
-        let (dropped, lasts) = (self.dropped(), self.rules.soak / 2);
+        let Tally { offered, running, rejected, timed_out, .. } = r.tally;
+        let of = offered.max(1) as f64;
+        if rejected as f64 > self.rules.max_rejected_share * of {
+            let first = r.tally.first_rejection.clone().unwrap_or(RejectionReason::ConflictingContent);
+            return self.stop(StopReason::Rejected { count: rejected, of: offered, first }, effects);
+        }
+        if timed_out as f64 > self.rules.max_timed_out_share * of {
+            return self.stop(StopReason::TimedOut { count: timed_out, of: offered }, effects);
+        }
+        // Reports arrive seconds apart, so a general overload shows at one front first and at others later: a
+        // drop counts only after it has lasted for half the soak time.
+        let (drop, min_duration) = (self.service_drop(), self.rules.soak / 2);
         if let Some(r) = &mut self.rollout {
-            r.falling = dropped.is_some().then(|| r.falling.unwrap_or(now));
+            r.dropping_since = drop.is_some().then(|| r.dropping_since.unwrap_or(now));
         }
-        let falling = self.rollout.as_ref().and_then(|r| r.falling);
-        if let Some(stop) = dropped.filter(|_| falling.is_some_and(|since| now >= since + lasts)) {
-            return self.stop(stop, out);
+        let dropping_since = self.rollout.as_ref().and_then(|r| r.dropping_since);
+        if let Some(stop) = drop.filter(|_| dropping_since.is_some_and(|since| now >= since + min_duration)) {
+            return self.stop(stop, effects);
         }
-        // Somebody at least has to run it, or nothing is known of it.
-        let answered = runs > 0 && runs + refused + missing >= went;
+        // At least one front has to run the version, or nothing is known about it.
+        let answered = running > 0 && running + rejected + timed_out >= offered;
         let r = self.rollout.as_mut().filter(|_| answered);
         let Some(r) = r else { return };
-        let since = *r.answered.get_or_insert(now);
-        // The canaries are watched for as long as a change needs to show, also where there are none to be had.
+        let since = *r.answered_since.get_or_insert(now);
+        // The soak time counts from the start of the wave too: the canaries are observed for as long as a
+        // change needs to show, even if there are none.
         let soaked = now >= since + self.rules.soak && now >= r.since + self.rules.soak;
         if !soaked {
-            let at = since.max(r.since) + self.rules.soak;
-            return self.wake(at, out);
+            let soaked_at = since.max(r.since) + self.rules.soak;
+            return self.set_timer(soaked_at, effects);
         }
-        if let Some(since) = falling {
-            return self.wake(since + lasts, out);
+        if let Some(since) = dropping_since {
+            return self.set_timer(since + min_duration, effects);
         }
         let Some(r) = &mut self.rollout else { return };
-        if r.wave >= self.rules.shares.len() {
+        if r.wave >= self.rules.wave_shares.len() {
             let id = r.id;
             self.base = Some(id.number);
             self.rollout = None;
-            self.store_state(out);
-            out.push(Do::Tell(Line::Everywhere(id)));
+            self.store_state(effects);
+            effects.push(Effect::Log(LogEvent::Everywhere(id)));
         } else {
-            (r.wave, r.since, r.answered) = (r.wave + 1, now, None);
-            self.store_state(out);
-            self.open_wave(now, out);
+            (r.wave, r.since, r.answered_since) = (r.wave + 1, now, None);
+            self.store_state(effects);
+            self.open_wave(now, effects);
         }
     }
 
-    /// By how much the service of those it went to has fallen, less what that of all others has fallen meanwhile; none
-    /// where it may have.
-    fn dropped(&self) -> Option<Stop> {
+    /// The drop of the service level of the fronts that were offered the version, minus the drop of all others
+    /// in the same time; `None` if it is tolerable.
+    fn service_drop(&self) -> Option<StopReason> {
         let r = self.rollout.as_ref()?;
-        let served = &r.tally.served;
-        let mean = |sum: f64| sum / served.count.max(1) as f64;
-        let (before, now) = (mean(served.before), mean(served.now));
-        let beside = served.beside.max(1) as f64;
-        let others =
-            self.others().filter(|_| served.beside > 0).map_or(0.0, |now| now - served.others / beside);
-        // If the others do better this one is not to blame for not doing so: only their fall counts.
-        let fall = before - now + others.min(0.0);
+        let service = &r.tally.service;
+        let mean = |sum: f64| sum / service.count.max(1) as f64;
+        let (before, now) = (mean(service.before), mean(service.current));
+        let beside = service.others_count.max(1) as f64;
+        let others = self
+            .mean_of_others()
+            .filter(|_| service.others_count > 0)
+            .map_or(0.0, |now| now - service.others / beside);
+        // Others that improve do not count against the version: only their drop is taken into account.
+        let drop = before - now + others.min(0.0);
         let thousandths = |share: f64| (1e3 * share).round();
-        let stop = Stop::Dropped {
+        let stop = StopReason::ServiceDrop {
             from: thousandths(before) as u32,
             to: thousandths(now) as u32,
             others: thousandths(others) as i32,
         };
-        (fall > self.rules.drop).then_some(stop)
+        (drop > self.rules.max_service_drop).then_some(stop)
     }
 }
--- a/crates/versions/src/trial/batch.rs
+++ b/crates/versions/src/trial/batch.rs
@@ -1,77 +1,88 @@
-//! A batch of changes at its canaries: each alone and all of them together, and what follows from the verdicts.
+//! The canary experiment of a batch: each change alone and all of them combined, and what follows from the
+//! verdicts.
 
 use std::sync::Arc;
 
-use super::contents::Key;
+use super::contents::ContentKey;
 use super::experiment::{Arm, Experiment, Purpose};
 use super::members::Slot;
-use super::{ChangeState, Harm, MOST_BATCH, Stage, Step, ThinTraffic, Trials};
+use super::{ChangeState, Effect, MAX_BATCH, RemovalReason, Stage, ThinTraffic, Trials};
 use crate::evidence::TestSettings;
-use crate::service::Line;
+use crate::service::LogEvent;
 use crate::{Ticks, merge};
 
 #[derive(Clone, Debug)]
 pub(super) struct Batch {
     pub changes: Vec<u64>,
-    /// What it is laid on; none: nothing was published before.
-    pub base: Option<Key>,
-    /// All of it.
-    pub content: Key,
-    pub lineage: u64,
+    /// The content that the changes are applied to; `None` if nothing was published before.
+    pub base: Option<ContentKey>,
+    /// The base with all changes.
+    pub content: ContentKey,
+    pub generation: u64,
     pub experiment: Experiment,
-    /// Its canary experiment is over; it waits for the wide one before it.
+    /// It passed its canary experiment and waits for the current wide experiment to end.
     pub passed: bool,
-    /// Begun when too few fronts were known by their long run.
-    blind: bool,
+    /// Started while too few fronts had a baseline.
+    baselines_missing: bool,
 }
 
 impl Batch {
-    /// Whether a content is one of its arms'.
-    pub fn has(&self, key: Key) -> bool {
+    /// Whether a content belongs to one of its arms.
+    pub fn has(&self, key: ContentKey) -> bool {
         self.content == key || self.experiment.arms.iter().any(|a| a.content == key)
     }
 
-    /// The first change that does harm by itself.
-    fn harmful_single(&self, refused: f64) -> Option<(u64, Harm)> {
-        let lost = self.experiment.lost();
-        let mut before = true;
+    /// The first change that is harmful by itself.
+    fn harmful_single(&self, max_rejected_share: f64) -> Option<(u64, RemovalReason)> {
+        let lost_share = self.experiment.lost_share();
+        let mut earlier_harmless = true;
         for arm in &self.experiment.arms {
             let Purpose::Single(number) = arm.purpose else { continue };
-            if let Some(harm) = arm.harm(refused, lost).filter(|_| before || !arm.builds) {
+            if let Some(harm) = arm
+                .harm(max_rejected_share, lost_share)
+                .filter(|_| earlier_harmless || !arm.depends_on_earlier)
+            {
                 return Some((number, harm));
             }
-            before &= arm.harmless();
+            earlier_harmless &= arm.harmless();
         }
         None
     }
 
-    pub(super) fn purpose_harm(&self, refused: f64, of: impl Fn(Purpose) -> bool) -> Option<(Purpose, Harm)> {
-        let lost = self.experiment.lost();
+    pub(super) fn harm_of(
+        &self,
+        max_rejected_share: f64,
+        of: impl Fn(Purpose) -> bool,
+    ) -> Option<(Purpose, RemovalReason)> {
+        let lost_share = self.experiment.lost_share();
         let arms = self.experiment.arms.iter().filter(|a| of(a.purpose));
-        arms.filter_map(|a| Some((a.purpose, a.harm(refused, lost)?))).next()
+        arms.filter_map(|a| Some((a.purpose, a.harm(max_rejected_share, lost_share)?))).next()
     }
 }
 
-/// Fewer fronts in an arm show nothing: one alone may be out of order, and one may go.
-const LEAST_ARM: usize = 3;
-/// Fronts of the control group, if there are any: with fewer it shows too little of how fronts differ by themselves
-/// (by trial runs, 4 canaries beside 16: harmless after 1 s, beside 4: after 7.5 s).
-pub(super) const LEAST_CONTROL: usize = 16;
+/// Minimum number of fronts in an arm: a single one may be faulty, and one may disconnect.
+const MIN_ARM: usize = 3;
+/// Minimum size of the control group, if there are enough fronts. A smaller one shows too little of how fronts
+/// differ by themselves: 4 canaries were judged harmless after 1 s with 16 control fronts, and after 7.5 s with
+/// 4.
+pub(super) const MIN_CONTROL: usize = 16;
 
-/// An arm that has been asked so much and shows nothing yet will not soon.
-pub(super) const PLENTY: u64 = 20_000;
+/// An arm without a verdict after this many accesses is unlikely to reach one soon.
+pub(super) const INCONCLUSIVE_ACCESSES: u64 = 20_000;
 
-/// Changes laid on a base: each alone, and all of them.
-struct Laid {
+/// Changes merged into a base: each alone, and all of them.
+struct MergedChanges {
     changes: Vec<u64>,
-    /// With whether it had to be laid on those before it, too.
+    /// The content with each change, and whether it also needed the changes before it.
     singles: Vec<(Arc<[u8]>, bool)>,
-    whole: Arc<[u8]>,
+    combined_content: Arc<[u8]>,
 }
 
-fn together(harm: Harm) -> Harm {
+fn as_interaction(harm: RemovalReason) -> RemovalReason {
     match harm {
-        Harm::Dropped { thousandths, accesses } => Harm::Together { thousandths, accesses },
+        RemovalReason::ServiceDrop { thousandths, accesses } => {
+            RemovalReason::Interaction { thousandths, accesses }
+        }
         other => other,
     }
 }
@@ -80,12 +91,12 @@
     pub(super) fn settings(&self, arm: usize, control: usize) -> TestSettings {
         TestSettings {
             false_stop: self.rules.false_stop,
-            tolerated_drop: self.drop,
-            least_fronts: arm.min(control).clamp(1, LEAST_ARM),
+            tolerated_drop: self.tolerated_drop,
+            min_fronts: arm.min(control).clamp(1, MIN_ARM),
         }
     }
 
-    /// Whatever can begin begins.
+    /// Starts whatever experiment can start.
     pub(super) fn advance(&mut self, now: Ticks) {
         if self.wide.is_none() && self.canary.as_ref().is_some_and(|c| c.passed) {
             self.open_wide(now);
@@ -99,103 +110,123 @@
 
     fn open_canary(&mut self, now: Ticks) {
         let base = self.wide.as_ref().map(|w| w.content).or(self.proven);
-        let seed = self.lineage + 1;
+        let seed = self.generation + 1;
         let pool = self.pool(now, base, seed);
-        let (there, blind) = (pool.left(), pool.known() < pool.left().min(2 * LEAST_CONTROL));
-        // After a start fronts are known within some reports of theirs.
-        if blind && now < self.waits_until(now) {
+        let (available, baselines_missing) =
+            (pool.available(), pool.with_baseline() < pool.available().min(2 * MIN_CONTROL));
+        // After a restart, fronts get a baseline within a few reports.
+        if baselines_missing && now < self.baseline_deadline(now) {
             return;
         }
-        self.known_by = None;
+        self.baselines_by = None;
         let connected = self.members.iter().filter(|m| m.connected).count();
-        // So many fronts may have what is not proven; the others of the pool are the control group.
+        // The number of fronts that may run an unproven content; the rest of the pool is the control group.
         let room = match &self.wide {
-            Some(_) => there.saturating_sub(LEAST_CONTROL.max(there / 3)),
-            None => ((self.rules.share * connected as f64) as usize).min(there / 2),
+            Some(_) => available.saturating_sub(MIN_CONTROL.max(available / 3)),
+            None => ((self.rules.share * connected as f64) as usize).min(available / 2),
         };
-        if self.wide.is_some() && room < LEAST_ARM {
+        if self.wide.is_some() && room < MIN_ARM {
             return;
         }
-        let fits = |k: usize| if k == 1 { LEAST_ARM } else { (k + 1) * LEAST_ARM } <= room;
-        let most = (1..=MOST_BATCH).rev().find(|&k| fits(k)).unwrap_or(1);
+        let fits = |k: usize| if k == 1 { MIN_ARM } else { (k + 1) * MIN_ARM } <= room;
+        let max_changes = (1..=MAX_BATCH).rev().find(|&k| fits(k)).unwrap_or(1);
         let alone = |n: &&u64| self.changes.get(n).is_some_and(|c| c.alone);
         let picked: Vec<u64> = match self.queue.first() {
             Some(first) if alone(&first) => vec![*first],
-            _ => self.queue.iter().take_while(|n| !alone(n)).take(most).copied().collect(),
+            _ => self.queue.iter().take_while(|n| !alone(n)).take(max_changes).copied().collect(),
+        };
+        let Some(MergedChanges { changes, singles, combined_content }) =
+            self.merge_changes(now, base, &picked)
+        else {
+            return;
         };
-        let Some(Laid { changes, singles, whole }) = self.lay(now, base, &picked) else { return };
-        let lineage = self.next_lineage();
-        let below = base.map_or(0, |key| self.contents.lineage(key));
+        let generation = self.next_generation();
+        let base_generation = base.map_or(0, |key| self.contents.generation(key));
         let arms = if changes.len() == 1 { 1 } else { changes.len() + 1 };
         let size = (room / arms).clamp(1, self.rules.canaries.max(1));
-        let wanted = (arms * size).max(LEAST_CONTROL);
-        let control = wanted.min(there.saturating_sub(arms * size)).max(1);
+        let wanted = (arms * size).max(MIN_CONTROL);
+        let control = wanted.min(available.saturating_sub(arms * size)).max(1);
         let settings = self.settings(size, control);
         let hash = base.and_then(|key| self.contents.id(key)).map(|id| id.hash);
         let mut experiment = Experiment::new(Slot::Canary, now, hash);
         experiment.control_size = control;
         experiment.others = connected;
-        // Single ones first: whoever goes from one of them to all together goes to a greater number.
+        // Singles first, so that a front that moves from one of them to the combined content gets a greater
+        // number.
         if changes.len() > 1 {
-            for (number, (content, builds)) in changes.iter().zip(singles) {
-                let key = self.contents.make(now, content, "", below);
+            for (number, (content, depends_on_earlier)) in changes.iter().zip(singles) {
+                let key = self.contents.create(now, content, "", base_generation);
                 let arm = Arm::new(Purpose::Single(*number), key, size, settings);
-                experiment.arms.push(Arm { builds, ..arm });
+                experiment.arms.push(Arm { depends_on_earlier, ..arm });
             }
         }
-        let content = self.whole(now, &changes, whole, lineage);
+        let content = self.content_key(now, &changes, combined_content, generation);
         let purpose = if changes.len() == 1 { Purpose::Single(changes[0]) } else { Purpose::Combined };
         experiment.arms.push(Arm::new(purpose, content, size, settings));
         for number in &changes {
             self.queue.remove(number);
             self.set_state(*number, ChangeState::Canary);
         }
-        let mut batch = Batch { changes, base, content, lineage, experiment, passed: false, blind };
+        let mut batch =
+            Batch { changes, base, content, generation, experiment, passed: false, baselines_missing };
         self.dirty = true;
         self.fill(now, &mut batch);
         let fronts = batch.experiment.arms.iter().map(|a| a.fronts.len()).sum();
-        self.tell(Line::Trial { stage: Stage::Canary, changes: batch.changes.clone(), fronts });
+        self.log(LogEvent::StageStarted { stage: Stage::Canary, changes: batch.changes.clone(), fronts });
         self.canary = Some(batch);
     }
 
-    /// Until when fronts may still become known by their long run.
-    fn waits_until(&mut self, now: Ticks) -> Ticks {
-        let until = *self.known_by.get_or_insert(now + self.rules.evidence_within);
-        self.steps.push(Step::Wake((now + self.rules.report_fast).min(until)));
+    /// How long to wait for fronts to get a baseline.
+    fn baseline_deadline(&mut self, now: Ticks) -> Ticks {
+        let until = *self.baselines_by.get_or_insert(now + self.rules.evidence_timeout);
+        self.effects.push(Effect::SetTimer((now + self.rules.report_fast).min(until)));
         until
     }
 
-    /// The number that a change was published under can be its content's where no front can run a later one.
-    fn whole(&mut self, now: Ticks, changes: &[u64], content: Arc<[u8]>, lineage: u64) -> Key {
+    /// Reuses the number that the change was published under if no front can run a later one; otherwise creates
+    /// a new content.
+    fn content_key(
+        &mut self,
+        now: Ticks,
+        changes: &[u64],
+        content: Arc<[u8]>,
+        generation: u64,
+    ) -> ContentKey {
         let newest = self.contents.newest;
         let same = self.contents.get(newest).is_some_and(|c| c.version.content == content);
         if changes == [newest] && same {
-            self.contents.set_lineage(newest, lineage);
+            self.contents.set_generation(newest, generation);
             return newest;
         }
-        self.contents.make(now, content, "", lineage)
+        self.contents.create(now, content, "", generation)
     }
 
-    /// Each change alone on the base, and all of them. What can't be laid on it goes out.
-    fn lay(&mut self, now: Ticks, base: Option<Key>, picked: &[u64]) -> Option<Laid> {
+    /// Merges each change alone, and all of them, into the base. A change that can't be merged is removed.
+    fn merge_changes(
+        &mut self,
+        now: Ticks,
+        base: Option<ContentKey>,
+        picked: &[u64],
+    ) -> Option<MergedChanges> {
         let base: Arc<[u8]> = base.and_then(|key| self.contents.bytes(key)).unwrap_or_default();
-        let (mut changes, mut singles, mut whole) = (Vec::new(), Vec::new(), base.clone());
+        let (mut changes, mut singles, mut combined_content) = (Vec::new(), Vec::new(), base.clone());
         for &number in picked {
             let Some(change) = self.changes.get(&number) else { continue };
             let (before, after) = (change.before.clone(), change.after.clone());
-            let Ok(all) = merge::merge(&before, &after, &whole) else {
+            let Ok(merged) = merge::merge(&before, &after, &combined_content) else {
                 let before = changes.last().copied().unwrap_or(number);
-                self.take_out(now, number, Harm::BuildsOn { change: before });
+                self.remove_change(now, number, RemovalReason::DependsOn { change: before });
                 return None;
             };
-            whole = all.into();
-            // One that builds on another of the batch can only be tried with it.
+            combined_content = merged.into();
+            // A change that depends on another one in the batch can only be tried with it.
             let alone = merge::merge(&before, &after, &base);
-            let single = alone.map_or_else(|_| (whole.clone(), true), |alone| (alone.into(), false));
+            let single =
+                alone.map_or_else(|_| (combined_content.clone(), true), |alone| (alone.into(), false));
             changes.push(number);
             singles.push(single);
         }
-        (!changes.is_empty()).then_some(Laid { changes, singles, whole })
+        (!changes.is_empty()).then_some(MergedChanges { changes, singles, combined_content })
     }
 
     pub(super) fn set_state(&mut self, number: u64, state: ChangeState) {
@@ -207,24 +238,24 @@
     pub(super) fn judge_canary(&mut self, now: Ticks) {
         let Some(batch) = &self.canary else { return };
         let single = |p| matches!(p, Purpose::Single(_));
-        if let Some((number, harm)) = batch.harmful_single(self.refused) {
-            return self.take_out(now, number, harm);
+        if let Some((number, harm)) = batch.harmful_single(self.max_rejected_share) {
+            return self.remove_change(now, number, harm);
         }
         if batch.passed {
             return;
         }
         let arms = &batch.experiment.arms;
         let singles_pass = arms.iter().filter(|a| single(a.purpose)).all(|a| a.harmless());
-        let combined = batch.purpose_harm(self.refused, |p| p == Purpose::Combined);
+        let combined = batch.harm_of(self.max_rejected_share, |p| p == Purpose::Combined);
         let prefixes = arms.iter().any(|a| matches!(a.purpose, Purpose::Prefix(_)));
         if prefixes {
             return self.judge_prefixes(now);
         }
         if let Some((_, harm)) = combined {
             if singles_pass {
-                self.split(now, harm);
+                self.test_prefixes(now, harm);
             }
-            return self.thin(now);
+            return self.handle_thin_evidence(now);
         }
         if arms.iter().all(|a| a.harmless()) {
             if let Some(batch) = &mut self.canary {
@@ -232,28 +263,33 @@
             }
             return self.advance(now);
         }
-        self.thin(now);
+        self.handle_thin_evidence(now);
     }
 
-    /// All together do harm and none alone: the first that does with those before it is to be found.
-    fn split(&mut self, now: Ticks, harm: Harm) {
+    /// All changes combined are harmful and none is alone: tries growing prefixes of the batch to find the
+    /// first change that is harmful with those before it.
+    fn test_prefixes(&mut self, now: Ticks, harm: RemovalReason) {
         let Some(batch) = &self.canary else { return };
         let (changes, base) = (batch.changes.clone(), batch.base);
         let Some(&last) = changes.last() else { return };
         if changes.len() == 2 {
-            return self.take_out(now, last, together(harm));
+            return self.remove_change(now, last, as_interaction(harm));
         }
         let Some(mut batch) = self.canary.take() else { return };
-        self.release(&batch, Slot::Canary);
-        let below = base.map_or(0, |key| self.contents.lineage(key));
+        self.release_fronts(&batch, Slot::Canary);
+        let base_generation = base.map_or(0, |key| self.contents.generation(key));
         let size = batch.experiment.arms.first().map_or(1, |a| a.size);
         let settings = self.settings(size, batch.experiment.control_size);
         let mut experiment = Experiment::new(Slot::Canary, now, batch.experiment.control_hash);
         (experiment.control_size, experiment.others) =
             (batch.experiment.control_size, batch.experiment.others);
         for count in 2..changes.len() {
-            let Some(Laid { whole, .. }) = self.lay(now, base, &changes[..count]) else { return };
-            let key = self.contents.make(now, whole, "", below);
+            let Some(MergedChanges { combined_content, .. }) =
+                self.merge_changes(now, base, &changes[..count])
+            else {
+                return;
+            };
+            let key = self.contents.create(now, combined_content, "", base_generation);
             experiment.arms.push(Arm::new(Purpose::Prefix(count), key, size, settings));
         }
         batch.experiment = experiment;
@@ -263,72 +299,74 @@
 
     fn judge_prefixes(&mut self, now: Ticks) {
         let Some(batch) = &self.canary else { return };
-        let (lost, changes) = (batch.experiment.lost(), &batch.changes);
+        let (lost_share, changes) = (batch.experiment.lost_share(), &batch.changes);
         for arm in &batch.experiment.arms {
             let Purpose::Prefix(count) = arm.purpose else { continue };
-            if let Some(harm) = arm.harm(self.refused, lost) {
+            if let Some(harm) = arm.harm(self.max_rejected_share, lost_share) {
                 let number = changes[count - 1];
-                return self.take_out(now, number, together(harm));
+                return self.remove_change(now, number, as_interaction(harm));
             }
             if !arm.harmless() {
-                return self.thin(now);
+                return self.handle_thin_evidence(now);
             }
         }
         if let Some(&last) = changes.last() {
-            // All but the last together do none.
-            self.take_out(now, last, Harm::Together { thousandths: 0, accesses: 0 });
+            // All changes but the last are harmless together.
+            self.remove_change(now, last, RemovalReason::Interaction { thousandths: 0, accesses: 0 });
         }
     }
 
-    /// Where the time for evidence is over: goes on unproven, if the setting says so.
-    fn thin(&mut self, now: Ticks) {
+    /// After the time for evidence has run out: continues unproven if the settings say so.
+    fn handle_thin_evidence(&mut self, now: Ticks) {
         let Some(batch) = &mut self.canary else { return };
-        if now < batch.experiment.since + self.rules.evidence_within || batch.passed {
+        if now < batch.experiment.since + self.rules.evidence_timeout || batch.passed {
             return;
         }
-        if let Some(harm) = silent(&batch.experiment, &self.members, &self.contents) {
+        if let Some(harm) = unresponsive_arm(&batch.experiment, &self.members, &self.contents) {
             let number = match harm.0 {
                 Purpose::Single(number) => Some(number),
                 _ => batch.changes.last().copied(),
             };
-            return number.into_iter().for_each(|n| self.take_out(now, n, harm.1.clone()));
+            return number.into_iter().for_each(|n| self.remove_change(now, n, harm.1.clone()));
         }
-        let plenty = batch.experiment.arms.iter().any(|a| a.undecided_after(PLENTY));
-        if self.rules.thin_traffic == ThinTraffic::Wait && (batch.blind || plenty) {
-            // Perhaps they are known by now; or it is its fronts, or one that lies, that nothing can be told by.
+        let inconclusive = batch.experiment.arms.iter().any(|a| a.is_inconclusive(INCONCLUSIVE_ACCESSES));
+        if self.rules.thin_traffic == ThinTraffic::Wait && (batch.baselines_missing || inconclusive) {
+            // Starts over: by now fronts may have baselines, or the chosen fronts, perhaps one with false
+            // reports, make a verdict impossible.
             self.abandon(Slot::Canary);
             return self.advance(now);
         }
-        if self.rules.thin_traffic == ThinTraffic::GoOn {
+        if self.rules.thin_traffic == ThinTraffic::Continue {
             batch.passed = true;
             let changes = batch.changes.clone();
-            self.unproven(&changes);
+            self.mark_unproven(&changes);
             self.advance(now);
         }
     }
 
-    pub(super) fn unproven(&mut self, changes: &[u64]) {
+    pub(super) fn mark_unproven(&mut self, changes: &[u64]) {
         for &number in changes {
             if let Some(change) = self.changes.get_mut(&number).filter(|c| !c.unproven) {
                 change.unproven = true;
-                self.tell(Line::WentOnUnproven { change: number });
+                self.log(LogEvent::ContinuedUnproven { change: number });
             }
         }
     }
 }
 
-/// An arm most of whose fronts are connected and have not taken what they were given.
-fn silent(
+/// An arm most of whose fronts are connected but have not applied their content.
+fn unresponsive_arm(
     experiment: &Experiment,
     members: &[super::members::Member],
     contents: &super::contents::Contents,
-) -> Option<(Purpose, Harm)> {
+) -> Option<(Purpose, RemovalReason)> {
     experiment.arms.iter().find_map(|arm| {
         let hash = contents.id(arm.content)?.hash;
-        let lacks =
-            |at: &&usize| members[**at].connected && members[**at].runs.is_none_or(|r| r.hash != hash);
-        let count = arm.fronts.iter().filter(lacks).count();
-        let harm = Harm::Missing { count, of: arm.given };
-        (count >= LEAST_ARM && 2 * count > arm.given).then_some((arm.purpose, harm))
+        let outdated = |index: &&usize| {
+            members[**index].connected && members[**index].running.is_none_or(|r| r.hash != hash)
+        };
+        let count = arm.fronts.iter().filter(outdated).count();
+        let harm = RemovalReason::FrontsLost { count, of: arm.assigned };
+        (count >= MIN_ARM && 2 * count > arm.assigned).then_some((arm.purpose, harm))
     })
 }
--- a/crates/versions/src/trial/changes.rs
+++ b/crates/versions/src/trial/changes.rs
@@ -1,50 +1,52 @@
-//! Changes as they are published, made everyone's, and known to be in force.
+//! The life of a change outside its experiments: published, proven, in force, settled.
 
 use std::sync::Arc;
 
-use super::{Change, ChangeRow, ChangeState, Harm, Spread, Step, Trials};
-use crate::service::{Line, NotPublished};
-use crate::{Id, MOST_CONTENT, Ticks, delta, merge};
+use super::{Change, ChangeRow, ChangeState, Effect, Propagation, RemovalReason, Trials};
+use crate::service::{LogEvent, PublishError};
+use crate::{MAX_CONTENT_BYTES, Ticks, VersionId, delta, merge};
 
-/// Bytes of contents that wait: a content's is shared by the change that made it and the next.
-const MOST_WAITING: usize = 512 << 20;
+/// Limit of the bytes of queued contents. A content is shared by the change that created it and the next one.
+const MAX_QUEUED_BYTES: usize = 512 << 20;
 
 impl Trials {
-    /// Whether anything may be published now: against the head, or against another content that is kept.
-    pub(crate) fn may_publish(&self, bytes: usize) -> Result<(), NotPublished> {
-        if bytes > MOST_CONTENT {
-            return Err(NotPublished::TooLong(bytes));
+    /// Whether a publication is allowed now, against the head or another content that is kept.
+    pub(crate) fn may_publish(&self, bytes: usize) -> Result<(), PublishError> {
+        if bytes > MAX_CONTENT_BYTES {
+            return Err(PublishError::TooLarge(bytes));
         }
         let waiting = self.queue.len();
-        let waits: usize = self.queue.iter().filter_map(|n| self.changes.get(n)).map(|c| c.after.len()).sum();
-        if waiting >= self.rules.most_queued || waits + bytes > MOST_WAITING {
-            return Err(NotPublished::QueueFull { waiting });
+        let queued_bytes: usize =
+            self.queue.iter().filter_map(|n| self.changes.get(n)).map(|c| c.after.len()).sum();
+        if waiting >= self.rules.max_queued || queued_bytes + bytes > MAX_QUEUED_BYTES {
+            return Err(PublishError::QueueFull { waiting });
         }
         Ok(())
     }
 
-    /// `against`: the content that whoever publishes has changed; none: the head, and what is published replaces it.
+    /// `against`: the content that the publisher edited; `None` if it was the head, which the new content then
+    /// replaces.
     pub(crate) fn publish(
         &mut self,
         now: Ticks,
         content: Arc<[u8]>,
         note: &str,
         against: Option<Arc<[u8]>>,
-    ) -> Result<Id, NotPublished> {
+    ) -> Result<VersionId, PublishError> {
         self.may_publish(content.len())?;
         let before = self.head.and_then(|key| self.contents.bytes(key)).unwrap_or_default();
         let after: Arc<[u8]> = match against {
             None => content,
             Some(base) => merge::merge(&base, &before, &content)
-                .map_err(|_| NotPublished::Expected { last: self.head() })?
+                .map_err(|_| PublishError::Conflict { last: self.head() })?
                 .into(),
         };
-        if after.len() > MOST_CONTENT {
-            return Err(NotPublished::TooLong(after.len()));
+        if after.len() > MAX_CONTENT_BYTES {
+            return Err(PublishError::TooLarge(after.len()));
         }
-        let key = self.contents.make(now, after.clone(), note, 0);
+        let key = self.contents.create(now, after.clone(), note, 0);
         let Some(version) = self.contents.get(key).map(|c| c.version.clone()) else {
-            return Err(NotPublished::NoSuchVersion);
+            return Err(PublishError::NoSuchVersion);
         };
         let id = version.id;
         let change = Change {
@@ -63,34 +65,34 @@
         self.queue.insert(id.number);
         self.head = Some(key);
         self.dirty = true;
-        self.steps.extend([Step::Keep(version), Step::Wake(now)]);
+        self.effects.extend([Effect::Store(version), Effect::SetTimer(now)]);
         Ok(id)
     }
 
-    /// It could not be stored: nothing of it has been offered to anybody.
+    /// Undoes a publication that could not be stored; nothing of it has been offered to anybody.
     pub(crate) fn withdraw(&mut self, number: u64) {
         if let Some(change) = self.changes.remove(&number) {
             self.queue.remove(&number);
             self.head = change.previous;
-            self.steps.clear();
-            self.contents.unreserve();
+            self.effects.clear();
+            self.contents.release_reservation();
             self.dirty = true;
         }
     }
 
-    /// A content that was good before becomes everyone's at once, in place of all that is not settled.
-    pub(crate) fn roll_back(&mut self, now: Ticks, content: Arc<[u8]>, note: &str) -> Option<Id> {
+    /// Makes an earlier content the proven one at once, in place of everything that is not settled.
+    pub(crate) fn roll_back(&mut self, now: Ticks, content: Arc<[u8]>, note: &str) -> Option<VersionId> {
         self.drop_batches();
         for (number, change) in std::mem::take(&mut self.changes) {
-            let state = ChangeState::TakenOut(Harm::RolledBack);
+            let state = ChangeState::Removed(RemovalReason::RolledBack);
             self.settle(ChangeRow { number, note: change.note, state });
-            self.tell(Line::TakenOut { change: number, why: Harm::RolledBack });
+            self.log(LogEvent::ChangeRemoved { change: number, reason: RemovalReason::RolledBack });
         }
         self.queue.clear();
-        self.spreads.clear();
+        self.propagations.clear();
         let before = self.proven.and_then(|key| self.contents.bytes(key)).unwrap_or_default();
-        let lineage = self.next_lineage();
-        let key = self.contents.make(now, content.clone(), note, lineage);
+        let generation = self.next_generation();
+        let key = self.contents.create(now, content.clone(), note, generation);
         let id = self.contents.id(key)?;
         let change = Change {
             id,
@@ -105,17 +107,17 @@
             watched_until: None,
         };
         self.changes.insert(id.number, change);
-        self.prove(now, key, lineage, vec![id.number]);
+        self.mark_proven(now, key, generation, vec![id.number]);
         self.head = Some(key);
         Some(id)
     }
 
-    /// From now on everyone is to have this content.
-    pub(super) fn prove(&mut self, now: Ticks, key: u64, lineage: u64, changes: Vec<u64>) {
+    /// From now on all fronts are to run this content.
+    pub(super) fn mark_proven(&mut self, now: Ticks, key: u64, generation: u64, changes: Vec<u64>) {
         self.proven = Some(key);
         if let Some(content) = self.contents.get(key) {
             let version = content.version.clone();
-            self.steps.extend([Step::Base(Some(version.id.number)), Step::Keep(version)]);
+            self.effects.extend([Effect::SetBase(Some(version.id.number)), Effect::Store(version)]);
         }
         for number in &changes {
             if let Some(change) = self.changes.get_mut(number) {
@@ -123,41 +125,41 @@
             }
         }
         self.dirty = true;
-        self.spreads.push_back(Spread { lineage, changes, not_before: now });
-        for at in 0..self.members.len() {
-            // Whoever ran this content before it was everyone's has all that is in it.
-            let m = &self.members[at];
-            self.count(at, m.connected, m.runs);
-            if self.members[at].place.is_none() {
-                self.aim(at);
+        self.propagations.push_back(Propagation { generation, changes, log_from: now });
+        for index in 0..self.members.len() {
+            // A front that already ran this content has everything that is in it.
+            let m = &self.members[index];
+            self.track(index, m.connected, m.running);
+            if self.members[index].assigned.is_none() {
+                self.offer_target(index);
             }
         }
-        self.in_force(now);
+        self.check_in_force(now);
     }
 
-    /// Whether what is on its way to everyone has come to every connected front.
-    pub(super) fn in_force(&mut self, now: Ticks) {
-        let least = self.lineages.first_key_value().map_or(u64::MAX, |l| *l.0);
-        let mut at = 0;
-        while let Some(spread) = self.spreads.get(at) {
-            if spread.lineage > least || now < spread.not_before {
-                at += 1;
+    /// Reports batches as in force that every connected front has confirmed.
+    pub(super) fn check_in_force(&mut self, now: Ticks) {
+        let oldest = self.generations.first_key_value().map_or(u64::MAX, |l| *l.0);
+        let mut next = 0;
+        while let Some(propagation) = self.propagations.get(next) {
+            if propagation.generation > oldest || now < propagation.log_from {
+                next += 1;
                 continue;
             }
-            let Some(spread) = self.spreads.remove(at) else { break };
-            for number in spread.changes {
+            let Some(propagation) = self.propagations.remove(next) else { break };
+            for number in propagation.changes {
                 let Some(change) = self.changes.get_mut(&number) else { continue };
                 change.state = if change.unproven { ChangeState::Unproven } else { ChangeState::InForce };
                 change.watched_until = Some(now + self.rules.watch);
                 let id = change.id;
-                self.tell(Line::InForce(id));
+                self.log(LogEvent::InForce(id));
             }
         }
     }
 
-    /// Changes that have been observed for long enough are settled.
-    pub(super) fn expire(&mut self, now: Ticks) {
-        let over = |c: &Change| c.watched_until.is_some_and(|at| at <= now);
+    /// Settles changes that have been observed for long enough.
+    pub(super) fn settle_watched(&mut self, now: Ticks) {
+        let over = |c: &Change| c.watched_until.is_some_and(|until| until <= now);
         let done: Vec<u64> = self.changes.iter().filter(|c| over(c.1)).map(|c| *c.0).collect();
         for number in done {
             if let Some(Change { note, state, .. }) = self.changes.remove(&number) {
--- a/crates/versions/src/trial/choose.rs
+++ b/crates/versions/src/trial/choose.rs
@@ -1,24 +1,25 @@
-//! Which fronts take part in an experiment: arms of different stations, and a control group of the same stations.
+//! Chooses the fronts of an experiment: arms from different stations, and a control group from the same
+//! stations.
 
 use std::collections::BTreeMap;
 
 use super::batch::Batch;
-use super::contents::Key;
+use super::contents::ContentKey;
 use super::members::{Group, Slot};
-use super::{Step, Trials};
+use super::{Effect, Trials};
 use crate::Ticks;
 
-/// Fronts that may be chosen, by station; each is given once.
+/// Eligible fronts by station; each is handed out once.
 pub(super) struct Pool {
     stations: Vec<(u32, Vec<usize>)>,
-    of: BTreeMap<u32, usize>,
+    by_station: BTreeMap<u32, usize>,
     next: usize,
-    left: usize,
-    /// How many of them are known by their long run.
-    known: usize,
+    available: usize,
+    /// How many of them have a baseline.
+    with_baseline: usize,
 }
 
-/// A well-mixed number, so that it is not always the same fronts that go first (SplitMix64).
+/// Mixes a seed (SplitMix64), so that it is not always the same fronts that go first.
 fn mixed(seed: u64) -> u64 {
     let mut z = seed.wrapping_add(0x9E37_79B9_7F4A_7C15);
     z = (z ^ (z >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
@@ -27,103 +28,107 @@
 }
 
 impl Pool {
-    pub fn left(&self) -> usize {
-        self.left
+    pub fn available(&self) -> usize {
+        self.available
     }
 
-    pub fn known(&self) -> usize {
-        self.known
+    pub fn with_baseline(&self) -> usize {
+        self.with_baseline
     }
 
     fn pop(&mut self, index: usize) -> Option<usize> {
-        let at = self.stations.get_mut(index)?.1.pop()?;
-        self.left -= 1;
-        Some(at)
+        let index = self.stations.get_mut(index)?.1.pop()?;
+        self.available -= 1;
+        Some(index)
     }
 
-    /// One of the next station that has any.
-    pub fn any(&mut self) -> Option<usize> {
+    /// A front of the next station that has any left.
+    pub fn take_next(&mut self) -> Option<usize> {
         for _ in 0..self.stations.len() {
             let index = self.next % self.stations.len();
             self.next = index + 1;
-            if let Some(at) = self.pop(index) {
-                return Some(at);
+            if let Some(index) = self.pop(index) {
+                return Some(index);
             }
         }
         None
     }
 
-    /// One of this station, or else of another.
-    pub fn like(&mut self, station: u32) -> Option<usize> {
-        let own = self.of.get(&station).copied().and_then(|index| self.pop(index));
-        own.or_else(|| self.any())
+    /// A front of this station, or else of another one.
+    pub fn take_from_station(&mut self, station: u32) -> Option<usize> {
+        let own = self.by_station.get(&station).copied().and_then(|index| self.pop(index));
+        own.or_else(|| self.take_next())
     }
 }
 
 impl Trials {
-    /// Fronts that may take part where `base` is what the changes are laid on: those in the wide experiment where that
-    /// is its content, or else those that have no part in anything. Whoever has said how it serves comes first.
-    pub(super) fn pool(&self, now: Ticks, base: Option<Key>, seed: u64) -> Pool {
+    /// Fronts that are eligible for an experiment on `base`: those of the wide experiment if `base` is its
+    /// content, otherwise those in no experiment. Fronts with a baseline come first.
+    pub(super) fn pool(&self, now: Ticks, base: Option<ContentKey>, seed: u64) -> Pool {
         let wide = self.wide.as_ref().map(|w| w.content).filter(|w| Some(*w) == base);
-        let may = |at: &usize| {
-            let m = &self.members[*at];
+        let eligible = |index: &usize| {
+            let m = &self.members[*index];
             let free = match wide {
                 Some(key) => {
-                    m.place == Some(key)
-                        && m.seat(Slot::Canary).is_none()
-                        && m.seat(Slot::Wide).is_some_and(|s| s.group != Group::Control)
+                    m.assigned == Some(key)
+                        && m.enrollment(Slot::Canary).is_none()
+                        && m.enrollment(Slot::Wide).is_some_and(|s| s.group != Group::Control)
                 }
-                None => m.place.is_none() && !m.has_seat(),
+                None => m.assigned.is_none() && !m.is_enrolled(),
             };
-            m.connected && free && m.believed(now)
+            m.connected && free && m.is_trusted(now)
         };
-        let mut fronts: Vec<usize> = (0..self.members.len()).filter(may).collect();
-        // The last of a station's is taken first.
-        fronts.sort_by_key(|&at| (self.members[at].known(), mixed(seed ^ mixed(at as u64))));
+        let mut fronts: Vec<usize> = (0..self.members.len()).filter(eligible).collect();
+        // The last front of each station is taken first.
+        fronts.sort_by_key(|&index| (self.members[index].has_baseline(), mixed(seed ^ mixed(index as u64))));
         let mut stations: BTreeMap<u32, Vec<usize>> = BTreeMap::new();
-        let left = fronts.len();
-        let known = fronts.iter().filter(|&&at| self.members[at].known()).count();
-        fronts.into_iter().for_each(|at| stations.entry(self.members[at].station).or_default().push(at));
+        let available = fronts.len();
+        let with_baseline = fronts.iter().filter(|&&index| self.members[index].has_baseline()).count();
+        fronts
+            .into_iter()
+            .for_each(|index| stations.entry(self.members[index].station).or_default().push(index));
         let mut stations: Vec<(u32, Vec<usize>)> = stations.into_iter().collect();
         stations.sort_by_key(|s| mixed(seed ^ u64::from(s.0)));
-        let of = stations.iter().enumerate().map(|(index, s)| (s.0, index)).collect();
-        Pool { stations, of, next: 0, left, known }
+        let by_station = stations.iter().enumerate().map(|(index, s)| (s.0, index)).collect();
+        Pool { stations, by_station, next: 0, available, with_baseline }
     }
 
-    /// Brings each arm and the control group to their sizes.
+    /// Fills each arm and the control group up to their sizes.
     pub(super) fn fill(&mut self, now: Ticks, batch: &mut Batch) {
         let missing = |has: usize, size: usize| size.saturating_sub(has);
         let experiment = &batch.experiment;
-        let replaced = |at: &usize| self.members[*at].seat(experiment.slot).is_some_and(|s| s.replaced);
-        let present = |fronts: &[usize]| fronts.iter().filter(|at| !replaced(at)).count();
-        let wants: Vec<usize> = experiment.arms.iter().map(|a| missing(present(&a.fronts), a.size)).collect();
+        let replaced =
+            |index: &usize| self.members[*index].enrollment(experiment.slot).is_some_and(|s| s.replaced);
+        let present = |fronts: &[usize]| fronts.iter().filter(|index| !replaced(index)).count();
+        let vacancies: Vec<usize> =
+            experiment.arms.iter().map(|a| missing(present(&a.fronts), a.size)).collect();
         let control = missing(experiment.control.len(), experiment.control_size);
-        if control == 0 && wants.iter().all(|&w| w == 0) {
+        if control == 0 && vacancies.iter().all(|&w| w == 0) {
             return;
         }
-        let mut pool = self.pool(now, batch.base, batch.lineage ^ now);
+        let mut pool = self.pool(now, batch.base, batch.generation ^ now);
         let slot = experiment.slot;
-        for (arm, want) in wants.into_iter().enumerate() {
+        for (arm, vacant) in vacancies.into_iter().enumerate() {
             let content = batch.experiment.arms[arm].content;
             let hash = self.contents.id(content).map(|id| id.hash);
-            for _ in 0..want {
-                // One that turned it down never starts on it.
-                let fits = |at: &usize| hash.is_none_or(|h| !self.members[*at].refused.contains(&h));
-                let Some(at) = std::iter::from_fn(|| pool.any()).find(fits) else { break };
-                batch.experiment.arms[arm].fronts.push(at);
-                batch.experiment.arms[arm].given += 1;
-                let m = &mut self.members[at];
-                // Of two experiments whose arms it can't both be in, the later.
-                m.seats[Slot::Wide as usize] = None;
-                m.sit(slot, Group::Arm(arm), now);
-                m.place = Some(content);
+            for _ in 0..vacant {
+                // A front never applies a content that it rejected.
+                let fits = |index: &usize| hash.is_none_or(|h| !self.members[*index].rejected.contains(&h));
+                let Some(index) = std::iter::from_fn(|| pool.take_next()).find(fits) else { break };
+                batch.experiment.arms[arm].fronts.push(index);
+                batch.experiment.arms[arm].assigned += 1;
+                let m = &mut self.members[index];
+                // A front can't be in the arms of two experiments: it moves to the later one.
+                m.enrollments[Slot::Wide as usize] = None;
+                m.enroll(slot, Group::Arm(arm), now);
+                m.assigned = Some(content);
                 if slot == Slot::Canary
                     && let Some(wide) = &mut self.wide
                 {
-                    wide.experiment.leave(at, Group::Arm(0));
+                    wide.experiment.leave(index, Group::Arm(0));
                 }
-                self.pace(at);
-                self.aim(at);
+                self.update_report_interval(index);
+                self.offer_target(index);
             }
         }
         let stations: Vec<u32> = batch
@@ -131,48 +136,48 @@
             .arms
             .iter()
             .flat_map(|a| &a.fronts)
-            .map(|&at| self.members[at].station)
+            .map(|&index| self.members[index].station)
             .collect();
         for nth in 0..control {
             let chosen = match stations.get(nth % stations.len().max(1)) {
-                Some(station) => pool.like(*station),
-                None => pool.any(),
+                Some(station) => pool.take_from_station(*station),
+                None => pool.take_next(),
             };
-            let Some(at) = chosen else { break };
-            batch.experiment.control.push(at);
-            self.members[at].sit(slot, Group::Control, now);
-            self.pace(at);
+            let Some(index) = chosen else { break };
+            batch.experiment.control.push(index);
+            self.members[index].enroll(slot, Group::Control, now);
+            self.update_report_interval(index);
         }
     }
 
-    /// Tells a front how often to report, where that is another pace than it keeps.
-    pub(super) fn pace(&mut self, at: usize) {
-        let m = &mut self.members[at];
-        let fast = m.has_seat();
-        if m.connected && m.fast != fast {
-            m.fast = fast;
-            let every = if fast { self.rules.report_fast } else { self.rules.report_slow };
-            self.steps.push(Step::Pace(at, every));
+    /// Requests another report interval from a front if it has changed.
+    pub(super) fn update_report_interval(&mut self, index: usize) {
+        let m = &mut self.members[index];
+        let fast = m.is_enrolled();
+        if m.connected && m.fast_reports != fast {
+            m.fast_reports = fast;
+            let interval = if fast { self.rules.report_fast } else { self.rules.report_slow };
+            self.effects.push(Effect::SetReportInterval(index, interval));
         }
     }
 
-    /// Its goal may be another than it was: it is offered that, under a number that is later than what it runs.
-    pub(super) fn aim(&mut self, at: usize) {
-        let m = &self.members[at];
-        let Some(key) = m.place.or(self.proven) else { return };
+    /// Offers a front its target, which may have changed, under a later number than the front runs.
+    pub(super) fn offer_target(&mut self, index: usize) {
+        let m = &self.members[index];
+        let Some(key) = m.assigned.or(self.proven) else { return };
         let Some(id) = self.contents.id(key) else { return };
-        if m.runs.is_some_and(|runs| runs.hash == id.hash) {
+        if m.running.is_some_and(|running| running.hash == id.hash) {
             return;
         }
-        // What it was offered may have come to it, though it has not said so yet.
-        let runs = m.runs.map_or((0, 0), |runs| runs.place());
-        let later = runs >= id.place() || m.offered.is_some_and(|o| o > id.place());
-        let restated = if later { self.contents.restate(key).cloned() } else { None };
-        if let Some(version) = restated.filter(|_| Some(key) == self.proven) {
+        // It may already run what it was offered without having confirmed it.
+        let running = m.running.map_or((0, 0), |running| running.position());
+        let needs_renumbering = running >= id.position() || m.offered.is_some_and(|o| o > id.position());
+        let renumbered = if needs_renumbering { self.contents.renumber(key).cloned() } else { None };
+        if let Some(version) = renumbered.filter(|_| Some(key) == self.proven) {
             self.dirty = true;
-            self.steps.extend([Step::Base(Some(version.id.number)), Step::Keep(version)]);
+            self.effects.extend([Effect::SetBase(Some(version.id.number)), Effect::Store(version)]);
         }
-        self.members[at].offered = self.contents.id(key).map(|id| id.place());
-        self.steps.push(Step::Offer(at));
+        self.members[index].offered = self.contents.id(key).map(|id| id.position());
+        self.effects.push(Effect::Offer(index));
     }
 }
--- a/crates/versions/src/trial/experiment.rs
+++ b/crates/versions/src/trial/experiment.rs
@@ -1,78 +1,81 @@
-//! An experiment under way: arms against one control group, and what came of each.
+//! A running experiment: arms compared with one control group, and their results.
 
 use crate::evidence::{Comparison, FrontKey, FrontSample, TestSettings, Verdict};
-use crate::{Reason, Ticks};
+use crate::{RejectionReason, Ticks};
 
-use super::Harm;
-use super::contents::Key;
+use super::RemovalReason;
+use super::contents::ContentKey;
 use super::members::{Group, Member, Slot};
 
-/// What an arm tries.
+/// What an arm tests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Purpose {
-    /// This change alone.
+    /// One change alone.
     Single(u64),
-    /// The first changes of the batch, that many.
+    /// The first changes of the batch, up to this count.
     Prefix(usize),
-    /// All of the batch.
+    /// All changes of the batch.
     Combined,
 }
 
 #[derive(Clone, Debug)]
 pub(super) struct Arm {
     pub purpose: Purpose,
-    pub content: Key,
-    /// It can't be tried without those before it: what they do is not its fault.
-    pub builds: bool,
-    /// How many fronts it is to have.
+    pub content: ContentKey,
+    /// It can't be tried without the changes before it, and is not to blame for their effects.
+    pub depends_on_earlier: bool,
+    /// How many fronts it should have.
     pub size: usize,
     pub fronts: Vec<usize>,
     pub comparison: Comparison,
-    /// Fronts that it was ever given to, and of these: gone, turned down, not there in time.
-    pub given: usize,
-    pub gone: usize,
-    pub refused: usize,
+    /// Fronts that were ever assigned to it; and how many of these disconnected, rejected it, or did not apply
+    /// it in time.
+    pub assigned: usize,
+    pub lost: usize,
+    pub rejected: usize,
     pub slow: usize,
-    pub first_refusal: Option<Reason>,
+    pub first_refusal: Option<RejectionReason>,
 }
 
 impl Arm {
-    pub fn new(purpose: Purpose, content: Key, size: usize, settings: TestSettings) -> Arm {
+    pub fn new(purpose: Purpose, content: ContentKey, size: usize, settings: TestSettings) -> Arm {
         Arm {
             purpose,
             content,
-            builds: false,
+            depends_on_earlier: false,
             size,
             fronts: Vec::new(),
             comparison: Comparison::new(settings),
-            given: 0,
-            gone: 0,
-            refused: 0,
+            assigned: 0,
+            lost: 0,
+            rejected: 0,
             slow: 0,
             first_refusal: None,
         }
     }
 
-    /// Whether fronts have shown that it does harm. `lost`: the share of all other fronts that have gone meanwhile.
-    pub fn harm(&self, refused: f64, lost: f64) -> Option<Harm> {
-        if self.refused as f64 > refused * self.given as f64 {
-            let first = self.first_refusal.clone().unwrap_or(Reason::Contradicts);
-            return Some(Harm::Refused { count: self.refused, of: self.given, first });
+    /// The harm that its fronts have shown, if any. `lost_share`: the share of all other fronts that have
+    /// disconnected since the start.
+    pub fn harm(&self, max_rejected_share: f64, lost_share: f64) -> Option<RemovalReason> {
+        if self.rejected as f64 > max_rejected_share * self.assigned as f64 {
+            let first = self.first_refusal.clone().unwrap_or(RejectionReason::ConflictingContent);
+            return Some(RemovalReason::Rejected { count: self.rejected, of: self.assigned, first });
         }
-        if self.gone >= 2 && tail(self.given, self.gone, lost) < MISSING_BY_CHANCE {
-            return Some(Harm::Missing { count: self.gone, of: self.given });
+        if self.lost >= 2 && binomial_tail(self.assigned, self.lost, lost_share) < LOSS_SIGNIFICANCE {
+            return Some(RemovalReason::FrontsLost { count: self.lost, of: self.assigned });
         }
         match self.comparison.verdict() {
-            Verdict::Harmful { drop, accesses } => {
-                Some(Harm::Dropped { thousandths: (1e3 * drop.clamp(0.0, 1.0)).round() as u32, accesses })
-            }
+            Verdict::Harmful { drop, accesses } => Some(RemovalReason::ServiceDrop {
+                thousandths: (1e3 * drop.clamp(0.0, 1.0)).round() as u32,
+                accesses,
+            }),
             _ => None,
         }
     }
 
-    /// Whether nothing can be told though it was asked that much.
-    pub fn undecided_after(&self, plenty: u64) -> bool {
-        matches!(self.comparison.verdict(), Verdict::Undecided { accesses } if accesses >= plenty)
+    /// Whether there is no verdict after this many accesses.
+    pub fn is_inconclusive(&self, min_accesses: u64) -> bool {
+        matches!(self.comparison.verdict(), Verdict::Undecided { accesses } if accesses >= min_accesses)
     }
 
     pub fn harmless(&self) -> bool {
@@ -80,13 +83,14 @@
     }
 }
 
-/// Fronts that go while others stay: less likely than this by chance, and what they were given is to blame.
-const MISSING_BY_CHANCE: f64 = 1e-5;
+/// If fronts disconnect while others stay, and this is less likely than this by chance, their content is to
+/// blame.
+const LOSS_SIGNIFICANCE: f64 = 1e-5;
 
-/// Probability that of `of` fronts at least `count` go, where each goes with probability `p`.
-fn tail(of: usize, count: usize, p: f64) -> f64 {
+/// Probability that at least `count` of `of` fronts disconnect if each does so with probability `p`.
+fn binomial_tail(of: usize, count: usize, p: f64) -> f64 {
     let (p, mut sum) = (p.clamp(1e-9, 1.0 - 1e-9), 0.0);
-    // From none on, each from the one before.
+    // Terms of the binomial distribution from zero on, each computed from the one before.
     let mut term = (1.0 - p).powi(of.min(i32::MAX as usize) as i32);
     for k in 0..count.min(of + 1) {
         sum += term;
@@ -101,15 +105,15 @@
     pub arms: Vec<Arm>,
     pub control: Vec<usize>,
     pub control_size: usize,
-    /// What the control group runs; none: whatever each runs.
+    /// The content that the control group runs; `None` if each runs whatever it has.
     pub control_hash: Option<[u8; 32]>,
-    /// Members that have reported since the last look.
-    pub fresh: usize,
-    pub looked: Ticks,
+    /// Members that have reported since the last sample.
+    pub reported: usize,
+    pub sampled_at: Ticks,
     pub since: Ticks,
-    /// Connected fronts when it began, and how many have gone that are in no arm of it.
+    /// Connected fronts when it began, and how many outside its arms have disconnected since.
     pub others: usize,
-    pub others_gone: usize,
+    pub others_lost: usize,
 }
 
 impl Experiment {
@@ -120,11 +124,11 @@
             control: Vec::new(),
             control_size: 0,
             control_hash,
-            fresh: 0,
-            looked: now,
+            reported: 0,
+            sampled_at: now,
             since: now,
             others: 0,
-            others_gone: 0,
+            others_lost: 0,
         }
     }
 
@@ -132,37 +136,38 @@
         self.control.len() + self.arms.iter().map(|a| a.fronts.len()).sum::<usize>()
     }
 
-    /// The share of fronts outside its arms that have gone: half a front more, so that it is never nothing.
-    pub fn lost(&self) -> f64 {
-        (self.others_gone as f64 + 0.5) / (self.others as f64 + 1.0)
+    /// The share of fronts outside its arms that have disconnected, counting half a front more so that it is
+    /// never zero.
+    pub fn lost_share(&self) -> f64 {
+        (self.others_lost as f64 + 0.5) / (self.others as f64 + 1.0)
     }
 
-    /// Looks at what its members reported since the last time.
-    pub fn look(&mut self, now: Ticks, members: &mut [Member]) {
+    /// Evaluates what its members have reported since the last time.
+    pub fn take_samples(&mut self, now: Ticks, members: &mut [Member]) {
         let slot = self.slot;
-        let mut take = |fronts: &[usize]| -> Vec<(FrontKey, FrontSample)> {
-            let seats = fronts.iter().filter_map(|&at| {
-                let seat = members[at].seats[slot as usize].as_mut()?;
-                let counts = seat.sample.take()?;
-                Some((at, FrontSample { counts, baseline: seat.baseline }))
+        let mut samples_of = |fronts: &[usize]| -> Vec<(FrontKey, FrontSample)> {
+            let enrollments = fronts.iter().filter_map(|&index| {
+                let enrollment = members[index].enrollments[slot as usize].as_mut()?;
+                let counts = enrollment.sample.take()?;
+                Some((index, FrontSample { counts, baseline: enrollment.baseline }))
             });
-            seats.collect()
+            enrollments.collect()
         };
-        let control = take(&self.control);
+        let control = samples_of(&self.control);
         for arm in &mut self.arms {
-            let samples = take(&arm.fronts);
+            let samples = samples_of(&arm.fronts);
             arm.comparison.observe(&samples, &control);
         }
-        (self.fresh, self.looked) = (0, now);
+        (self.reported, self.sampled_at) = (0, now);
     }
 
-    /// One of its members is in it no more.
-    pub fn leave(&mut self, at: usize, group: Group) {
+    /// Removes a member.
+    pub fn leave(&mut self, index: usize, group: Group) {
         match group {
-            Group::Control => self.control.retain(|&m| m != at),
+            Group::Control => self.control.retain(|&m| m != index),
             Group::Arm(arm) => {
                 if let Some(arm) = self.arms.get_mut(arm) {
-                    arm.fronts.retain(|&m| m != at);
+                    arm.fronts.retain(|&m| m != index);
                 }
             }
         }
--- a/crates/versions/src/trial/members.rs
+++ b/crates/versions/src/trial/members.rs
@@ -1,11 +1,11 @@
-//! Fronts as trials see them: what each runs, what it is to have, and what it answers.
+//! Fronts as trials see them: what each runs, what it is to run, and what it reports.
 
 use crate::evidence::Counts;
-use crate::{Id, Ticks};
+use crate::{Ticks, VersionId};
 
-use super::contents::Key;
+use super::contents::ContentKey;
 
-/// Experiments that may be under way side by side; a front has a seat in each at most once.
+/// Experiments that may run at the same time; a front can be enrolled in each once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Slot {
     Canary,
@@ -15,7 +15,7 @@
 
 pub(super) const SLOTS: [Slot; 3] = [Slot::Canary, Slot::Wide, Slot::Undo];
 
-/// Where a front stands in an experiment.
+/// The group of a front in an experiment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Group {
     Arm(usize),
@@ -23,71 +23,71 @@
 }
 
 #[derive(Clone, Debug)]
-pub(super) struct Seat {
+pub(super) struct Enrollment {
     pub group: Group,
-    /// Its long run before, which stays the same for as long as it sits there.
+    /// Its baseline from before the experiment, which stays the same for as long as it is enrolled.
     pub baseline: Counts,
-    /// Since the last look; none: it has not reported.
+    /// Counts since the last sample; `None` if it has not reported.
     pub sample: Option<Counts>,
-    /// Since when it has its seat.
+    /// Since when it has been enrolled.
     pub since: Ticks,
-    /// It was not there in time and another has taken part in its place; it is waited for no more.
+    /// It did not apply its content in time; another front was enrolled instead and it is not waited for.
     pub replaced: bool,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Report {
-    running: Option<Id>,
+    running: Option<VersionId>,
     counts: Counts,
     sequence: u64,
-    at: Ticks,
+    received_at: Ticks,
 }
 
 #[derive(Clone, Debug, Default)]
 pub(super) struct Member {
     pub station: u32,
     pub connected: bool,
-    pub runs: Option<Id>,
-    /// The latest batch that is in what it runs.
-    pub lineage: u64,
-    /// The content that it is to have; none: what is proven.
-    pub place: Option<Key>,
-    /// The greatest place that it was offered.
+    pub running: Option<VersionId>,
+    /// Generation of the running content.
+    pub generation: u64,
+    /// The content that it is to run; `None`: the proven one.
+    pub assigned: Option<ContentKey>,
+    /// The greatest position (epoch, number) that it was offered.
     pub offered: Option<(u64, u64)>,
-    /// Contents that it turned down: it is never given them again.
-    pub refused: Vec<[u8; 32]>,
-    pub seats: [Option<Seat>; SLOTS.len()],
-    /// It was told to report often.
-    pub fast: bool,
-    last: Option<Report>,
-    /// When its counts contradicted themselves last.
-    contradicts: Option<Ticks>,
-    /// Its accesses on what was proven, in this span and the one before.
+    /// Contents that it rejected: it is never assigned them again.
+    pub rejected: Vec<[u8; 32]>,
+    pub enrollments: [Option<Enrollment>; SLOTS.len()],
+    /// Whether it was told to report at the fast interval.
+    pub fast_reports: bool,
+    last_report: Option<Report>,
+    /// When its counters were last inconsistent.
+    last_contradiction: Option<Ticks>,
+    /// Its accesses on the proven content, in the current baseline period and the one before.
     spans: [Counts; 2],
     span_since: Ticks,
 }
 
-/// A baseline reaches back one to two of these: long against a trial, short against a day.
-const SPAN: Ticks = 600_000;
-/// Accesses a second that no front can have.
-const MOST_A_SECOND: u64 = 1_000_000;
-/// Some seconds of a front with ordinary traffic.
-const LEAST_BASELINE: u64 = 4_000;
-const SLACK: u64 = 16;
-const MOST_REFUSED: usize = 16;
+/// A baseline covers one to two of these periods: long compared with a trial, short compared with a day.
+const BASELINE_SPAN: Ticks = 600_000;
+/// Plausibility limit of a front's accesses per second.
+const MAX_ACCESSES_PER_SECOND: u64 = 1_000_000;
+/// Minimum accesses of a usable baseline: a few seconds of ordinary traffic.
+const MIN_BASELINE_ACCESSES: u64 = 4_000;
+const READ_SKEW_ACCESSES: u64 = 16;
+const MAX_REJECTED: usize = 16;
 
 fn add(to: &mut Counts, more: Counts) {
-    to.asked = to.asked.saturating_add(more.asked);
+    to.accesses = to.accesses.saturating_add(more.accesses);
     to.answered = to.answered.saturating_add(more.answered);
 }
 
 impl Member {
-    pub fn seat(&self, slot: Slot) -> Option<&Seat> {
-        self.seats[slot as usize].as_ref()
+    pub fn enrollment(&self, slot: Slot) -> Option<&Enrollment> {
+        self.enrollments[slot as usize].as_ref()
     }
 
-    pub fn has_seat(&self) -> bool {
-        self.seats.iter().any(Option::is_some)
+    pub fn is_enrolled(&self) -> bool {
+        self.enrollments.iter().any(Option::is_some)
     }
 
     pub fn baseline(&self) -> Counts {
@@ -96,80 +96,86 @@
         both
     }
 
-    /// Whether its long run says something.
-    pub fn known(&self) -> bool {
-        self.baseline().asked >= LEAST_BASELINE
+    /// Whether its baseline has enough accesses.
+    pub fn has_baseline(&self) -> bool {
+        self.baseline().accesses >= MIN_BASELINE_ACCESSES
     }
 
-    /// Whether its counts have not contradicted themselves lately.
-    pub fn believed(&self, now: Ticks) -> bool {
-        self.contradicts.is_none_or(|at| now >= at + SPAN)
+    /// Whether its counters have been consistent lately.
+    pub fn is_trusted(&self, now: Ticks) -> bool {
+        self.last_contradiction.is_none_or(|time| now >= time + BASELINE_SPAN)
     }
 
-    pub fn sit(&mut self, slot: Slot, group: Group, now: Ticks) {
+    pub fn enroll(&mut self, slot: Slot, group: Group, now: Ticks) {
         let baseline = self.baseline();
-        self.seats[slot as usize] = Some(Seat { group, baseline, sample: None, since: now, replaced: false });
+        self.enrollments[slot as usize] =
+            Some(Enrollment { group, baseline, sample: None, since: now, replaced: false });
     }
 
-    pub fn refuse(&mut self, hash: [u8; 32]) {
-        if !self.refused.contains(&hash) {
-            if self.refused.len() == MOST_REFUSED {
-                self.refused.remove(0);
+    pub fn remember_rejection(&mut self, hash: [u8; 32]) {
+        if !self.rejected.contains(&hash) {
+            if self.rejected.len() == MAX_REJECTED {
+                self.rejected.remove(0);
             }
-            self.refused.push(hash);
+            self.rejected.push(hash);
         }
     }
 
-    /// Its process is another one: counts begin anew.
-    pub fn restarted(&mut self) {
-        self.last = None;
+    /// Forgets the last report: the front's process was restarted and its counters begin anew.
+    pub fn reset_counts(&mut self) {
+        self.last_report = None;
     }
 
-    /// What it answered between the last report and this, with what it ran throughout; none where that can't be told.
+    /// The counts between the last report and this one, if it ran the same version throughout and the counters
+    /// are consistent.
     pub fn report(
         &mut self,
         now: Ticks,
-        running: Option<Id>,
+        running: Option<VersionId>,
         counts: Counts,
         sequence: u64,
     ) -> Option<Counts> {
-        let before = self.last;
+        let before = self.last_report;
         if before.is_some_and(|last| sequence <= last.sequence) {
             return None;
         }
-        self.last = Some(Report { running, counts, sequence, at: now });
+        self.last_report = Some(Report { running, counts, sequence, received_at: now });
         let last = before?;
-        // Reports that waited on their way come close together: a second more than has passed.
-        let most = (now.saturating_sub(last.at) / 10_000 + 1).saturating_mul(MOST_A_SECOND);
-        let grown = |before: u64, after: u64| after.checked_sub(before);
-        let asked = grown(last.counts.asked, counts.asked).filter(|asked| *asked <= most);
-        let answered = grown(last.counts.answered, counts.answered);
-        // The two may have been read a moment apart: some more than there can be are no contradiction.
-        let some = |asked: u64| asked.saturating_add(asked / 4).saturating_add(SLACK);
-        let (Some(asked), Some(answered)) =
-            (asked, answered.filter(|n| asked.is_some_and(|of| *n <= some(of))))
+        // Delayed reports arrive close together: allows one second more than has passed.
+        let max_accesses =
+            (now.saturating_sub(last.received_at) / 10_000 + 1).saturating_mul(MAX_ACCESSES_PER_SECOND);
+        let growth = |before: u64, after: u64| after.checked_sub(before);
+        let accesses =
+            growth(last.counts.accesses, counts.accesses).filter(|accesses| *accesses <= max_accesses);
+        let answered = growth(last.counts.answered, counts.answered);
+        // The two counters may have been read at slightly different times: a small excess is not an
+        // inconsistency.
+        let plausible =
+            |accesses: u64| accesses.saturating_add(accesses / 4).saturating_add(READ_SKEW_ACCESSES);
+        let (Some(accesses), Some(answered)) =
+            (accesses, answered.filter(|n| accesses.is_some_and(|of| *n <= plausible(of))))
         else {
-            self.contradicts = Some(now);
+            self.last_contradiction = Some(now);
             return None;
         };
-        let answered = answered.min(asked);
-        (last.running == running && running == self.runs).then_some(Counts { asked, answered })
+        let answered = answered.min(accesses);
+        (last.running == running && running == self.running).then_some(Counts { accesses, answered })
     }
 
-    /// Accesses on what is everyone's count for its long run.
-    pub fn ordinary(&mut self, now: Ticks, counts: Counts) {
-        if now >= self.span_since + SPAN {
+    /// Adds accesses on the proven content to the baseline.
+    pub fn add_to_baseline(&mut self, now: Ticks, counts: Counts) {
+        if now >= self.span_since + BASELINE_SPAN {
             self.spans = [Counts::default(), self.spans[0]];
             self.span_since = now;
         }
         add(&mut self.spans[0], counts);
     }
 
-    /// Takes part with what it answered since the last look; says whether that is the first time since.
+    /// Adds counts to the sample of an experiment; returns whether they are the first since the last sample.
     pub fn sample(&mut self, slot: Slot, counts: Counts) -> bool {
-        let Some(seat) = &mut self.seats[slot as usize] else { return false };
-        let first = seat.sample.is_none();
-        add(seat.sample.get_or_insert_default(), counts);
+        let Some(enrollment) = &mut self.enrollments[slot as usize] else { return false };
+        let first = enrollment.sample.is_none();
+        add(enrollment.sample.get_or_insert_default(), counts);
         first
     }
 }
--- a/crates/versions/src/trial/saved.rs
+++ b/crates/versions/src/trial/saved.rs
@@ -1,15 +1,15 @@
-//! What survives a restart: changes that are not settled, and what is everyone's. Arms don't: fronts that run one are given
-//! what is proven, under a number later than any that was given out.
+//! State that survives a restart: unsettled changes and the proven content. Contents of arms do not: fronts
+//! that run one are offered the proven content under a later number than any that was issued.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use super::{Change, ChangeState, SavedChange, SavedTrials, Spread, Trials};
+use super::{Change, ChangeState, Propagation, SavedChange, SavedTrials, Trials};
 use crate::service::Version;
 use crate::{Ticks, delta};
 
-/// Settled changes that are stored: whoever waits for one asks again within minutes.
-const MOST_SAVED: usize = 100;
+/// Limit of the stored settled changes: publishers that wait for an outcome ask again within minutes.
+const MAX_SAVED: usize = 100;
 
 impl Trials {
     pub(crate) fn saved(&self) -> SavedTrials {
@@ -29,14 +29,14 @@
             proven: number(self.proven),
             head: number(self.head),
             changes: self.changes.iter().map(change).collect(),
-            settled: self.settled.iter().rev().take(MOST_SAVED).rev().cloned().collect(),
+            settled: self.settled.iter().rev().take(MAX_SAVED).rev().cloned().collect(),
         }
     }
 
-    /// Goes on with what a store had. Whoever has said that it runs what is proven has it; all others are to be heard.
+    /// Restores stored state. Fronts that report the proven content have it; all others must be heard first.
     pub(crate) fn restore(
         &mut self,
-        tell_from: Ticks,
+        log_from: Ticks,
         versions: &BTreeMap<u64, Version>,
         base: Option<u64>,
         saved: Option<SavedTrials>,
@@ -49,26 +49,26 @@
         });
         self.contents.newest = self.contents.newest.max(saved.reserved);
         self.contents.reserved = self.contents.newest;
-        let lineage = self.next_lineage();
-        let mut keep = |number: Option<u64>, lineage| {
+        let generation = self.next_generation();
+        let mut restore_content = |number: Option<u64>, generation| {
             let version = versions.get(&number?)?.clone();
-            Some(self.contents.put(version, lineage))
+            Some(self.contents.insert(version, generation))
         };
-        self.proven = keep(saved.proven, lineage);
-        self.head = if saved.head == saved.proven { self.proven } else { keep(saved.head, 0) };
+        self.proven = restore_content(saved.proven, generation);
+        self.head = if saved.head == saved.proven { self.proven } else { restore_content(saved.head, 0) };
         self.head = self.head.or(self.proven);
         self.settled = saved.settled.into();
-        let mut spread = Vec::new();
+        let mut restored_changes = Vec::new();
         for change in saved.changes {
             let Some(version) = versions.get(&change.number) else { continue };
             let Some(before) = delta::apply(&version.content, &change.undo) else { continue };
             let state = if change.watched { ChangeState::Everywhere } else { ChangeState::Queued };
             if change.watched {
-                spread.push(change.number);
+                restored_changes.push(change.number);
             } else {
                 self.queue.insert(change.number);
             }
-            let made = Change {
+            let restored = Change {
                 id: version.id,
                 note: change.note,
                 before: Arc::from(before),
@@ -80,21 +80,21 @@
                 previous: None,
                 watched_until: None,
             };
-            self.changes.insert(change.number, made);
+            self.changes.insert(change.number, restored);
         }
-        if !spread.is_empty() {
-            self.spreads.push_back(Spread { lineage, changes: spread, not_before: tell_from });
+        if !restored_changes.is_empty() {
+            self.propagations.push_back(Propagation { generation, changes: restored_changes, log_from });
         }
-        self.restored = lineage;
+        self.restored_generation = generation;
         self.dirty = true;
     }
 
-    /// All is numbered anew, in another epoch: nothing that was on trial is any more.
+    /// Starts over in another epoch, with no change on trial.
     pub(crate) fn reset(&mut self, epoch: u64, newest: u64) {
         self.drop_batches();
         self.changes.clear();
         self.queue.clear();
-        self.spreads.clear();
+        self.propagations.clear();
         self.contents.clear();
         (self.contents.epoch, self.contents.newest, self.contents.reserved) = (epoch, newest, newest);
         (self.proven, self.head) = (None, None);
--- a/crates/versions/src/trial/types.rs
+++ b/crates/versions/src/trial/types.rs
@@ -1,51 +1,51 @@
-//! Settings, states and what is stored.
+//! Settings, states and stored records of trials.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
 use crate::delta::Delta;
-use crate::{Reason, Ticks};
+use crate::{RejectionReason, Ticks};
 
-/// How a publication comes to everyone.
+/// How a publication is rolled out.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub enum RolloutMode {
-    /// One at a time, in waves, each watched for a time.
+    /// One publication at a time, in waves, each observed for some time.
     #[default]
     Waves,
-    /// Overlapping, each stage as long as the evidence takes.
+    /// Overlapping publications; each stage lasts until there is enough evidence.
     Evidence(TrialRules),
 }
 
-/// What happens where there are too few accesses to tell.
+/// What to do if there are too few accesses for a verdict.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ThinTraffic {
     #[default]
     Wait,
-    /// Goes on, and says that it went on unproven.
-    GoOn,
+    /// Continue, and report the change as unproven.
+    Continue,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct TrialRules {
-    /// Fronts of each arm of the canary stage, of different stations.
+    /// Fronts in each arm of the canary stage, from different stations.
     pub canaries: usize,
-    /// Share of all connected fronts that a change may come to before it is proven.
+    /// Share of all connected fronts that may run an unproven change.
     pub share: f64,
-    /// How long a change is observed after it has come to everyone.
+    /// How long a change is observed after it has reached all fronts.
     pub watch: Ticks,
-    /// Without a verdict by then evidence is too thin.
-    pub evidence_within: Ticks,
+    /// Without a verdict after this time the evidence is considered too thin.
+    pub evidence_timeout: Ticks,
     pub thin_traffic: ThinTraffic,
-    /// Probability that one comparison stops a change that does no harm.
+    /// Probability that one comparison stops a harmless change.
     pub false_stop: f64,
-    /// Between reports of fronts on trial, and of all others.
+    /// Report interval of fronts in an experiment, and of all others.
     pub report_fast: Ticks,
     pub report_slow: Ticks,
-    /// Changes that wait; one more is not published.
-    pub most_queued: usize,
-    /// A front on trial that has gone, or has not answered, is missing after so long.
-    pub gone_within: Ticks,
+    /// Limit of the changes that wait for their trial.
+    pub max_queued: usize,
+    /// A canary that has not applied its version after this time is replaced.
+    pub response_timeout: Ticks,
 }
 
 impl Default for TrialRules {
@@ -54,18 +54,18 @@
             canaries: 8,
             share: 0.1,
             watch: 300_000,
-            evidence_within: 100_000,
+            evidence_timeout: 100_000,
             thin_traffic: ThinTraffic::Wait,
             false_stop: 1e-4,
             report_fast: 5_000,
             report_slow: 50_000,
-            most_queued: 1_000,
-            gone_within: 6_000,
+            max_queued: 1_000,
+            response_timeout: 6_000,
         }
     }
 }
 
-/// How far a batch of changes is.
+/// Stage of a batch of changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Stage {
     Canary,
@@ -83,58 +83,64 @@
     }
 }
 
-/// Why a change was taken out.
+/// Why a change was removed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Harm {
-    /// Fronts turned it down; what the first of them said.
-    Refused {
+pub enum RemovalReason {
+    /// Fronts rejected it; `first` is the first rejection.
+    Rejected {
         count: usize,
         of: usize,
-        first: Reason,
+        first: RejectionReason,
     },
-    /// Fronts went down on it, or did not answer.
-    Missing {
+    /// Fronts went down while running it, or did not respond.
+    FrontsLost {
         count: usize,
         of: usize,
     },
-    /// Fronts with it answered so much less than those without, in thousandths of accesses.
-    Dropped {
+    /// Fronts with it answered a smaller share of their accesses than those without, by this many thousandths.
+    ServiceDrop {
         thousandths: u32,
         accesses: u64,
     },
-    /// Harmful only together with earlier changes that are there.
-    Together {
+    /// Harmful only in combination with earlier changes.
+    Interaction {
         thousandths: u32,
         accesses: u64,
     },
-    /// It builds on a change that was taken out.
-    BuildsOn {
+    /// It depends on a change that was removed.
+    DependsOn {
         change: u64,
     },
-    /// It was undone by a change of hands: another content was made everyone's.
+    /// An operator rolled back to another content.
     RolledBack,
-    ByHand,
+    Manual,
 }
 
-impl fmt::Display for Harm {
+impl fmt::Display for RemovalReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let percent = |thousandths: &u32| f64::from(*thousandths) / 10.0;
         match self {
-            Harm::Refused { count, of, first } => write!(f, "{count} of {of} fronts turned it down: {first}"),
-            Harm::Missing { count, of } => write!(f, "{count} of {of} fronts went down or did not answer"),
-            Harm::Dropped { thousandths, accesses } => write!(
+            RemovalReason::Rejected { count, of, first } => {
+                write!(f, "{count} of {of} fronts turned it down: {first}")
+            }
+            RemovalReason::FrontsLost { count, of } => {
+                write!(f, "{count} of {of} fronts went down or did not answer")
+            }
+            RemovalReason::ServiceDrop { thousandths, accesses } => write!(
                 f,
                 "fronts with it answered {:.1}% less than those without, over {accesses} accesses",
                 percent(thousandths)
             ),
-            Harm::Together { thousandths, accesses } => write!(
+            RemovalReason::Interaction { thousandths, accesses } => write!(
                 f,
                 "together with earlier changes, fronts answered {:.1}% less, over {accesses} accesses",
                 percent(thousandths)
             ),
-            Harm::BuildsOn { change } => write!(f, "it builds on change {change}, which was taken out"),
-            Harm::RolledBack => f.write_str("an older content was made everyone's"),
-            Harm::ByHand => f.write_str("by hand"),
+            RemovalReason::DependsOn { change } => {
+                write!(f, "it builds on change {change}, which was taken out")
+            }
+            RemovalReason::RolledBack => f.write_str("rolled back to an older content"),
+            RemovalReason::Manual => f.write_str("by hand"),
         }
     }
 }
@@ -146,7 +152,7 @@
     Wide,
     Everywhere,
     InForce,
-    TakenOut(Harm),
+    Removed(RemovalReason),
     /// In force without enough evidence.
     Unproven,
 }
@@ -157,15 +163,15 @@
             ChangeState::Queued => f.write_str("waits"),
             ChangeState::Canary => f.write_str("on trial at canaries"),
             ChangeState::Wide => f.write_str("on trial at a share of the fronts"),
-            ChangeState::Everywhere => f.write_str("proven, on its way to everyone"),
+            ChangeState::Everywhere => f.write_str("proven, on its way to all fronts"),
             ChangeState::InForce => f.write_str("in force"),
-            ChangeState::TakenOut(why) => write!(f, "taken out: {why}"),
+            ChangeState::Removed(reason) => write!(f, "taken out: {reason}"),
             ChangeState::Unproven => f.write_str("in force, unproven"),
         }
     }
 }
 
-/// One change, for people and scripts.
+/// One change, as listed for people and scripts.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ChangeRow {
     pub number: u64,
@@ -173,25 +179,25 @@
     pub state: ChangeState,
 }
 
-/// A change that is not settled: `undo` leads from the content of its number to the content before it.
+/// An unsettled change. `undo` is the delta from the content with its number to the content before it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SavedChange {
     pub number: u64,
     pub note: Box<str>,
     pub undo: Delta,
-    /// Everyone's already, and watched.
+    /// Already rolled out to all fronts and being observed.
     pub watched: bool,
 }
 
-/// What survives a restart. A front may run anything up to `reserved`.
+/// The state of trials that survives a restart. A front may run any number up to `reserved`.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct SavedTrials {
     pub epoch: u64,
     pub reserved: u64,
-    /// The numbers of what is everyone's and of the content with all changes.
+    /// The numbers of the proven content and of the content with all changes.
     pub proven: Option<u64>,
     pub head: Option<u64>,
     pub changes: Vec<SavedChange>,
-    /// What came of the last of those that are settled.
+    /// Outcomes of the most recently settled changes.
     pub settled: Vec<ChangeRow>,
 }
--- a/crates/versions/src/trial/wide.rs
+++ b/crates/versions/src/trial/wide.rs
@@ -1,33 +1,34 @@
-//! A batch on a share of the fronts: all of it together, against a control group as large.
+//! The wide experiment: all changes of a batch combined, on a share of the fronts, compared with a control
+//! group of the same size.
 
-use super::batch::{LEAST_CONTROL, PLENTY};
+use super::batch::{INCONCLUSIVE_ACCESSES, MIN_CONTROL};
 use super::experiment::{Arm, Experiment, Purpose};
 use super::members::{Group, Slot};
 use super::{ChangeState, Stage, ThinTraffic, Trials};
 use crate::Ticks;
 use crate::evidence::Comparison;
-use crate::service::Line;
+use crate::service::LogEvent;
 
 impl Trials {
     pub(super) fn open_wide(&mut self, now: Ticks) {
         let Some(mut batch) = self.canary.take() else { return };
         let connected = self.members.iter().filter(|m| m.connected).count();
         let tried: Vec<usize> = batch.experiment.arms.iter().flat_map(|a| a.fronts.iter().copied()).collect();
-        self.vacate(Slot::Canary);
-        // All that have any of it are in it, so that no more than the share ever had.
+        self.clear_slot(Slot::Canary);
+        // All fronts that run any of its changes take part, so that no more than the share ever runs them.
         let size = ((self.rules.share * connected as f64) as usize).max(tried.len()).max(1);
-        let control = size.max(LEAST_CONTROL).min(connected.saturating_sub(size)).max(1);
+        let control = size.max(MIN_CONTROL).min(connected.saturating_sub(size)).max(1);
         let hash = batch.base.and_then(|key| self.contents.id(key)).map(|id| id.hash);
         let mut experiment = Experiment::new(Slot::Wide, now, hash);
         let settings = self.settings(size, control);
         let mut arm = Arm::new(Purpose::Combined, batch.content, size, settings);
         (experiment.control_size, experiment.others) = (control, connected);
-        arm.given = tried.len();
-        for &at in &tried {
-            let m = &mut self.members[at];
-            m.place = Some(batch.content);
-            m.sit(Slot::Wide, Group::Arm(0), now);
-            self.aim(at);
+        arm.assigned = tried.len();
+        for &index in &tried {
+            let m = &mut self.members[index];
+            m.assigned = Some(batch.content);
+            m.enroll(Slot::Wide, Group::Arm(0), now);
+            self.offer_target(index);
         }
         arm.fronts = tried;
         experiment.arms.push(arm);
@@ -36,57 +37,57 @@
             self.set_state(*number, ChangeState::Wide);
         }
         self.fill(now, &mut batch);
-        self.repace();
+        self.update_report_intervals();
         let fronts = batch.experiment.arms[0].fronts.len();
-        self.tell(Line::Trial { stage: Stage::Wide, changes: batch.changes.clone(), fronts });
+        self.log(LogEvent::StageStarted { stage: Stage::Wide, changes: batch.changes.clone(), fronts });
         self.wide = Some(batch);
         self.advance(now);
     }
 
     pub(super) fn judge_wide(&mut self, now: Ticks) {
         let Some(batch) = &self.wide else { return };
-        if let Some((_, harm)) = batch.purpose_harm(self.refused, |_| true) {
+        if let Some((_, harm)) = batch.harm_of(self.max_rejected_share, |_| true) {
             return match batch.changes[..] {
-                [number] => self.take_out(now, number, harm),
-                // Whose fault it is shows when each is tried in a batch of its own.
-                _ => self.apart(now),
+                [number] => self.remove_change(now, number, harm),
+                // Trying each change in a batch of its own shows which one is to blame.
+                _ => self.retry_alone(now),
             };
         }
         let proven = batch.experiment.arms.iter().all(|a| a.harmless());
-        let late = now >= batch.experiment.since + self.rules.evidence_within;
-        let goes_on = proven || late && self.rules.thin_traffic == ThinTraffic::GoOn;
-        if !goes_on {
-            let plenty = batch.experiment.arms.iter().any(|a| a.undecided_after(PLENTY));
-            if late && plenty {
+        let timed_out = now >= batch.experiment.since + self.rules.evidence_timeout;
+        let passes = proven || timed_out && self.rules.thin_traffic == ThinTraffic::Continue;
+        if !passes {
+            let inconclusive = batch.experiment.arms.iter().any(|a| a.is_inconclusive(INCONCLUSIVE_ACCESSES));
+            if timed_out && inconclusive {
                 self.renew_wide(now);
             }
             return;
         }
         let Some(batch) = self.wide.take() else { return };
         if !proven {
-            self.unproven(&batch.changes);
+            self.mark_unproven(&batch.changes);
         }
-        self.vacate(Slot::Wide);
-        self.members.iter_mut().filter(|m| m.place == Some(batch.content)).for_each(|m| m.place = None);
+        self.clear_slot(Slot::Wide);
+        self.members.iter_mut().filter(|m| m.assigned == Some(batch.content)).for_each(|m| m.assigned = None);
         let fronts = self.members.iter().filter(|m| m.connected).count();
-        self.tell(Line::Trial { stage: Stage::Everywhere, changes: batch.changes.clone(), fronts });
-        self.prove(now, batch.content, batch.lineage, batch.changes);
-        self.repace();
+        self.log(LogEvent::StageStarted { stage: Stage::Everywhere, changes: batch.changes.clone(), fronts });
+        self.mark_proven(now, batch.content, batch.generation, batch.changes);
+        self.update_report_intervals();
         self.advance(now);
     }
 
-    /// It can't be told: perhaps by another control group, and by what its fronts do from here on.
+    /// The comparison is inconclusive: starts it over with another control group and new counts.
     fn renew_wide(&mut self, now: Ticks) {
         let Some(mut batch) = self.wide.take() else { return };
-        for at in std::mem::take(&mut batch.experiment.control) {
-            self.members[at].seats[Slot::Wide as usize] = None;
-            self.pace(at);
+        for index in std::mem::take(&mut batch.experiment.control) {
+            self.members[index].enrollments[Slot::Wide as usize] = None;
+            self.update_report_interval(index);
         }
         let control = batch.experiment.control_size;
         for arm in &mut batch.experiment.arms {
             arm.comparison = Comparison::new(self.settings(arm.size, control));
         }
-        (batch.experiment.since, batch.experiment.looked) = (now, now);
+        (batch.experiment.since, batch.experiment.sampled_at) = (now, now);
         self.fill(now, &mut batch);
         self.wide = Some(batch);
     }
--- a/crates/versions/tests/evidence.rs
+++ b/crates/versions/tests/evidence.rs
@@ -8,7 +8,7 @@
 use proptest::prelude::*;
 use simulated::{CANARY, Liar, Storm, Trial, WIDE};
 
-const SETTINGS: TestSettings = TestSettings { false_stop: 1e-4, tolerated_drop: 0.03, least_fronts: 3 };
+const SETTINGS: TestSettings = TestSettings { false_stop: 1e-4, tolerated_drop: 0.03, min_fronts: 3 };
 
 fn harmful(verdict: Verdict) -> bool {
     matches!(verdict, Verdict::Harmful { .. })
@@ -130,8 +130,8 @@
     let mut comparison = Comparison::new(SETTINGS);
     let report = |shares: &[f64]| -> Vec<(FrontKey, FrontSample)> {
         let sample = |share: &f64| FrontSample {
-            counts: Counts { asked: 465, answered: (465.0 * share) as u64 },
-            baseline: Counts { asked: 27_900, answered: 27_063 },
+            counts: Counts { accesses: 465, answered: (465.0 * share) as u64 },
+            baseline: Counts { accesses: 27_900, answered: 27_063 },
         };
         shares.iter().map(sample).enumerate().collect()
     };
@@ -174,8 +174,10 @@
     assert!(undecided(after(100, &[0.1; 4], &[])));
     assert!(undecided(after(1, &[0.1; 4], &[0.97; 16])));
     let mut comparison = Comparison::new(SETTINGS);
-    let sample =
-        |asked, answered| FrontSample { counts: Counts { asked, answered }, ..FrontSample::default() };
+    let sample = |asked, answered| FrontSample {
+        counts: Counts { accesses: asked, answered },
+        ..FrontSample::default()
+    };
     for _ in 0..30 {
         comparison.observe(&[0, 1, 2].map(|n| (n, sample(1, 0))), &[3, 4, 5].map(|n| (n, sample(1, 1))));
     }
@@ -187,8 +189,9 @@
 }
 
 fn hostile_samples() -> impl Strategy<Value = Vec<(FrontKey, FrontSample)>> {
-    let counts =
-        || (hostile_count(), hostile_count()).prop_map(|(asked, answered)| Counts { asked, answered });
+    let counts = || {
+        (hostile_count(), hostile_count()).prop_map(|(asked, answered)| Counts { accesses: asked, answered })
+    };
     let sample = (counts(), counts()).prop_map(|(counts, baseline)| FrontSample { counts, baseline });
     proptest::collection::vec((prop_oneof![0..6usize, Just(usize::MAX)], sample), 0..8)
 }
@@ -206,13 +209,13 @@
         tolerated_drop in hostile_setting(),
         least_fronts in prop_oneof![0..4usize, Just(usize::MAX)],
     ) {
-        let mut comparison = Comparison::new(TestSettings { false_stop, tolerated_drop, least_fronts });
+        let mut comparison = Comparison::new(TestSettings { false_stop, tolerated_drop, min_fronts: least_fronts });
         for (arm, control) in reports {
             comparison.observe(&arm, &control);
             match comparison.verdict() {
                 Verdict::Undecided { .. } => {}
                 Verdict::Harmful { drop, .. } => prop_assert!(drop.is_finite() && drop > 0.0 && drop <= 1.0, "{drop}"),
-                Verdict::Harmless { at_most, .. } => prop_assert!(at_most.is_finite(), "{at_most}"),
+                Verdict::Harmless { max_drop: at_most, .. } => prop_assert!(at_most.is_finite(), "{at_most}"),
             }
         }
     }
--- a/crates/versions/tests/machines.rs
+++ b/crates/versions/tests/machines.rs
@@ -5,13 +5,14 @@
 use std::collections::{BTreeMap, BinaryHeap};
 use std::sync::Arc;
 
-use doorgrade_versions::front::{self, Front, Line as FrontLine};
+use doorgrade_versions::front::{self, Front, LogEvent as FrontEvent};
 use doorgrade_versions::message::{Body, ToFront, ToService};
 use doorgrade_versions::seal::{Keys, Seal};
 use doorgrade_versions::service::{
-    self, Answer, Ask, Denied, Filter, Line, NotPublished, Role, Rules, Service, State, Stop,
+    self, Denial, Filter, FrontState, LogEvent, PublishError, Request, Response, Role, Rules, Service,
+    StopReason,
 };
-use doorgrade_versions::{Id, Reason, delta};
+use doorgrade_versions::{RejectionReason, VersionId, delta};
 use fastrand::Rng;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -45,12 +46,12 @@
     front: Option<Front>,
     life: u32,
     conn: Option<u64>,
-    good: Option<(Id, Seal, front::Content)>,
-    staged: Option<(Id, u32)>,
+    good: Option<(VersionId, Seal, front::Content)>,
+    staged: Option<(VersionId, u32)>,
     full: bool,
     /// Its store can't be read at the next start.
     damaged: bool,
-    lines: Vec<FrontLine>,
+    lines: Vec<FrontEvent>,
     starts: u32,
 }
 
@@ -63,11 +64,11 @@
     hosts: Vec<Host>,
     service: Option<Service>,
     service_life: u32,
-    found: service::Found,
+    found: service::StoredState,
     rules: Rules,
     next_conn: u64,
     conns: BTreeMap<u64, usize>,
-    lines: Vec<Line>,
+    lines: Vec<LogEvent>,
     /// Messages are sometimes repeated or come late.
     unruly: bool,
     /// Shell events seen so far, and at which of them the front dies.
@@ -89,7 +90,7 @@
             hosts: (0..fronts).map(|_| Host::default()).collect(),
             service: None,
             service_life: 0,
-            found: service::Found::default(),
+            found: service::StoredState::default(),
             rules,
             next_conn: 0,
             conns: BTreeMap::new(),
@@ -130,11 +131,11 @@
         host.life += 1;
         host.starts += 1;
         let found = match host.damaged {
-            true => front::Found::default(),
-            false => front::Found { good: host.good.clone(), staged: host.staged },
+            true => front::StoredState::default(),
+            false => front::StoredState { last_good: host.good.clone(), staged: host.staged },
         };
         // What was kept is checked as any version is; a version that this program can't read is found then.
-        let usable = match &found.good {
+        let usable = match &found.last_good {
             Some((.., content)) => check(content),
             None => Ok(()),
         };
@@ -176,10 +177,10 @@
                     }
                 }
                 front::Effect::Send(message) => {
-                    let runs = self.hosts[n].front.as_ref().map(Front::runs);
+                    let runs = self.hosts[n].front.as_ref().map(Front::running);
                     match &message {
-                        ToService::Runs { id, .. } => assert_eq!(runs, Some(Some(*id)), "an untrue claim"),
-                        ToService::Hello { runs: told, .. } => {
+                        ToService::Running { id, .. } => assert_eq!(runs, Some(Some(*id)), "an untrue claim"),
+                        ToService::Hello { running: told, .. } => {
                             assert!(runs.is_none_or(|r| r == told.map(|t| t.0)));
                         }
                         _ => {}
@@ -188,28 +189,28 @@
                         self.at(lag, Event::ToService(conn, message));
                     }
                 }
-                front::Effect::Wake(at) => self.at(at.saturating_sub(self.now), Event::FrontDue(n, life)),
-                front::Effect::Tell(line) => self.hosts[n].lines.push(line),
+                front::Effect::SetTimer(at) => self.at(at.saturating_sub(self.now), Event::FrontDue(n, life)),
+                front::Effect::Log(line) => self.hosts[n].lines.push(line),
                 front::Effect::Unstage => self.hosts[n].staged = None,
                 shell => self.at(lag, Event::Shell(n, life, shell)),
             }
         }
     }
 
-    fn do_service(&mut self, out: Vec<service::Do>) {
+    fn do_service(&mut self, out: Vec<service::Effect>) {
         for each in out {
             let lag = 1 + self.rng.u64(0..200);
             match each {
-                service::Do::Send(conn, message) => {
+                service::Effect::Send(conn, message) => {
                     let Some(&n) = self.conns.get(&conn) else { continue };
                     if let ToFront::Content { body, .. } = &message {
                         self.sent += match body {
-                            Body::Whole(all) => all.len(),
+                            Body::Full(all) => all.len(),
                             Body::Delta(steps) => steps
                                 .iter()
                                 .map(|s| match s {
-                                    delta::Step::Keep { .. } => 16,
-                                    delta::Step::Put(bytes) => bytes.len(),
+                                    delta::Op::Copy { .. } => 16,
+                                    delta::Op::Insert(bytes) => bytes.len(),
                                 })
                                 .sum(),
                         };
@@ -225,25 +226,25 @@
                     }
                     self.at(lag, Event::ToFront(n, conn, message));
                 }
-                service::Do::Close(conn) => {
+                service::Effect::Close(conn) => {
                     if let Some(n) = self.conns.remove(&conn) {
                         self.at(lag + 200, Event::Cut(n, conn));
                     }
                 }
-                service::Do::Store(version) => {
+                service::Effect::Store(version) => {
                     self.found.versions.retain(|v| v.id.number != version.id.number);
                     self.found.versions.push(version);
                 }
-                service::Do::StoreState { epoch, base, rollout } => {
+                service::Effect::StoreState { epoch, base, rollout } => {
                     self.found.versions.retain(|v| v.id.epoch == epoch);
                     (self.found.epoch, self.found.base, self.found.rollout) = (epoch, base, rollout);
                 }
-                service::Do::Wake(at) => {
+                service::Effect::SetTimer(at) => {
                     let life = self.service_life;
                     self.at(at.saturating_sub(self.now).max(1), Event::ServiceDue(life));
                 }
-                service::Do::Tell(line) => self.lines.push(line),
-                service::Do::StoreTrials(_) | service::Do::Forget(_) => {
+                service::Effect::Log(line) => self.lines.push(line),
+                service::Effect::StoreTrials(_) | service::Effect::Delete(_) => {
                     panic!("trials are stored where rollouts go in waves")
                 }
             }
@@ -260,7 +261,7 @@
 
     fn on_service<T>(
         &mut self,
-        act: impl FnOnce(&mut Service, u64, &mut Vec<service::Do>) -> T,
+        act: impl FnOnce(&mut Service, u64, &mut Vec<service::Effect>) -> T,
     ) -> Option<T> {
         let (mut out, now) = (Vec::new(), self.now);
         let result = self.service.as_mut().map(|s| act(s, now, &mut out));
@@ -276,33 +277,33 @@
         match asked {
             front::Effect::Check(id, content) => {
                 let result = check(&content);
-                self.on_front(n, |f, now, out| f.checked(now, id, result, out));
+                self.on_front(n, |f, now, out| f.on_checked(now, id, result, out));
             }
-            front::Effect::Stage { id, falls } => {
+            front::Effect::Stage { id, crashes: falls } => {
                 if !self.hosts[n].full {
                     self.hosts[n].staged = Some((id, falls));
                 }
-                self.on_front(n, |f, now, out| f.staged(now, id, out));
+                self.on_front(n, |f, now, out| f.on_staged(now, id, out));
             }
             front::Effect::Apply(id, content) => {
-                let runs = self.hosts[n].front.as_ref().and_then(Front::runs);
-                assert!(runs.is_none_or(|r| r.place() < id.place()), "an older version is applied");
+                let runs = self.hosts[n].front.as_ref().and_then(Front::running);
+                assert!(runs.is_none_or(|r| r.position() < id.position()), "an older version is applied");
                 match &content[..5] {
                     b"fatal" => self.kill_front(n, 2 * SECOND),
                     b"stuck" => {
-                        let why = Reason::NotApplied("it does not go in".into());
-                        self.on_front(n, |f, now, out| f.applied(now, id, Err(why), out));
+                        let why = RejectionReason::NotApplied("it does not go in".into());
+                        self.on_front(n, |f, now, out| f.on_applied(now, id, Err(why), out));
                     }
-                    _ => self.on_front(n, |f, now, out| f.applied(now, id, Ok(()), out)),
+                    _ => self.on_front(n, |f, now, out| f.on_applied(now, id, Ok(()), out)),
                 }
             }
-            front::Effect::Keep(id, seal, content) => {
+            front::Effect::Store(id, seal, content) => {
                 let full = self.hosts[n].full;
                 if !full {
                     (self.hosts[n].good, self.hosts[n].staged) = (Some((id, seal, content)), None);
                     self.hosts[n].damaged = false;
                 }
-                self.on_front(n, |f, now, out| f.kept(now, id, !full, out));
+                self.on_front(n, |f, now, out| f.on_stored(now, id, !full, out));
             }
             _ => {}
         }
@@ -318,30 +319,30 @@
                 let conn = self.next_conn;
                 self.hosts[n].conn = Some(conn);
                 self.conns.insert(conn, n);
-                self.on_front(n, |f, now, out| f.up(now, out));
+                self.on_front(n, |f, now, out| f.on_connected(now, out));
             }
             Event::Up(n, life) | Event::Refused(n, life) if self.hosts[n].life == life => {
-                self.on_front(n, |f, now, out| f.down(now, out));
+                self.on_front(n, |f, now, out| f.on_disconnected(now, out));
             }
             Event::ToService(conn, message) if self.conns.contains_key(&conn) => {
-                self.on_service(|s, now, out| s.heard(now, conn, message, out));
+                self.on_service(|s, now, out| s.on_message(now, conn, message, out));
             }
             Event::ToFront(n, conn, message) if self.hosts[n].conn == Some(conn) => {
-                self.on_front(n, |f, now, out| f.heard(now, message, out));
+                self.on_front(n, |f, now, out| f.on_message(now, message, out));
             }
             Event::Cut(n, conn) if self.hosts[n].conn == Some(conn) => {
                 self.hosts[n].conn = None;
-                self.on_front(n, |f, now, out| f.down(now, out));
+                self.on_front(n, |f, now, out| f.on_disconnected(now, out));
             }
             Event::Gone(conn) => {
-                self.on_service(|s, now, out| s.gone(now, conn, out));
+                self.on_service(|s, now, out| s.on_disconnected(now, conn, out));
             }
             Event::Shell(n, life, asked) if self.hosts[n].life == life => self.shell(n, asked),
             Event::FrontDue(n, life) if self.hosts[n].life == life => {
-                self.on_front(n, |f, now, out| f.due(now, out));
+                self.on_front(n, |f, now, out| f.on_timer(now, out));
             }
             Event::ServiceDue(life) if self.service_life == life => {
-                self.on_service(|s, now, out| s.due(now, out));
+                self.on_service(|s, now, out| s.on_timer(now, out));
             }
             Event::Restart(n) if self.hosts[n].front.is_none() => self.start_front(n),
             _ => {}
@@ -353,7 +354,7 @@
     fn check(&self) {
         for host in &self.hosts {
             let Some(front) = &host.front else { continue };
-            let Some(runs) = front.runs() else { continue };
+            let Some(runs) = front.running() else { continue };
             let good = GOOD.with(|g| g.borrow().contains(&runs.hash));
             assert!(good, "a front runs a version that is not good");
         }
@@ -367,14 +368,14 @@
         self.now = end;
     }
 
-    fn publish(&mut self, content: &str) -> Result<Id, NotPublished> {
+    fn publish(&mut self, content: &str) -> Result<VersionId, PublishError> {
         let bytes: Arc<[u8]> = content.as_bytes().into();
         if check(&bytes).is_ok() && bytes.starts_with(b"good") {
             GOOD.with(|g| g.borrow_mut().insert(*blake3_of(&bytes)));
         }
         let last = self.service.as_ref().map_or(0, Service::last);
         let result = self.on_service(|s, now, out| s.publish(now, bytes, "", last, out));
-        result.unwrap_or(Err(NotPublished::NoSuchVersion))
+        result.unwrap_or(Err(PublishError::NoSuchVersion))
     }
 
     /// Until nothing of a publication goes on any more, and fronts have had the time to come.
@@ -388,8 +389,8 @@
         }
     }
 
-    fn running(&self, id: Id) -> usize {
-        let of = |h: &&Host| h.front.as_ref().and_then(Front::runs) == Some(id);
+    fn running(&self, id: VersionId) -> usize {
+        let of = |h: &&Host| h.front.as_ref().and_then(Front::running) == Some(id);
         self.hosts.iter().filter(of).count()
     }
 }
@@ -399,19 +400,19 @@
 }
 
 fn blake3_of(bytes: &[u8]) -> Box<[u8; 32]> {
-    Box::new(Id::of(0, 0, bytes).hash)
+    Box::new(VersionId::of(0, 0, bytes).hash)
 }
 
-fn check(content: &[u8]) -> Result<(), Reason> {
+fn check(content: &[u8]) -> Result<(), RejectionReason> {
     match &content[..content.len().min(5)] {
         b"good " | b"fatal" | b"stuck" => Ok(()),
-        b"later" => Err(Reason::NeedsRestart("listen".into())),
-        _ => Err(Reason::Unusable("d.hcl:1:1: key 'bad': unknown key: expected 'good'?".into())),
+        b"later" => Err(RejectionReason::NeedsRestart("listen".into())),
+        _ => Err(RejectionReason::Unusable("d.hcl:1:1: key 'bad': unknown key: expected 'good'?".into())),
     }
 }
 
 fn quick() -> Rules {
-    Rules { soak: 2 * SECOND, answer_within: 10 * SECOND, ..Rules::default() }
+    Rules { soak: 2 * SECOND, response_timeout: 10 * SECOND, ..Rules::default() }
 }
 
 #[test]
@@ -424,7 +425,7 @@
     assert_eq!(w.running(first), 2, "the canaries first");
     w.settle();
     assert_eq!(w.running(first), 40);
-    assert!(matches!(w.lines.last(), Some(Line::Everywhere(id)) if *id == first));
+    assert!(matches!(w.lines.last(), Some(LogEvent::Everywhere(id)) if *id == first));
     let whole = std::mem::take(&mut w.sent);
     let second =
         w.publish(&format!("good one\n{}", long.replace("line 700\n", "line seven hundred\n"))).unwrap();
@@ -432,30 +433,35 @@
     assert_eq!(w.running(second), 40);
     assert!(w.sent * 100 < whole, "{} bytes for one line, {whole} for all", w.sent);
     let service = w.service.as_ref().unwrap();
-    assert!(service.fronts().all(|f| f.state == State::Current && f.stored && f.runs == Some(second)));
+    assert!(
+        service.fronts().all(|f| f.state == FrontState::Current && f.stored && f.running == Some(second))
+    );
     // Who has not seen the last version publishes nothing.
     let stale = w.on_service(|s, now, out| s.publish(now, b"good x"[..].into(), "", 1, out)).unwrap();
-    assert_eq!(stale, Err(NotPublished::Expected { last: 2 }));
+    assert_eq!(stale, Err(PublishError::Conflict { last: 2 }));
 }
 
 #[test]
 fn a_bad_version_of_each_kind_stops_at_the_canaries_and_says_why() {
     for (content, why) in [
         ("bad", "d.hcl:1:1: key 'bad': unknown key: expected 'good'?"),
-        ("later", "it changes what is only taken at a start: listen"),
+        ("later", "it changes settings that need a restart: listen"),
         ("stuck", "it could not be applied: it does not go in"),
-        ("fatal", "the front went down on it 2 times"),
+        ("fatal", "the front crashed on it 2 times"),
     ] {
-        let mut w = World::new(2, 30, Rules { missing: 0.9, answer_within: 60 * SECOND, ..quick() });
+        let mut w =
+            World::new(2, 30, Rules { max_timed_out_share: 0.9, response_timeout: 60 * SECOND, ..quick() });
         w.pass(5 * SECOND);
         let good = w.publish("good one").unwrap();
         w.settle();
         let bad = w.publish(content).unwrap();
         w.settle();
         let progress = w.service.as_ref().unwrap().progress().unwrap();
-        let Some(Stop::Refused { first, .. }) = progress.stopped else { panic!("{content}: {progress:?}") };
+        let Some(StopReason::Rejected { first, .. }) = progress.stopped else {
+            panic!("{content}: {progress:?}")
+        };
         assert_eq!(first.to_string(), why);
-        assert!(progress.went <= 2, "{content} went to {}", progress.went);
+        assert!(progress.offered <= 2, "{content} went to {}", progress.offered);
         w.pass(10 * SECOND);
         assert_eq!((w.running(good), w.running(bad)), (30, 0));
         // Back to the good one is a new number, and goes to whoever has anything else: here, to all.
@@ -471,12 +477,12 @@
     w.pass(5 * SECOND);
     w.publish("good one").unwrap();
     w.settle();
-    let report = |w: &mut World, harm: Option<Id>| {
+    let report = |w: &mut World, harm: Option<VersionId>| {
         for _ in 0..6 {
             for n in 0..30 {
-                let runs = w.hosts[n].front.as_ref().and_then(Front::runs);
+                let runs = w.hosts[n].front.as_ref().and_then(Front::running);
                 let share = if harm.is_some() && runs == harm { 0.6 } else { 0.98 };
-                w.on_front(n, |f, _, out| f.serves(share, out));
+                w.on_front(n, |f, _, out| f.report_service_level(share, out));
             }
             w.pass(SECOND / 3);
         }
@@ -486,7 +492,10 @@
     report(&mut w, Some(harmful));
     w.settle();
     let progress = w.service.as_ref().unwrap().progress().unwrap();
-    assert!(matches!(progress.stopped, Some(Stop::Dropped { from: 970.., to: ..900, .. })), "{progress:?}");
+    assert!(
+        matches!(progress.stopped, Some(StopReason::ServiceDrop { from: 970.., to: ..900, .. })),
+        "{progress:?}"
+    );
     assert_eq!(w.running(harmful), 2);
 }
 
@@ -498,7 +507,7 @@
     w.settle();
     let report = |w: &mut World, share: f32| {
         for _ in 0..6 {
-            (0..30).for_each(|n| w.on_front(n, |f, _, out| f.serves(share, out)));
+            (0..30).for_each(|n| w.on_front(n, |f, _, out| f.report_service_level(share, out)));
             w.pass(SECOND / 3);
         }
     };
@@ -535,14 +544,14 @@
     w.pass(5 * SECOND);
     let first = w.publish("good one").unwrap();
     // The front has its content, and has not said yet that it runs it, when another is published.
-    while w.hosts[0].front.as_ref().and_then(Front::runs) != Some(first) {
+    while w.hosts[0].front.as_ref().and_then(Front::running) != Some(first) {
         w.step();
     }
-    w.on_service(|s, _, out| s.stop(Stop::ByHand, out));
+    w.on_service(|s, _, out| s.stop(StopReason::Manual, out));
     let second = w.publish("good two").unwrap();
     w.settle();
     assert_eq!((first.number, w.running(second)), (1, 1));
-    let untrue = w.lines.iter().filter(|l| matches!(l, Line::Lies { .. })).count();
+    let untrue = w.lines.iter().filter(|l| matches!(l, LogEvent::FalseClaim { .. })).count();
     assert_eq!(untrue, 0, "{:?}", w.lines);
 }
 
@@ -567,18 +576,26 @@
     let mut w = World::new(6, 3, Rules { soak: 600 * SECOND, ..quick() });
     w.pass(5 * SECOND);
     let service = w.service.as_mut().unwrap();
-    let mut ask = |role, ask: Ask| service.asked(w.now, role, ask, |_| Err("no".into()), &mut Vec::new());
-    let publish = |expects| Ask::Publish { content: b"x".as_slice().into(), note: "".into(), expects };
-    assert_eq!(ask(Role::Viewer, publish(0)), Answer::Denied(Denied::OnlyLooks));
-    assert_eq!(ask(Role::Operator, publish(7)), Answer::NotPublished(NotPublished::Expected { last: 0 }));
-    assert_eq!(ask(Role::Operator, publish(0)), Answer::Unsound("no".into()));
-    assert_eq!(ask(Role::Operator, Ask::Stop { number: 1 }), Answer::Denied(Denied::OtherUnderWay(None)));
-    assert_eq!(ask(Role::Operator, Ask::TakeOver), Answer::Denied(Denied::NoOtherService));
-    assert_eq!(ask(Role::Viewer, Ask::Content { number: 3 }), Answer::Denied(Denied::NoSuchVersion(3)));
-    let Answer::Status(totals) = ask(Role::Viewer, Ask::Status) else { panic!() };
+    let mut ask =
+        |role, ask: Request| service.handle_request(w.now, role, ask, |_| Err("no".into()), &mut Vec::new());
+    let publish = |expects| Request::Publish {
+        content: b"x".as_slice().into(),
+        note: "".into(),
+        expected_last: expects,
+    };
+    assert_eq!(ask(Role::Viewer, publish(0)), Response::Denied(Denial::ReadOnly));
+    assert_eq!(ask(Role::Operator, publish(7)), Response::NotPublished(PublishError::Conflict { last: 0 }));
+    assert_eq!(ask(Role::Operator, publish(0)), Response::Invalid("no".into()));
+    assert_eq!(
+        ask(Role::Operator, Request::Stop { number: 1 }),
+        Response::Denied(Denial::NotInProgress(None))
+    );
+    assert_eq!(ask(Role::Operator, Request::TakeOver), Response::Denied(Denial::NotSuperseded));
+    assert_eq!(ask(Role::Viewer, Request::Content { number: 3 }), Response::Denied(Denial::NoSuchVersion(3)));
+    let Response::Status(totals) = ask(Role::Viewer, Request::Status) else { panic!() };
     assert_eq!((totals.fronts, totals.connected, totals.waiting, totals.last), (3, 3, 3, 0));
-    let Answer::Fronts { rows, more } =
-        ask(Role::Viewer, Ask::Fronts { after: "front-0".into(), filter: Filter::All })
+    let Response::Fronts { rows, more } =
+        ask(Role::Viewer, Request::Fronts { after: "front-0".into(), filter: Filter::All })
     else {
         panic!()
     };
@@ -599,10 +616,10 @@
     w.kill_service();
     w.pass(180 * SECOND);
     assert_eq!(w.running(two), 30);
-    assert!(w.hosts[0].lines.iter().any(|l| matches!(l, FrontLine::Silent(_))));
+    assert!(w.hosts[0].lines.iter().any(|l| matches!(l, FrontEvent::ServiceSilent(_))));
     w.start_service();
     w.pass(180 * SECOND);
-    assert!(w.service.as_ref().unwrap().fronts().filter(|f| f.state == State::Current).count() == 30);
+    assert!(w.service.as_ref().unwrap().fronts().filter(|f| f.state == FrontState::Current).count() == 30);
     // Back with an older copy: its next number would be one that fronts know with other content.
     w.kill_service();
     w.found = copy;
@@ -616,7 +633,7 @@
     assert_eq!(w.running(three), 30);
     // Back with nothing: fronts keep what they run until somebody publishes.
     w.kill_service();
-    w.found = service::Found::default();
+    w.found = service::StoredState::default();
     w.pass(60 * SECOND);
     w.start_service();
     w.pass(180 * SECOND);
@@ -672,7 +689,7 @@
     w.settle();
     let (older, found) = (w.service.take().unwrap(), w.found.clone());
     w.conns.clear();
-    w.found = service::Found::default();
+    w.found = service::StoredState::default();
     for n in 0..12 {
         let conn = w.hosts[n].conn.unwrap();
         w.at(100, Event::Cut(n, conn));
@@ -686,8 +703,8 @@
     w.kill_service();
     (w.service, w.found) = (Some(older), found);
     w.pass(180 * SECOND);
-    assert!(w.lines.iter().any(|l| matches!(l, Line::Superseded { by } if *by == two.epoch)));
-    assert_eq!(w.publish("good three"), Err(NotPublished::Superseded { by: two.epoch }));
+    assert!(w.lines.iter().any(|l| matches!(l, LogEvent::Superseded { by } if *by == two.epoch)));
+    assert_eq!(w.publish("good three"), Err(PublishError::Superseded { by: two.epoch }));
     assert_eq!(w.running(two), 12);
 }
 
@@ -698,19 +715,28 @@
     let one = w.publish("good one").unwrap();
     w.settle();
     let (conn, epoch) = (1_000, w.service.as_ref().unwrap().epoch());
-    for id in [Id { number: 9, ..one }, Id { epoch: u64::MAX, ..one }, Id { hash: [7; 32], ..one }] {
-        let runs = Some((id, Seal { key: 1, code: [3; 32] }));
-        let hello = ToService::Hello { front: "liar".into(), station: "x".into(), runs };
-        w.on_service(|s, now, out| s.heard(now, conn, hello, out));
+    for id in [
+        VersionId { number: 9, ..one },
+        VersionId { epoch: u64::MAX, ..one },
+        VersionId { hash: [7; 32], ..one },
+    ] {
+        let runs = Some((id, Seal { key: 1, mac: [3; 32] }));
+        let hello = ToService::Hello { front: "liar".into(), station: "x".into(), running: runs };
+        w.on_service(|s, now, out| s.on_message(now, conn, hello, out));
         w.on_service(|s, now, out| {
-            s.heard(now, conn, ToService::Runs { id: Id { number: 5, ..one }, stored: true }, out)
+            s.on_message(
+                now,
+                conn,
+                ToService::Running { id: VersionId { number: 5, ..one }, stored: true },
+                out,
+            )
         });
-        w.on_service(|s, now, out| s.gone(now, conn, out));
+        w.on_service(|s, now, out| s.on_disconnected(now, conn, out));
     }
     let service = w.service.as_ref().unwrap();
     assert_eq!(service.epoch(), epoch);
-    assert!(service.fronts().any(|f| f.front == "liar" && f.lies));
-    assert!(w.lines.iter().filter(|l| matches!(l, Line::Lies { .. })).count() >= 4);
+    assert!(service.fronts().any(|f| f.front == "liar" && f.false_claim));
+    assert!(w.lines.iter().filter(|l| matches!(l, LogEvent::FalseClaim { .. })).count() >= 4);
     assert!(w.publish("good two").is_ok());
 }
 
@@ -743,7 +769,7 @@
 /// All come in the same second, and again after three silent minutes.
 #[test]
 fn returning_fronts_come_in_at_the_rate_that_is_told() {
-    let rules = Rules { admit: 100.0, ..quick() };
+    let rules = Rules { admissions_per_second: 100.0, ..quick() };
     let mut w = World::new(8, 1_000, rules);
     w.pass(30 * SECOND);
     assert!(w.admitted.values().all(|&n| n <= 115), "{:?}", w.admitted);
@@ -761,61 +787,61 @@
 fn what_a_relay_alters_or_nobody_vouches_for_is_not_taken() {
     let mut out = Vec::new();
     let own = ("front", "station");
-    let mut f = Front::start(START, 1, own, keys(), front::Found::default(), Ok(()), &mut out);
-    f.up(START, &mut out);
+    let mut f = Front::start(START, 1, own, keys(), front::StoredState::default(), Ok(()), &mut out);
+    f.on_connected(START, &mut out);
     let content: Arc<[u8]> = b"good one"[..].into();
-    let id = Id::of(1, 1, &content);
+    let id = VersionId::of(1, 1, &content);
     let seal = keys().seal(&id).unwrap();
     let tries = [
-        (seal, Body::Whole(b"good but altered"[..].into()), "its content is not what its hash says"),
+        (seal, Body::Full(b"good but altered"[..].into()), "its content does not match its hash"),
         (
             Seal { key: 9, ..seal },
-            Body::Whole(content.clone()),
-            "its seal is not good: key 9 is unknown, or did not make it",
+            Body::Full(content.clone()),
+            "its seal is not valid: key 9 is unknown, or did not make it",
         ),
         (
-            Seal { code: [0; 32], ..seal },
-            Body::Whole(content.clone()),
-            "its seal is not good: key 1 is unknown, or did not make it",
+            Seal { mac: [0; 32], ..seal },
+            Body::Full(content.clone()),
+            "its seal is not valid: key 1 is unknown, or did not make it",
         ),
     ];
     for (number, (seal, body, why)) in (1..).zip(tries) {
         // Each under a number of its own: what was refused once is not fetched again.
-        let id = if number == 1 { id } else { Id { number, ..id } };
-        let seal = if number == 1 { seal } else { Seal { code: keys().seal(&id).unwrap().code, ..seal } };
-        let seal = if number == 3 { Seal { code: [0; 32], ..seal } } else { seal };
+        let id = if number == 1 { id } else { VersionId { number, ..id } };
+        let seal = if number == 1 { seal } else { Seal { mac: keys().seal(&id).unwrap().mac, ..seal } };
+        let seal = if number == 3 { Seal { mac: [0; 32], ..seal } } else { seal };
         out.clear();
-        f.heard(START, ToFront::Offer { id }, &mut out);
-        f.heard(START, ToFront::Content { id, seal, body }, &mut out);
+        f.on_message(START, ToFront::Offer { id }, &mut out);
+        f.on_message(START, ToFront::Content { id, seal, body }, &mut out);
         let told = out.iter().find_map(|d| match d {
-            front::Effect::Send(ToService::TurnedDown { why, .. }) => Some(why.to_string()),
+            front::Effect::Send(ToService::Rejected { reason: why, .. }) => Some(why.to_string()),
             _ => None,
         });
         assert_eq!(told.as_deref(), Some(why));
         assert!(!out.iter().any(|d| matches!(d, front::Effect::Check(..))));
         out.clear();
-        f.heard(START, ToFront::Offer { id }, &mut out);
+        f.on_message(START, ToFront::Offer { id }, &mut out);
         assert!(
-            matches!(&out[..], [front::Effect::Send(ToService::TurnedDown { .. })]),
+            matches!(&out[..], [front::Effect::Send(ToService::Rejected { .. })]),
             "told again, not fetched"
         );
     }
     // A delta that does not fit is asked for whole; keys may change hands meanwhile.
     f.set_keys(Keys::new(vec![(1, b"the key".to_vec()), (2, b"the next".to_vec())]));
-    let id = Id { number: 7, ..id };
+    let id = VersionId { number: 7, ..id };
     let seal = Keys::new(vec![(2, b"the next".to_vec())]).seal(&id).unwrap();
     out.clear();
-    f.heard(START, ToFront::Offer { id }, &mut out);
-    let steps = vec![delta::Step::Keep { from: u64::MAX, count: u64::MAX }];
-    f.heard(START, ToFront::Content { id, seal, body: Body::Delta(steps) }, &mut out);
-    f.heard(START, ToFront::Content { id, seal, body: Body::Whole(content) }, &mut out);
-    assert!(out.iter().any(|d| matches!(d, front::Effect::Send(ToService::Ask { base: None, .. }))));
+    f.on_message(START, ToFront::Offer { id }, &mut out);
+    let steps = vec![delta::Op::Copy { from: u64::MAX, count: u64::MAX }];
+    f.on_message(START, ToFront::Content { id, seal, body: Body::Delta(steps) }, &mut out);
+    f.on_message(START, ToFront::Content { id, seal, body: Body::Full(content) }, &mut out);
+    assert!(out.iter().any(|d| matches!(d, front::Effect::Send(ToService::Fetch { base: None, .. }))));
     assert!(out.iter().any(|d| matches!(d, front::Effect::Check(..))));
 }
 
 fn random_run(seed: u64) {
     let fronts = 1 + (seed % 7) as usize;
-    let mut w = World::new(seed, fronts, Rules { missing: 0.5, ..quick() });
+    let mut w = World::new(seed, fronts, Rules { max_timed_out_share: 0.5, ..quick() });
     w.unruly = true;
     let mut copy = w.found.clone();
     for number in 0..60 {
@@ -840,7 +866,7 @@
             9 => w.hosts[n].damaged = true,
             10 => copy = w.found.clone(),
             11 if w.service.is_none() => {
-                w.found = [copy.clone(), service::Found::default()][w.rng.usize(0..2)].clone()
+                w.found = [copy.clone(), service::StoredState::default()][w.rng.usize(0..2)].clone()
             }
             12 => {
                 if let Some(conn) = w.hosts[n].conn
@@ -865,9 +891,9 @@
     }
     w.hosts.iter_mut().for_each(|h| h.full = false);
     w.pass(600 * SECOND);
-    w.on_service(|s, _, out| s.stop(Stop::ByHand, out));
+    w.on_service(|s, _, out| s.stop(StopReason::Manual, out));
     let mut last = w.publish(&format!("good {seed} last"));
-    if matches!(last, Err(NotPublished::Superseded { .. })) {
+    if matches!(last, Err(PublishError::Superseded { .. })) {
         // An older copy of its store, from before an epoch that it opened: what is about is its own past. That can't
         // be told from another service, so a person says it.
         w.on_service(|s, _, out| s.take_over(out));
@@ -878,7 +904,7 @@
     w.pass(300 * SECOND);
     assert_eq!(w.running(last), fronts);
     let service = w.service.as_ref().unwrap();
-    assert!(service.fronts().all(|f| f.state == State::Current && f.runs == Some(last)));
+    assert!(service.fronts().all(|f| f.state == FrontState::Current && f.running == Some(last)));
 }
 
 proptest! {
--- a/crates/versions/tests/merge.rs
+++ b/crates/versions/tests/merge.rs
@@ -5,7 +5,7 @@
 
 use std::time::{Duration, Instant};
 
-use doorgrade_versions::merge::{Conflict, merge, take_out};
+use doorgrade_versions::merge::{Conflict, merge, revert};
 use proptest::prelude::*;
 
 const MEMBERS: usize = 250;
@@ -49,14 +49,14 @@
 fn of_five_changes_the_second_is_taken_out_alone() {
     let (before, after) = (drained(&[10]), drained(&[10, 20]));
     let all = drained(&[10, 20, 30, 40, 50]);
-    let rest = text(take_out(before.as_bytes(), after.as_bytes(), all.as_bytes()));
+    let rest = text(revert(before.as_bytes(), after.as_bytes(), all.as_bytes()));
     assert_eq!(rest, drained(&[10, 30, 40, 50]));
 }
 
 #[test]
 fn of_members_added_in_turn_the_first_is_taken_out_and_the_second_stays() {
     let (none, one, two) = (added(&[]), added(&["s-a"]), added(&["s-a", "s-b"]));
-    assert_eq!(text(take_out(none.as_bytes(), one.as_bytes(), two.as_bytes())), added(&["s-b"]));
+    assert_eq!(text(revert(none.as_bytes(), one.as_bytes(), two.as_bytes())), added(&["s-b"]));
     // So is the second laid alone on what is proven.
     assert_eq!(text(merge(one.as_bytes(), none.as_bytes(), two.as_bytes())), added(&["s-b"]));
 }
@@ -81,12 +81,12 @@
 fn a_change_that_builds_on_another_is_told_with_its_lines() {
     let (base, one) = (drained(&[]), drained(&[3]));
     let two = one.replace("draining", "out");
-    let conflict = take_out(base.as_bytes(), one.as_bytes(), two.as_bytes()).unwrap_err();
+    let conflict = revert(base.as_bytes(), one.as_bytes(), two.as_bytes()).unwrap_err();
     let line = base.lines().zip(one.lines()).position(|(a, b)| a != b).unwrap() + 1;
     assert_eq!(conflict.lines, line..line + 1);
     assert_eq!(
         conflict.to_string(),
-        format!("two changes meet at lines {line} to {line}: publish again from the newest content")
+        format!("two changes conflict at lines {line} to {line}: publish again from the newest content")
     );
 }
 
@@ -131,7 +131,7 @@
     for kinds in [0, 1, 2, 10, 1000] {
         let (base, ours, theirs) = (hostile(1, kinds), hostile(2, kinds), hostile(3, kinds));
         let _ = merge(&base, &ours, &theirs);
-        let _ = take_out(&base, &ours, &theirs);
+        let _ = revert(&base, &ours, &theirs);
         assert!(start.elapsed() < Duration::from_secs(60), "{kinds} kinds of lines: {:?}", start.elapsed());
     }
 }
@@ -171,7 +171,7 @@
 
     #[test]
     fn the_last_change_taken_out_gives_the_content_before(before in contents(), after in contents()) {
-        prop_assert_eq!(take_out(&before, &after, &after).unwrap(), before);
+        prop_assert_eq!(revert(&before, &after, &after).unwrap(), before);
     }
 
     #[test]
@@ -192,8 +192,8 @@
         let (base, a, b) = (drained(&[]), drained(&one), drained(&two));
         let both = text(merge(base.as_bytes(), a.as_bytes(), b.as_bytes()));
         prop_assert_eq!(&both, &drained(&[one, two].concat()));
-        prop_assert_eq!(text(take_out(base.as_bytes(), a.as_bytes(), both.as_bytes())), b.clone());
-        prop_assert_eq!(text(take_out(a.as_bytes(), both.as_bytes(), both.as_bytes())), a);
+        prop_assert_eq!(text(revert(base.as_bytes(), a.as_bytes(), both.as_bytes())), b.clone());
+        prop_assert_eq!(text(revert(a.as_bytes(), both.as_bytes(), both.as_bytes())), a);
     }
 
     #[test]
@@ -203,6 +203,6 @@
         two in proptest::collection::vec(any::<u8>(), 0..200),
     ) {
         let _ = merge(&base, &one, &two);
-        let _ = take_out(&base, &one, &two);
+        let _ = revert(&base, &one, &two);
     }
 }
