--- a/crates/versions/tests/model.rs
+++ b/crates/versions/tests/model.rs
@@ -8,8 +8,8 @@
 use doorgrade_versions::front::{self, Content, Front};
 use doorgrade_versions::message::{ToFront, ToService};
 use doorgrade_versions::seal::{Keys, Seal};
-use doorgrade_versions::service::{self, Rules, Saved, Service, State as Standing, Version};
-use doorgrade_versions::{Id, Reason};
+use doorgrade_versions::service::{self, FrontState as Standing, Rules, SavedRollout, Service, Version};
+use doorgrade_versions::{RejectionReason, VersionId};
 use stateright::{Checker, Model, Property};
 
 const START: u64 = 17_000_000_000_000;
@@ -19,8 +19,8 @@
     Keys::new(vec![(1, b"the key".to_vec())])
 }
 
-fn usable(content: &[u8]) -> Result<(), Reason> {
-    if content == b"bad" { Err(Reason::Unusable("bad".into())) } else { Ok(()) }
+fn usable(content: &[u8]) -> Result<(), RejectionReason> {
+    if content == b"bad" { Err(RejectionReason::Unusable("bad".into())) } else { Ok(()) }
 }
 
 /// What the service's disk holds.
@@ -29,7 +29,7 @@
     epoch: u64,
     versions: Vec<Version>,
     base: Option<u64>,
-    rollout: Option<Saved>,
+    rollout: Option<SavedRollout>,
 }
 
 /// How often what can go wrong still may: that bounds the search.
@@ -57,8 +57,8 @@
     /// The front asked for a connection.
     wants: bool,
     shell: VecDeque<front::Effect>,
-    good: Option<(Id, Seal, Content)>,
-    staged: Option<(Id, u32)>,
+    good: Option<(VersionId, Seal, Content)>,
+    staged: Option<(VersionId, u32)>,
     disk: Disk,
     front_wakes: Option<u64>,
     service_wakes: Option<u64>,
@@ -122,8 +122,8 @@
     }
 
     fn start_front(&mut self) {
-        let found = front::Found { good: self.good.clone(), staged: self.staged };
-        let usable = found.good.as_ref().map_or(Ok(()), |g| usable(&g.2));
+        let found = front::StoredState { last_good: self.good.clone(), staged: self.staged };
+        let usable = found.last_good.as_ref().map_or(Ok(()), |g| usable(&g.2));
         let mut out = Vec::new();
         self.front = Some(Front::start(self.now, 7, ("f", "s"), keys(), found, usable, &mut out));
         self.of_front(out);
@@ -131,8 +131,8 @@
 
     fn start_service(&mut self) {
         let Disk { epoch, versions, base, rollout } = self.disk.clone();
-        let found = service::Found { epoch, versions, base, rollout, trials: None };
-        let rules = Rules { soak: 0, canaries: 1, shares: vec![1.0], ..Rules::default() };
+        let found = service::StoredState { epoch, versions, base, rollout, trials: None };
+        let rules = Rules { soak: 0, canaries: 1, wave_shares: vec![1.0], ..Rules::default() };
         let mut out = Vec::new();
         self.service = Some(Service::start(self.now, rules, keys(), found, &mut out));
         self.of_service(out);
@@ -144,10 +144,10 @@
                 front::Effect::Connect => self.wants = true,
                 front::Effect::Close => self.cut(false),
                 front::Effect::Send(message) => {
-                    let runs = self.front.as_ref().and_then(Front::runs);
+                    let runs = self.front.as_ref().and_then(Front::running);
                     let told = match &message {
-                        ToService::Runs { id, .. } => Some(Some(*id)),
-                        ToService::Hello { runs, .. } => Some(runs.map(|r| r.0)),
+                        ToService::Running { id, .. } => Some(Some(*id)),
+                        ToService::Hello { running: runs, .. } => Some(runs.map(|r| r.0)),
                         _ => None,
                     };
                     // While a step of the machine is taken it is in here still.
@@ -158,45 +158,45 @@
                         self.to_service.push_back(message);
                     }
                 }
-                front::Effect::Wake(at) => {
+                front::Effect::SetTimer(at) => {
                     self.front_wakes = Some(self.front_wakes.map_or(at, |w| w.min(at)))
                 }
                 front::Effect::Unstage => self.staged = None,
-                front::Effect::Tell(_) => {}
+                front::Effect::Log(_) => {}
                 shell => self.shell.push_back(shell),
             }
         }
     }
 
-    fn of_service(&mut self, out: Vec<service::Do>) {
+    fn of_service(&mut self, out: Vec<service::Effect>) {
         for each in out {
             match each {
-                service::Do::Send(conn, message) => {
+                service::Effect::Send(conn, message) => {
                     if self.conn == Some(conn) {
                         self.to_front.push_back(message);
                     }
                 }
-                service::Do::Close(conn) => {
+                service::Effect::Close(conn) => {
                     if self.conn == Some(conn) {
                         self.cut(true);
                     }
                 }
-                service::Do::Store(version) => {
+                service::Effect::Store(version) => {
                     self.disk
                         .versions
                         .retain(|v| v.id.number != version.id.number || v.id.epoch != version.id.epoch);
                     self.disk.versions.push(version);
                 }
-                service::Do::StoreState { epoch, base, rollout } => {
+                service::Effect::StoreState { epoch, base, rollout } => {
                     self.disk.versions.retain(|v| v.id.epoch == epoch);
                     (self.disk.epoch, self.disk.base, self.disk.rollout) = (epoch, base, rollout);
                 }
-                service::Do::Wake(at) => {
+                service::Effect::SetTimer(at) => {
                     self.service_wakes = Some(self.service_wakes.map_or(at, |w| w.min(at)))
                 }
-                service::Do::Tell(_) => {}
+                service::Effect::Log(_) => {}
                 // Only where rollouts are judged by evidence.
-                service::Do::StoreTrials(_) | service::Do::Forget(_) => {
+                service::Effect::StoreTrials(_) | service::Effect::Delete(_) => {
                     self.broken = Some("trials are stored where rollouts go in waves")
                 }
             }
@@ -210,12 +210,12 @@
         self.to_front.clear();
         let (now, mut out) = (self.now, Vec::new());
         if let Some(service) = &mut self.service {
-            service.gone(now, conn, &mut out);
+            service.on_disconnected(now, conn, &mut out);
         }
         self.of_service(out);
         let mut out = Vec::new();
         if let Some(front) = self.front.as_mut().filter(|_| heard) {
-            front.down(now, &mut out);
+            front.on_disconnected(now, &mut out);
         }
         self.of_front(out);
     }
@@ -225,19 +225,19 @@
         let (now, mut out) = (self.now, Vec::new());
         let Some(front) = &mut self.front else { return };
         match next {
-            front::Effect::Check(id, content) => front.checked(now, id, usable(&content), &mut out),
-            front::Effect::Stage { id, falls } => {
+            front::Effect::Check(id, content) => front.on_checked(now, id, usable(&content), &mut out),
+            front::Effect::Stage { id, crashes: falls } => {
                 if !fails {
                     self.staged = Some((id, falls));
                 }
-                front.staged(now, id, &mut out);
+                front.on_staged(now, id, &mut out);
             }
-            front::Effect::Apply(id, _) => front.applied(now, id, Ok(()), &mut out),
-            front::Effect::Keep(id, seal, content) => {
+            front::Effect::Apply(id, _) => front.on_applied(now, id, Ok(()), &mut out),
+            front::Effect::Store(id, seal, content) => {
                 if !fails {
                     (self.good, self.staged) = (Some((id, seal, content)), None);
                 }
-                front.kept(now, id, !fails, &mut out);
+                front.on_stored(now, id, !fails, &mut out);
             }
             _ => {}
         }
@@ -249,7 +249,10 @@
         let (Some(front), Some(service)) = (&self.front, &self.service) else { return false };
         let mut all = service.fronts();
         all.next().is_some_and(|s| {
-            s.state == Standing::Current && s.stored && s.runs == front.runs() && s.goal == front.runs()
+            s.state == Standing::Current
+                && s.stored
+                && s.running == front.running()
+                && s.target == front.running()
         })
     }
 }
@@ -276,7 +279,7 @@
         may(up && !w.to_service.is_empty(), Step::ToService);
         may(up && !w.to_front.is_empty(), Step::ToFront);
         may(!w.shell.is_empty() && w.front.is_some(), Step::Shell { fails: false });
-        let writes = matches!(w.shell.front(), Some(front::Effect::Stage { .. } | front::Effect::Keep(..)));
+        let writes = matches!(w.shell.front(), Some(front::Effect::Stage { .. } | front::Effect::Store(..)));
         may(writes && w.left.failed_writes > 0, Step::Shell { fails: true });
         may(w.conn.is_some() && w.left.cuts > 0, Step::Cut);
         may(w.front.is_some() && w.left.front_deaths > 0, Step::FrontDies);
@@ -298,7 +301,7 @@
                 let service = w.service.as_mut()?;
                 let content: Arc<[u8]> = CONTENTS[w.left.publish].into();
                 let expects = service.last();
-                let (mut out, stop) = (Vec::new(), service::Stop::ByHand);
+                let (mut out, stop) = (Vec::new(), service::StopReason::Manual);
                 // A person who publishes over one that is under way stops it first.
                 service.stop(stop, &mut out);
                 service.publish(now, content, "", expects, &mut out).ok()?;
@@ -313,21 +316,21 @@
                 }
                 let front = w.front.as_mut()?;
                 if up {
-                    front.up(now, &mut out)
+                    front.on_connected(now, &mut out)
                 } else {
-                    front.down(now, &mut out)
+                    front.on_disconnected(now, &mut out)
                 }
                 w.of_front(out);
             }
             Step::ToService => {
                 let (message, conn) = (w.to_service.pop_front()?, w.conn?);
                 let mut out = Vec::new();
-                w.service.as_mut()?.heard(now, conn, message, &mut out);
+                w.service.as_mut()?.on_message(now, conn, message, &mut out);
                 w.of_service(out);
             }
             Step::ToFront => {
                 let message = w.to_front.pop_front()?;
-                w.front.as_mut()?.heard(now, message, &mut out);
+                w.front.as_mut()?.on_message(now, message, &mut out);
                 w.of_front(out);
             }
             Step::Shell { fails } => {
@@ -360,28 +363,30 @@
                 w.now = w.front_wakes.into_iter().chain(w.service_wakes).min()?.max(now + 1);
                 let now = w.now;
                 if w.front_wakes.take_if(|at| *at <= now).is_some() {
-                    w.front.as_mut()?.due(now, &mut out);
+                    w.front.as_mut()?.on_timer(now, &mut out);
                     w.of_front(out);
                 }
                 if w.service_wakes.take_if(|at| *at <= now).is_some() {
                     let mut out = Vec::new();
-                    w.service.as_mut()?.due(now, &mut out);
+                    w.service.as_mut()?.on_timer(now, &mut out);
                     w.of_service(out);
                 }
             }
         }
-        let runs = w.front.as_ref().and_then(Front::runs);
+        let runs = w.front.as_ref().and_then(Front::running);
         if runs.is_some_and(|id| *blake3::hash(b"bad").as_bytes() == id.hash) {
             w.broken = Some("it runs a version that is not good");
         }
         if w.good.as_ref().is_some_and(|g| usable(&g.2).is_err()) {
             w.broken = Some("a version that is not good is kept");
         }
-        let before = last.front.as_ref().filter(|_| step != Step::FrontDies).and_then(Front::runs);
-        if before.is_some_and(|before| w.front.is_some() && runs.is_none_or(|r| r.place() < before.place())) {
+        let before = last.front.as_ref().filter(|_| step != Step::FrontDies).and_then(Front::running);
+        if before
+            .is_some_and(|before| w.front.is_some() && runs.is_none_or(|r| r.position() < before.position()))
+        {
             w.broken = Some("it went back to an older version");
         }
-        if w.service.as_ref().is_some_and(|s| s.fronts().any(|s| s.lies)) {
+        if w.service.as_ref().is_some_and(|s| s.fronts().any(|s| s.false_claim)) {
             w.broken = Some("a true word was taken for a lie");
         }
         Some(w)
@@ -396,7 +401,7 @@
             Property::sometimes("it settles after a death", |_, w: &World| w.died && w.settled()),
             Property::sometimes("a bad one is turned down and stops", |_, w: &World| {
                 let stopped = w.service.as_ref().and_then(Service::progress).and_then(|p| p.stopped);
-                matches!(stopped, Some(service::Stop::Refused { .. }))
+                matches!(stopped, Some(service::StopReason::Rejected { .. }))
             }),
         ]
     }
--- a/crates/versions/tests/small_trial/mod.rs
+++ b/crates/versions/tests/small_trial/mod.rs
@@ -9,8 +9,8 @@
 use doorgrade_versions::front::{self, Front};
 use doorgrade_versions::message::{ToFront, ToService};
 use doorgrade_versions::seal::{Keys, Seal};
-use doorgrade_versions::service::{self, Found, Line, RolloutMode, Rules, Service, TrialRules};
-use doorgrade_versions::{Id, Reason};
+use doorgrade_versions::service::{self, LogEvent, RolloutMode, Rules, Service, StoredState, TrialRules};
+use doorgrade_versions::{RejectionReason, VersionId};
 
 const START: u64 = 17_000_000_000_000;
 const FRONTS: usize = 4;
@@ -70,8 +70,8 @@
     conn: Option<u64>,
     wants: bool,
     wakes: Option<u64>,
-    good: Option<(Id, Seal, front::Content)>,
-    staged: Option<(Id, u32)>,
+    good: Option<(VersionId, Seal, front::Content)>,
+    staged: Option<(VersionId, u32)>,
     /// What its accesses are answered by, whatever it says.
     content: Option<front::Content>,
     pub to_front: VecDeque<ToFront>,
@@ -97,8 +97,8 @@
     pub service: Option<Service>,
     service_wakes: Option<u64>,
     next_conn: u64,
-    disk: Found,
-    older: Found,
+    disk: StoredState,
+    older: StoredState,
     plant: Plant,
     pub left: Left,
     /// How many were published.
@@ -132,9 +132,9 @@
     String::from_utf8_lossy(content).lines().any(|line| line == token)
 }
 
-fn usable(content: &[u8]) -> Result<(), Reason> {
+fn usable(content: &[u8]) -> Result<(), RejectionReason> {
     let bad = String::from_utf8_lossy(content).contains("refuse");
-    if bad { Err(Reason::Unusable("refuse".into())) } else { Ok(()) }
+    if bad { Err(RejectionReason::Unusable("refuse".into())) } else { Ok(()) }
 }
 
 fn first() -> String {
@@ -165,8 +165,8 @@
             service: None,
             service_wakes: None,
             next_conn: 1,
-            disk: Found::default(),
-            older: Found::default(),
+            disk: StoredState::default(),
+            older: StoredState::default(),
             plant: Plant::None,
             left,
             next: 0,
@@ -194,8 +194,8 @@
         let trial = TrialRules { canaries: 1, share: 0.25, ..TrialRules::default() };
         let rules = Rules {
             rollout: RolloutMode::Evidence(trial),
-            admit: 10_000.0,
-            listen: 20_000,
+            admissions_per_second: 10_000.0,
+            recovery_delay: 20_000,
             ..Rules::default()
         };
         let mut out = Vec::new();
@@ -205,8 +205,8 @@
 
     fn start_front(&mut self, n: usize) {
         let host = &self.hosts[n];
-        let found = front::Found { good: host.good.clone(), staged: host.staged };
-        let content = found.good.as_ref().map(|g| g.2.clone());
+        let found = front::StoredState { last_good: host.good.clone(), staged: host.staged };
+        let content = found.last_good.as_ref().map(|g| g.2.clone());
         let may = content.as_ref().map_or(Ok(()), |c| usable(c));
         let (name, station) = (format!("front-{n}"), format!("station-{}", n % 2));
         let mut out = Vec::new();
@@ -231,27 +231,27 @@
                 front::Effect::Connect => host.wants = true,
                 front::Effect::Close => self.cut(n, false),
                 front::Effect::Send(message) => {
-                    if let ToService::TurnedDown { id, .. } = &message {
+                    if let ToService::Rejected { id, .. } = &message {
                         host.refused.insert(id.hash);
                     }
                     if host.conn.is_some() {
                         host.to_service.push_back(message);
                     }
                 }
-                front::Effect::Wake(at) => host.wakes = Some(host.wakes.map_or(at, |w| w.min(at))),
+                front::Effect::SetTimer(at) => host.wakes = Some(host.wakes.map_or(at, |w| w.min(at))),
                 front::Effect::Unstage => host.staged = None,
-                front::Effect::Tell(_) => {}
-                front::Effect::Report { every } => host.reports = every.is_some(),
+                front::Effect::Log(_) => {}
+                front::Effect::SetReportInterval { interval: every } => host.reports = every.is_some(),
                 front::Effect::Check(id, content) => {
                     let result = usable(&content);
                     if let Some(front) = &mut host.front {
-                        front.checked(now, id, result, &mut more);
+                        front.on_checked(now, id, result, &mut more);
                     }
                 }
-                front::Effect::Stage { id, falls } => {
+                front::Effect::Stage { id, crashes: falls } => {
                     host.staged = Some((id, falls));
                     if let Some(front) = &mut host.front {
-                        front.staged(now, id, &mut more);
+                        front.on_staged(now, id, &mut more);
                     }
                 }
                 front::Effect::Apply(id, content) => {
@@ -260,10 +260,10 @@
                         host.content = Some(content);
                     }
                     if let Some(front) = &mut host.front {
-                        front.applied(now, id, Ok(()), &mut more);
+                        front.on_applied(now, id, Ok(()), &mut more);
                     }
-                    let (lower, refused) = (id.place() < host.highest, host.refused.contains(&id.hash));
-                    host.highest = host.highest.max(id.place());
+                    let (lower, refused) = (id.position() < host.highest, host.refused.contains(&id.hash));
+                    host.highest = host.highest.max(id.position());
                     if lower {
                         self.breaks("it went to a lower number");
                     }
@@ -271,10 +271,10 @@
                         self.breaks("it starts on what it turned down");
                     }
                 }
-                front::Effect::Keep(id, seal, content) => {
+                front::Effect::Store(id, seal, content) => {
                     (host.good, host.staged) = (Some((id, seal, content)), None);
                     if let Some(front) = &mut host.front {
-                        front.kept(now, id, true, &mut more);
+                        front.on_stored(now, id, true, &mut more);
                     }
                 }
             }
@@ -282,10 +282,10 @@
         }
     }
 
-    fn of_service(&mut self, out: Vec<service::Do>) {
+    fn of_service(&mut self, out: Vec<service::Effect>) {
         for each in out {
             match each {
-                service::Do::Send(conn, message) => {
+                service::Effect::Send(conn, message) => {
                     let Some(n) = self.hosts.iter().position(|h| h.conn == Some(conn)) else { continue };
                     let withdrawn = !self.told.taken_out.is_empty();
                     let offer = matches!(message, ToFront::Offer { .. });
@@ -293,32 +293,34 @@
                         self.hosts[n].to_front.push_back(message);
                     }
                 }
-                service::Do::Close(conn) => {
+                service::Effect::Close(conn) => {
                     if let Some(n) = self.hosts.iter().position(|h| h.conn == Some(conn)) {
                         self.cut(n, true);
                     }
                 }
-                service::Do::Store(version) => {
-                    self.disk.versions.retain(|v| v.id.place() != version.id.place());
+                service::Effect::Store(version) => {
+                    self.disk.versions.retain(|v| v.id.position() != version.id.position());
                     self.disk.versions.push(version);
                 }
-                service::Do::StoreState { epoch, base, rollout } => {
+                service::Effect::StoreState { epoch, base, rollout } => {
                     self.disk.versions.retain(|v| v.id.epoch == epoch);
                     (self.disk.epoch, self.disk.base, self.disk.rollout) = (epoch, base, rollout);
                 }
-                service::Do::StoreTrials(trials) => self.disk.trials = Some(trials),
-                service::Do::Forget(id) => self.disk.versions.retain(|v| v.id != id),
-                service::Do::Wake(at) => {
+                service::Effect::StoreTrials(trials) => self.disk.trials = Some(trials),
+                service::Effect::Delete(id) => self.disk.versions.retain(|v| v.id != id),
+                service::Effect::SetTimer(at) => {
                     self.service_wakes = Some(self.service_wakes.map_or(at, |w| w.min(at)));
                 }
-                service::Do::Tell(Line::InForce(id)) => self.in_force(id),
-                service::Do::Tell(Line::TakenOut { change, .. }) => self.told.taken_out.push(change),
-                service::Do::Tell(_) => {}
+                service::Effect::Log(LogEvent::InForce(id)) => self.in_force(id),
+                service::Effect::Log(LogEvent::ChangeRemoved { change, .. }) => {
+                    self.told.taken_out.push(change)
+                }
+                service::Effect::Log(_) => {}
             }
         }
     }
 
-    fn in_force(&mut self, id: Id) {
+    fn in_force(&mut self, id: VersionId) {
         self.told.in_force.push(id.number);
         let Some(token) = self.token(id.number) else { return };
         let lacks = |h: &Host| h.conn.is_some() && !h.content.as_ref().is_some_and(|c| has(c, &token));
@@ -340,10 +342,10 @@
         (host.to_front, host.to_service) = Default::default();
         let (mut out, mut of_service) = (Vec::new(), Vec::new());
         if let Some(front) = host.front.as_mut().filter(|_| heard) {
-            front.down(now, &mut out);
+            front.on_disconnected(now, &mut out);
         }
         if let Some(service) = &mut self.service {
-            service.gone(now, conn, &mut of_service);
+            service.on_disconnected(now, conn, &mut of_service);
         }
         self.of_service(of_service);
         self.of_front(n, out);
--- a/crates/versions/tests/small_trial/play.rs
+++ b/crates/versions/tests/small_trial/play.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use super::{ASKED, FRONTS, Fault, Found, MOST_ROUNDS, Plant, ROUND, World, first, has};
+use super::{ASKED, FRONTS, Fault, MOST_ROUNDS, Plant, ROUND, StoredState, World, first, has};
 
 impl World {
     fn connect(&mut self, n: usize) {
@@ -13,9 +13,9 @@
         if up {
             self.next_conn += 1;
             host.conn = Some(conn);
-            front.up(now, &mut out);
+            front.on_connected(now, &mut out);
         } else {
-            front.down(now, &mut out);
+            front.on_disconnected(now, &mut out);
         }
         self.of_front(n, out);
     }
@@ -27,14 +27,14 @@
             let host = &mut self.hosts[n];
             let mut out = Vec::new();
             if let (Some(front), Some(message)) = (host.front.as_mut(), host.to_front.pop_front()) {
-                front.heard(now, message, &mut out);
+                front.on_message(now, message, &mut out);
                 self.of_front(n, out);
                 continue;
             }
             let (Some(conn), Some(message)) = (host.conn, host.to_service.pop_front()) else { break };
             let mut out = Vec::new();
             if let Some(service) = &mut self.service {
-                service.heard(now, conn, message, &mut out);
+                service.on_message(now, conn, message, &mut out);
             }
             self.of_service(out);
         }
@@ -68,7 +68,7 @@
             host.counts = (host.counts.0 + ASKED, host.counts.1 + ASKED * share / 100);
             let Some(front) = &mut host.front else { continue };
             if host.wakes.take_if(|at| *at <= now).is_some() {
-                front.due(now, &mut out);
+                front.on_timer(now, &mut out);
             }
             if host.reports {
                 front.report(host.counts.0, host.counts.1, &mut out);
@@ -80,7 +80,7 @@
         if self.service_wakes.take_if(|at| *at <= now).is_some()
             && let Some(service) = &mut self.service
         {
-            service.due(now, &mut out);
+            service.on_timer(now, &mut out);
         }
         self.of_service(out);
         self.deliver_all();
@@ -146,7 +146,7 @@
                     self.store_lost = true;
                     let older = fault == Fault::ServiceOnOlderStore;
                     self.empty = !older;
-                    self.disk = if older { self.older.clone() } else { Found::default() };
+                    self.disk = if older { self.older.clone() } else { StoredState::default() };
                 }
             }
         }
--- a/crates/versions/tests/trial_world/mod.rs
+++ b/crates/versions/tests/trial_world/mod.rs
@@ -14,9 +14,10 @@
 use doorgrade_versions::message::{ToFront, ToService};
 use doorgrade_versions::seal::{Keys, Seal};
 use doorgrade_versions::service::{
-    self, ChangeState, Found, Harm, Line, NotPublished, RolloutMode, Rules, Service, TrialRules,
+    self, ChangeState, LogEvent, PublishError, RemovalReason, RolloutMode, Rules, Service, StoredState,
+    TrialRules,
 };
-use doorgrade_versions::{Id, Reason};
+use doorgrade_versions::{RejectionReason, VersionId};
 use fastrand::Rng;
 
 pub const SECOND: u64 = 10_000;
@@ -60,8 +61,8 @@
     pub conn: Option<u64>,
     /// Since when the service has it connected.
     pub since: u64,
-    good: Option<(Id, Seal, front::Content)>,
-    staged: Option<(Id, u32)>,
+    good: Option<(VersionId, Seal, front::Content)>,
+    staged: Option<(VersionId, u32)>,
     effects: Effects,
     took: u64,
     pub content: Option<Arc<[u8]>>,
@@ -98,17 +99,17 @@
     pub hosts: Vec<Host>,
     pub service: Option<Service>,
     service_life: u32,
-    pub found: Found,
+    pub found: StoredState,
     pub rules: Rules,
     next_conn: u64,
     conns: BTreeMap<u64, usize>,
-    pub lines: Vec<(u64, Line)>,
+    pub lines: Vec<(u64, LogEvent)>,
     /// All accesses of all fronts lose this share of answers.
     pub storm: f64,
     /// By the number of a change: when it was published, and its token.
     pub published: BTreeMap<u64, (u64, String)>,
     pub in_force: BTreeMap<u64, u64>,
-    pub taken_out: BTreeMap<u64, (u64, Harm)>,
+    pub taken_out: BTreeMap<u64, (u64, RemovalReason)>,
     /// The fronts that ever ran a change, by its token.
     pub reach: BTreeMap<String, BTreeSet<usize>>,
     /// Of a token: whose reach is looked at.
@@ -126,7 +127,12 @@
 }
 
 pub fn evidence(trial: TrialRules) -> Rules {
-    Rules { rollout: RolloutMode::Evidence(trial), admit: 10_000.0, listen: 2 * SECOND, ..Rules::default() }
+    Rules {
+        rollout: RolloutMode::Evidence(trial),
+        admissions_per_second: 10_000.0,
+        recovery_delay: 2 * SECOND,
+        ..Rules::default()
+    }
 }
 
 fn effects(content: &[u8]) -> Effects {
@@ -195,7 +201,7 @@
             hosts,
             service: None,
             service_life: 0,
-            found: Found::default(),
+            found: StoredState::default(),
             rules,
             next_conn: 0,
             conns: BTreeMap::new(),
@@ -265,8 +271,8 @@
         let host = &mut self.hosts[n];
         host.life += 1;
         (host.asked, host.answered, host.counted, host.every) = (0, 0, self.now, None);
-        let found = front::Found { good: host.good.clone(), staged: host.staged };
-        host.content = found.good.as_ref().map(|g| g.2.clone());
+        let found = front::StoredState { last_good: host.good.clone(), staged: host.staged };
+        host.content = found.last_good.as_ref().map(|g| g.2.clone());
         host.effects = host.content.as_ref().map(|c| effects(c)).unwrap_or_default();
         host.took = self.now;
         let (mut out, name) = (Vec::new(), format!("front-{n}"));
@@ -381,10 +387,10 @@
                     }
                     self.at(at - self.now, Event::ToService(conn, message));
                 }
-                front::Effect::Wake(at) => self.at(at.saturating_sub(self.now), Event::FrontDue(n, life)),
-                front::Effect::Tell(_) => {}
+                front::Effect::SetTimer(at) => self.at(at.saturating_sub(self.now), Event::FrontDue(n, life)),
+                front::Effect::Log(_) => {}
                 front::Effect::Unstage => self.hosts[n].staged = None,
-                front::Effect::Report { every } => {
+                front::Effect::SetReportInterval { interval: every } => {
                     self.hosts[n].timer += 1;
                     self.hosts[n].every = every;
                     let timer = self.hosts[n].timer;
@@ -400,34 +406,37 @@
         }
     }
 
-    fn do_service(&mut self, out: Vec<service::Do>) {
+    fn do_service(&mut self, out: Vec<service::Effect>) {
         for each in out {
             match each {
-                service::Do::Send(conn, message) => {
+                service::Effect::Send(conn, message) => {
                     let Some(&n) = self.conns.get(&conn) else { continue };
                     if let ToFront::Offer { id } = &message {
-                        let runs = self.hosts[n].front.as_ref().and_then(Front::runs);
-                        assert!(runs.is_none_or(|r| r.place() < id.place()), "a lower number is offered");
+                        let runs = self.hosts[n].front.as_ref().and_then(Front::running);
+                        assert!(
+                            runs.is_none_or(|r| r.position() < id.position()),
+                            "a lower number is offered"
+                        );
                     }
                     let at = (self.now + self.hosts[n].latency + self.rng.u64(0..20))
                         .max(self.hosts[n].last_heard);
                     self.hosts[n].last_heard = at;
                     self.at(at - self.now, Event::ToFront(n, conn, message));
                 }
-                service::Do::Close(conn) => {
+                service::Effect::Close(conn) => {
                     if let Some(n) = self.conns.remove(&conn) {
                         self.at(700, Event::Cut(n, conn));
                     }
                 }
-                service::Do::Store(version) => {
+                service::Effect::Store(version) => {
                     self.found.versions.retain(|v| v.id.number != version.id.number);
                     self.found.versions.push(version);
                 }
-                service::Do::StoreState { epoch, base, rollout } => {
+                service::Effect::StoreState { epoch, base, rollout } => {
                     self.found.versions.retain(|v| v.id.epoch == epoch);
                     (self.found.epoch, self.found.base, self.found.rollout) = (epoch, base, rollout);
                 }
-                service::Do::StoreTrials(saved) => {
+                service::Effect::StoreTrials(saved) => {
                     self.found.trials = Some(saved);
                     self.stores += 1;
                     if self.dies_at == Some(self.stores) {
@@ -436,19 +445,19 @@
                         return;
                     }
                 }
-                service::Do::Forget(id) => self.found.versions.retain(|v| v.id != id),
-                service::Do::Wake(at) => {
+                service::Effect::Delete(id) => self.found.versions.retain(|v| v.id != id),
+                service::Effect::SetTimer(at) => {
                     let life = self.service_life;
                     self.at(at.saturating_sub(self.now).max(1), Event::ServiceDue(life));
                 }
-                service::Do::Tell(line) => self.told(line),
+                service::Effect::Log(line) => self.told(line),
             }
         }
     }
 
-    fn told(&mut self, line: Line) {
+    fn told(&mut self, line: LogEvent) {
         match &line {
-            Line::InForce(id) => {
+            LogEvent::InForce(id) => {
                 self.in_force.entry(id.number).or_insert(self.now);
                 if let Some((_, token)) = self.published.get(&id.number) {
                     for &n in self.conns.values() {
@@ -461,17 +470,17 @@
                         assert!(
                             has || !heard || host.front.is_none(),
                             "{id} told in force while front {n}, connected, lacks it: it runs {:?}, the service has it at {:?}; {}",
-                            host.front.as_ref().and_then(Front::runs),
+                            host.front.as_ref().and_then(Front::running),
                             self.service.as_ref().and_then(|s| s
                                 .fronts()
                                 .find(|f| f.front == format!("front-{n}"))
-                                .map(|f| (f.connected, f.runs, f.state))),
+                                .map(|f| (f.connected, f.running, f.state))),
                             self.story()
                         );
                     }
                 }
             }
-            Line::TakenOut { change, why } => {
+            LogEvent::ChangeRemoved { change, reason: why } => {
                 self.taken_out.entry(*change).or_insert((self.now, why.clone()));
             }
             _ => {}
@@ -489,7 +498,7 @@
 
     pub fn on_service<T>(
         &mut self,
-        act: impl FnOnce(&mut Service, u64, &mut Vec<service::Do>) -> T,
+        act: impl FnOnce(&mut Service, u64, &mut Vec<service::Effect>) -> T,
     ) -> Option<T> {
         let (mut out, now) = (Vec::new(), self.now);
         let result = self.service.as_mut().map(|s| act(s, now, &mut out));
@@ -501,16 +510,16 @@
         match asked {
             front::Effect::Check(id, content) => {
                 let refuse = self.effects_of(&id, &content).refuse;
-                let result = if refuse { Err(Reason::Unusable("refused".into())) } else { Ok(()) };
-                self.on_front(n, |f, now, out| f.checked(now, id, result, out));
+                let result = if refuse { Err(RejectionReason::Unusable("refused".into())) } else { Ok(()) };
+                self.on_front(n, |f, now, out| f.on_checked(now, id, result, out));
             }
-            front::Effect::Stage { id, falls } => {
+            front::Effect::Stage { id, crashes: falls } => {
                 self.hosts[n].staged = Some((id, falls));
-                self.on_front(n, |f, now, out| f.staged(now, id, out));
+                self.on_front(n, |f, now, out| f.on_staged(now, id, out));
             }
             front::Effect::Apply(id, content) => {
-                let runs = self.hosts[n].front.as_ref().and_then(Front::runs);
-                assert!(runs.is_none_or(|r| r.place() < id.place()), "an older version is applied");
+                let runs = self.hosts[n].front.as_ref().and_then(Front::running);
+                assert!(runs.is_none_or(|r| r.position() < id.position()), "an older version is applied");
                 let effects = self.effects_of(&id, &content);
                 if effects.fatal {
                     return self.kill_front(n, 2 * SECOND);
@@ -520,21 +529,21 @@
                 (host.effects, host.took, host.content) = (effects, self.now, Some(content.clone()));
                 self.hosts[n].applied += 1;
                 self.reached(n, &id);
-                self.on_front(n, |f, now, out| f.applied(now, id, Ok(()), out));
+                self.on_front(n, |f, now, out| f.on_applied(now, id, Ok(()), out));
             }
-            front::Effect::Keep(id, seal, content) => {
+            front::Effect::Store(id, seal, content) => {
                 (self.hosts[n].good, self.hosts[n].staged) = (Some((id, seal, content)), None);
-                self.on_front(n, |f, now, out| f.kept(now, id, true, out));
+                self.on_front(n, |f, now, out| f.on_stored(now, id, true, out));
             }
             _ => {}
         }
     }
 
-    fn effects_of(&mut self, id: &Id, content: &[u8]) -> Effects {
+    fn effects_of(&mut self, id: &VersionId, content: &[u8]) -> Effects {
         *self.known.entry(id.hash).or_insert_with(|| effects(content))
     }
 
-    fn reached(&mut self, n: usize, id: &Id) {
+    fn reached(&mut self, n: usize, id: &VersionId) {
         let Some(content) = &self.hosts[n].content else { return };
         let watched = &self.watched;
         let tokens = self.tokens.entry(id.hash).or_insert_with(|| {
@@ -581,34 +590,34 @@
                 let conn = self.next_conn;
                 (self.hosts[n].conn, self.hosts[n].since) = (Some(conn), 0);
                 self.conns.insert(conn, n);
-                self.on_front(n, |f, now, out| f.up(now, out));
+                self.on_front(n, |f, now, out| f.on_connected(now, out));
             }
             Event::Up(n, life) | Event::Refused(n, life) if self.hosts[n].life == life => {
-                self.on_front(n, |f, now, out| f.down(now, out));
+                self.on_front(n, |f, now, out| f.on_disconnected(now, out));
             }
             Event::ToService(conn, message) if self.conns.contains_key(&conn) => {
                 if matches!(message, ToService::Hello { .. }) {
                     let n = self.conns[&conn];
                     self.hosts[n].since = self.now;
                 }
-                self.on_service(|s, now, out| s.heard(now, conn, message, out));
+                self.on_service(|s, now, out| s.on_message(now, conn, message, out));
             }
             Event::ToFront(n, conn, message) if self.hosts[n].conn == Some(conn) => {
-                self.on_front(n, |f, now, out| f.heard(now, message, out));
+                self.on_front(n, |f, now, out| f.on_message(now, message, out));
             }
             Event::Cut(n, conn) if self.hosts[n].conn == Some(conn) => {
                 self.hosts[n].conn = None;
-                self.on_front(n, |f, now, out| f.down(now, out));
+                self.on_front(n, |f, now, out| f.on_disconnected(now, out));
             }
             Event::Gone(conn) => {
-                self.on_service(|s, now, out| s.gone(now, conn, out));
+                self.on_service(|s, now, out| s.on_disconnected(now, conn, out));
             }
             Event::Shell(n, life, asked) if self.hosts[n].life == life => self.shell(n, asked),
             Event::FrontDue(n, life) if self.hosts[n].life == life => {
-                self.on_front(n, |f, now, out| f.due(now, out));
+                self.on_front(n, |f, now, out| f.on_timer(now, out));
             }
             Event::ServiceDue(life) if self.service_life == life => {
-                self.on_service(|s, now, out| s.due(now, out));
+                self.on_service(|s, now, out| s.on_timer(now, out));
             }
             Event::Restart(n) if self.hosts[n].front.is_none() => self.start_front(n),
             Event::Heal(n) => self.hosts[n].cut_off = false,
@@ -650,7 +659,7 @@
                     !has,
                     "front {n}, connected, runs change {number}, taken out {why:?} {} ago: it runs {:?}, {}",
                     self.now - at,
-                    host.front.as_ref().and_then(Front::runs),
+                    host.front.as_ref().and_then(Front::running),
                     self.story()
                 );
             }
@@ -679,10 +688,15 @@
 
     // ---- publications
 
-    pub fn publish_content(&mut self, content: &str, token: &str, expects: u64) -> Result<Id, NotPublished> {
+    pub fn publish_content(
+        &mut self,
+        content: &str,
+        token: &str,
+        expects: u64,
+    ) -> Result<VersionId, PublishError> {
         let bytes: Arc<[u8]> = content.as_bytes().into();
         let result = self.on_service(|s, now, out| s.publish(now, bytes, token, expects, out));
-        let result = result.unwrap_or(Err(NotPublished::NoSuchVersion));
+        let result = result.unwrap_or(Err(PublishError::NoSuchVersion));
         if let Ok(id) = &result {
             self.published.insert(id.number, (self.now, token.into()));
             self.watched.push(token.into());
@@ -697,12 +711,12 @@
     }
 
     /// The newest content with one more line written: `what` is its effect.
-    pub fn change(&mut self, what: &str) -> Result<Id, NotPublished> {
+    pub fn change(&mut self, what: &str) -> Result<VersionId, PublishError> {
         let line = (2 * self.edits as usize) % LINES;
         self.change_line(line, what)
     }
 
-    pub fn change_line(&mut self, line: usize, what: &str) -> Result<Id, NotPublished> {
+    pub fn change_line(&mut self, line: usize, what: &str) -> Result<VersionId, PublishError> {
         self.edits += 1;
         let token = format!("c{};", self.edits);
         let mut content = String::new();
@@ -723,8 +737,10 @@
     pub fn state(&self, number: u64) -> Option<ChangeState> {
         let mut service = self.service.clone()?;
         let (role, mut out) = (service::Role::Viewer, Vec::new());
-        match service.asked(self.now, role, service::Ask::Changes, |_| Ok(()), &mut out) {
-            service::Answer::Changes(rows) => rows.into_iter().find(|r| r.number == number).map(|r| r.state),
+        match service.handle_request(self.now, role, service::Request::Changes, |_| Ok(()), &mut out) {
+            service::Response::Changes(rows) => {
+                rows.into_iter().find(|r| r.number == number).map(|r| r.state)
+            }
             _ => None,
         }
     }
@@ -758,7 +774,7 @@
     }
 
     /// A content in place of the head.
-    pub fn publish_text(&mut self, content: &str) -> Result<Id, NotPublished> {
+    pub fn publish_text(&mut self, content: &str) -> Result<VersionId, PublishError> {
         let last = self.service.as_ref().map_or(0, Service::last);
         self.publish_content(content, content.trim_end(), last)
     }
--- a/crates/versions/tests/trials.rs
+++ b/crates/versions/tests/trials.rs
@@ -4,10 +4,11 @@
 
 use std::io::Write;
 
-use doorgrade_versions::Id;
+use doorgrade_versions::VersionId;
 use doorgrade_versions::message::ToService;
 use doorgrade_versions::service::{
-    Answer, Ask, ChangeState, Found, Harm, Line, NotPublished, Role, ThinTraffic, TrialRules,
+    ChangeState, LogEvent, PublishError, RemovalReason, Request, Response, Role, StoredState, ThinTraffic,
+    TrialRules,
 };
 use trial_world::{SECOND, World, evidence, quantile};
 
@@ -20,7 +21,7 @@
     let mut w = World::settled(1, 300, rules());
     let id = w.change("").unwrap();
     assert!(w.until(8 * SECOND, |w| w.in_force.contains_key(&id.number)), "{}", w.story());
-    let stages: Vec<_> = w.lines.iter().filter(|l| matches!(l.1, Line::Trial { .. })).collect();
+    let stages: Vec<_> = w.lines.iter().filter(|l| matches!(l.1, LogEvent::StageStarted { .. })).collect();
     assert!(stages.len() >= 3, "{stages:?}");
     assert_eq!(w.having(id.number), 300);
     assert!(w.took(id.number).unwrap() < 5.0, "{}", w.story());
@@ -31,7 +32,7 @@
     let mut w = World::settled(2, 300, rules());
     let id = w.change("harm=0.1").unwrap();
     assert!(w.until(10 * SECOND, |w| w.taken_out.contains_key(&id.number)), "{}", w.story());
-    assert!(matches!(w.taken_out[&id.number].1, Harm::Dropped { .. }));
+    assert!(matches!(w.taken_out[&id.number].1, RemovalReason::ServiceDrop { .. }));
     assert!(w.reach_of(id.number) <= 30, "{}", w.reach_of(id.number));
     w.pass(5 * SECOND);
     assert_eq!(w.having(id.number), 0);
@@ -60,11 +61,12 @@
 #[test]
 fn the_harmful_one_of_five_goes_out_alone() {
     let mut w = World::settled(4, 300, rules());
-    let ids: Vec<Id> = (0..5).map(|n| w.change(if n == 1 { "harm=0.1" } else { "" }).unwrap()).collect();
+    let ids: Vec<VersionId> =
+        (0..5).map(|n| w.change(if n == 1 { "harm=0.1" } else { "" }).unwrap()).collect();
     let bad = ids[1].number;
     assert!(w.until(20 * SECOND, |w| w.in_force.len() == 5), "{}", w.story());
     assert_eq!(w.taken_out.keys().copied().collect::<Vec<_>>(), [bad]);
-    assert!(matches!(w.taken_out[&bad].1, Harm::Dropped { .. }), "{:?}", w.taken_out);
+    assert!(matches!(w.taken_out[&bad].1, RemovalReason::ServiceDrop { .. }), "{:?}", w.taken_out);
     assert!(w.reach_of(bad) <= 30, "{}", w.reach_of(bad));
     // Undone within five seconds of being found: `World` asserts it of every connected front.
     w.pass(10 * SECOND);
@@ -81,11 +83,11 @@
         let mut w = World::settled(seed, 300, rules());
         w.change("").unwrap();
         w.pass(SECOND / 5);
-        let ids: Vec<Id> = batch.iter().map(|what| w.change(what).unwrap()).collect();
+        let ids: Vec<VersionId> = batch.iter().map(|what| w.change(what).unwrap()).collect();
         assert!(w.until(30 * SECOND, |w| w.in_force.len() == 4), "{}", w.story());
         let bad = ids[to_blame].number;
         assert_eq!(w.taken_out.keys().copied().collect::<Vec<_>>(), [bad], "{}", w.story());
-        assert!(matches!(w.taken_out[&bad].1, Harm::Together { .. }), "{}", w.story());
+        assert!(matches!(w.taken_out[&bad].1, RemovalReason::Interaction { .. }), "{}", w.story());
         assert!(w.reach_of(bad) <= 30, "{}", w.reach_of(bad));
         w.pass(10 * SECOND);
         assert_eq!((w.having(ids[0].number), w.having(bad)), (300, 0));
@@ -265,7 +267,7 @@
         match store {
             0 => {}
             1 => w.found = older,
-            _ => w.found = Found::default(),
+            _ => w.found = StoredState::default(),
         }
         w.epochs += 1;
         w.start_service();
@@ -279,7 +281,7 @@
         }
         if let Some(bad) = bad {
             assert_eq!(w.having(bad), 0, "killed at record {point}: {}", w.story());
-            assert!(matches!(w.state(bad), Some(ChangeState::TakenOut(Harm::Dropped { .. }))));
+            assert!(matches!(w.state(bad), Some(ChangeState::Removed(RemovalReason::ServiceDrop { .. }))));
         }
         assert!(w.taken_out.keys().all(|n| Some(*n) == bad), "killed at record {point}: {:?}", w.taken_out);
     }
@@ -306,15 +308,17 @@
 
 #[test]
 fn where_traffic_is_thin_it_waits_or_goes_on_and_says_so() {
-    for (thin_traffic, goes_on) in [(ThinTraffic::Wait, false), (ThinTraffic::GoOn, true)] {
+    for (thin_traffic, goes_on) in [(ThinTraffic::Wait, false), (ThinTraffic::Continue, true)] {
         let mut w = World::settled(15, 60, evidence(TrialRules { thin_traffic, ..TrialRules::default() }));
         w.set_rate(0.5);
         w.pass(10 * SECOND);
         let id = w.change("").unwrap();
         w.pass(40 * SECOND);
         assert_eq!(w.in_force.contains_key(&id.number), goes_on, "{}", w.story());
-        let told =
-            w.lines.iter().any(|l| matches!(l.1, Line::WentOnUnproven { change } if change == id.number));
+        let told = w
+            .lines
+            .iter()
+            .any(|l| matches!(l.1, LogEvent::ContinuedUnproven { change } if change == id.number));
         assert_eq!(told, goes_on);
         let state = w.state(id.number).unwrap();
         assert_eq!(state, if goes_on { ChangeState::Unproven } else { ChangeState::Canary });
@@ -334,13 +338,13 @@
     let mine = w.change_line(10, "mine").unwrap();
     let theirs = seen.replace("member 10 = 0\n", "member 10 = theirs\n");
     let refused = w.publish_content(&theirs, "theirs", last);
-    assert_eq!(refused, Err(NotPublished::Expected { last: mine.number }));
+    assert_eq!(refused, Err(PublishError::Conflict { last: mine.number }));
     let beside = seen.replace("member 40 = 0\n", "member 40 = beside\n");
     let id = w.publish_content(&beside, "beside", last).expect("another place");
     assert!(w.until(20 * SECOND, |w| w.in_force.contains_key(&id.number)));
     assert_eq!((w.having(mine.number), w.having(id.number)), (60, 60));
     let unknown = w.publish_content("x\n", "x", 999_999);
-    assert_eq!(unknown, Err(NotPublished::Expected { last: w.service.as_ref().unwrap().last() }));
+    assert_eq!(unknown, Err(PublishError::Conflict { last: w.service.as_ref().unwrap().last() }));
 }
 
 #[test]
@@ -351,7 +355,7 @@
     let beside = w.change_line(60, "").unwrap();
     assert!(w.until(20 * SECOND, |w| w.in_force.contains_key(&beside.number)), "{}", w.story());
     assert_eq!(w.taken_out.keys().copied().collect::<Vec<_>>(), [bad.number, on_it.number], "{}", w.story());
-    assert_eq!(w.taken_out[&on_it.number].1, Harm::BuildsOn { change: bad.number });
+    assert_eq!(w.taken_out[&on_it.number].1, RemovalReason::DependsOn { change: bad.number });
     w.pass(10 * SECOND);
     assert_eq!((w.having(bad.number), w.having(on_it.number), w.having(beside.number)), (0, 0, 300));
 }
@@ -385,12 +389,12 @@
     for round in 0..40 {
         for n in [3, 4] {
             let conn = w.hosts[n].conn.unwrap();
-            let running = w.hosts[n].front.as_ref().and_then(|f| f.runs());
+            let running = w.hosts[n].front.as_ref().and_then(|f| f.running());
             let (asked, answered) =
                 [(u64::MAX, u64::MAX), (0, u64::MAX), (u64::MAX, 0), (5, 9), (0, 0), (1 << 63, 1)][round % 6];
             sequence += round as u64 % 3;
-            let report = ToService::Report { running, asked, answered, sequence };
-            w.on_service(|s, now, out| s.heard(now, conn, report, out));
+            let report = ToService::Report { running, accesses: asked, answered, sequence };
+            w.on_service(|s, now, out| s.on_message(now, conn, report, out));
         }
         w.pass(SECOND / 20);
     }
@@ -398,8 +402,8 @@
     assert!(w.taken_out.is_empty());
     // A sequence at the end of all numbers shuts only its own front out.
     let conn = w.hosts[5].conn.unwrap();
-    let report = ToService::Report { running: None, asked: 1, answered: 1, sequence: u64::MAX };
-    w.on_service(|s, now, out| s.heard(now, conn, report, out));
+    let report = ToService::Report { running: None, accesses: 1, answered: 1, sequence: u64::MAX };
+    w.on_service(|s, now, out| s.on_message(now, conn, report, out));
     let bad = w.change("harm=0.1").unwrap();
     assert!(w.until(10 * SECOND, |w| w.taken_out.contains_key(&bad.number)));
 }
@@ -410,15 +414,15 @@
     let good = w.service.as_ref().unwrap().last();
     let ids = [w.change("").unwrap(), w.change("").unwrap()];
     w.pass(SECOND / 2);
-    let stop = Ask::Stop { number: ids[0].number };
-    let done = w.on_service(|s, now, out| s.asked(now, Role::Operator, stop, |_| Ok(()), out));
-    assert_eq!(done, Some(Answer::Done));
+    let stop = Request::Stop { number: ids[0].number };
+    let done = w.on_service(|s, now, out| s.handle_request(now, Role::Operator, stop, |_| Ok(()), out));
+    assert_eq!(done, Some(Response::Done));
     assert!(w.until(10 * SECOND, |w| w.in_force.contains_key(&ids[1].number)), "{}", w.story());
-    assert_eq!(w.taken_out[&ids[0].number].1, Harm::ByHand);
+    assert_eq!(w.taken_out[&ids[0].number].1, RemovalReason::Manual);
     let pending = w.change("").unwrap();
     let back = w.on_service(|s, now, out| s.roll_back(now, good, out)).unwrap().unwrap();
     assert!(w.until(3 * SECOND, |w| w.in_force.contains_key(&back.number)));
-    assert_eq!(w.taken_out[&pending.number].1, Harm::RolledBack);
+    assert_eq!(w.taken_out[&pending.number].1, RemovalReason::RolledBack);
     w.pass(10 * SECOND);
     assert_eq!((w.having(ids[1].number), w.having(pending.number)), (0, 0));
 }
@@ -450,15 +454,15 @@
             13 if w.service.is_none() => {
                 // What it had taken out it may try anew: it knows nothing of it.
                 w.taken_out.clear();
-                w.found = [older.clone(), Found::default()][w.rng.usize(0..2)].clone();
+                w.found = [older.clone(), StoredState::default()][w.rng.usize(0..2)].clone();
             }
             14 => w.set_storm([0.0, 0.0, 0.1, 0.4][w.rng.clone().usize(0..4)]),
             15 => w.hosts[n].unruly = !w.hosts[n].unruly,
             16 => w.hosts[n].lies = [None, Some(0.5), Some(2.0)][w.rng.usize(0..3)],
             17 => {
                 let number = w.service.as_ref().map_or(0, |s| s.last());
-                let stop = Ask::Stop { number };
-                w.on_service(|s, now, out| s.asked(now, Role::Operator, stop, |_| Ok(()), out));
+                let stop = Request::Stop { number };
+                w.on_service(|s, now, out| s.handle_request(now, Role::Operator, stop, |_| Ok(()), out));
             }
             _ => {}
         }
@@ -480,7 +484,7 @@
     w.pass(200 * SECOND);
     let text = format!("end c0; the last of seed {seed}\n");
     let mut last = w.publish_text(&text);
-    if matches!(last, Err(NotPublished::Superseded { .. })) {
+    if matches!(last, Err(PublishError::Superseded { .. })) {
         w.on_service(|s, _, out| s.take_over(out));
         last = w.publish_text(&text);
     }
