--- a/crates/versions/src/evidence.rs
+++ b/crates/versions/src/evidence.rs
@@ -136,7 +136,7 @@
         .collect()
 }
 
-fn max_weight(arm: &[(FrontKey, FrontSample)], control: &[(FrontKey, FrontSample)]) -> f64 {
+fn max_front_accesses(arm: &[(FrontKey, FrontSample)], control: &[(FrontKey, FrontSample)]) -> f64 {
     let both = arm.iter().chain(control);
     let mut accesses: Vec<f64> = both.map(|(_, s)| clamped(s.counts).0).filter(|n| *n > 0.0).collect();
     accesses.sort_by(f64::total_cmp);
@@ -152,7 +152,7 @@
     /// Adds what both groups report for the same interval. Skips an interval without accesses in either group.
     pub fn observe(&mut self, arm: &[(FrontKey, FrontSample)], control: &[(FrontKey, FrontSample)]) {
         let pooled = pooled_baseline(arm.iter().chain(control));
-        let max_accesses = max_weight(arm, control);
+        let max_accesses = max_front_accesses(arm, control);
         let (arm, control) = (readings(arm, pooled, max_accesses), readings(control, pooled, max_accesses));
         let accesses = |of: &[Reading]| of.iter().map(|r| r.accesses).sum::<f64>();
         let (arm_accesses, control_accesses) = (accesses(&arm), accesses(&control));
@@ -229,7 +229,9 @@
         let Some(dispersion) = self.boundary.dispersion(others) else { return (arm, control) };
         let limit = OUTLIER_LIMIT * dispersion.sqrt();
         let keep = |mut rest: Set<'a>, suspects: Vec<(f64, &'a group::FrontSum)>| {
-            rest.extend(suspects.into_iter().filter(|(apart, _)| *apart <= limit).map(|(_, front)| front));
+            rest.extend(
+                suspects.into_iter().filter(|(distance, _)| *distance <= limit).map(|(_, front)| front),
+            );
             rest
         };
         (keep(arm_rest, arm_suspects), keep(control_rest, control_suspects))
@@ -242,8 +244,8 @@
         let mut means: Vec<f64> = set.iter().map(|f| f.mean()).collect();
         means.sort_by(f64::total_cmp);
         let median = means.get(means.len() / 2).copied().unwrap_or(0.0);
-        let apart = |f: &group::FrontSum| (f.mean() - median).abs() / (self.variance * f.noise()).sqrt();
-        let mut all: Vec<_> = set.iter().map(|f| (apart(f), *f)).collect();
+        let distance = |f: &group::FrontSum| (f.mean() - median).abs() / (self.variance * f.noise()).sqrt();
+        let mut all: Vec<_> = set.iter().map(|f| (distance(f), *f)).collect();
         all.sort_by(|a, b| b.0.total_cmp(&a.0));
         let rest = all.split_off(count);
         (rest.into_iter().map(|(_, front)| front).collect(), all)
@@ -288,7 +290,7 @@
             let (drop, information) = self.drop(arm, control, dispersion);
             Some(drop + self.boundary.radius(information))
         };
-        variants(arm, control, -1.0).iter().map(bound).try_fold(f64::MIN, |most, each| Some(most.max(each?)))
+        variants(arm, control, -1.0).iter().map(bound).try_fold(f64::MIN, |max, each| Some(max.max(each?)))
     }
 }
 
--- a/crates/versions/src/front.rs
+++ b/crates/versions/src/front.rs
@@ -70,7 +70,7 @@
 const MAX_REMEMBERED_REJECTIONS: usize = 8;
 /// Backoff between connection attempts: from half a second, doubling up to a minute. The longest one limits the
 /// rate at which a whole fleet returns to a service.
-const RETRY_BACKOFF: [Ticks; 2] = [5_000, 600_000];
+const BACKOFF_RANGE: [Ticks; 2] = [5_000, 600_000];
 /// The connection is considered lost after this many heartbeat intervals without a message.
 const MISSED_HEARTBEATS: u64 = 3;
 /// A content that has not arrived in this time is requested again; a connection that needs longer is unusable.
@@ -79,7 +79,7 @@
 const LOG_SILENCE_AFTER: Ticks = 600_000;
 /// Limits of the report interval. A quarter of a second is enough for a trial and costs about 500 bytes per
 /// second.
-pub const REPORT_INTERVAL: [Ticks; 2] = [2_500, 300_000];
+pub const REPORT_INTERVAL_RANGE: [Ticks; 2] = [2_500, 300_000];
 
 impl Front {
     /// Starts with what was found in the store. The caller checks the last good version as any other and runs
@@ -112,7 +112,7 @@
             rejected: Vec::new(),
             crashed: None,
             connection: Connection::Connecting,
-            backoff: RETRY_BACKOFF[0],
+            backoff: BACKOFF_RANGE[0],
             retry_spread: false,
             silent_since: Some(now),
             silence_logged: false,
@@ -161,7 +161,7 @@
         // All fronts may have lost the service together. While the backoff grows, it doubles with jitter. At
         // the longest backoff a front draws a random delay within it once and then retries periodically, so
         // that fronts return evenly spread over one backoff period whenever the service comes back.
-        let longest = RETRY_BACKOFF[1];
+        let longest = BACKOFF_RANGE[1];
         let delay = match self.backoff {
             backoff if backoff < longest => backoff / 2 + self.rng.u64(0..=backoff),
             _ if !std::mem::replace(&mut self.retry_spread, true) => self.rng.u64(0..=longest),
@@ -244,7 +244,7 @@
             self.set_timer(at, effects);
         }
         if !matches!(message, ToFront::RetryLater { .. }) {
-            (self.backoff, self.retry_spread) = (RETRY_BACKOFF[0], false);
+            (self.backoff, self.retry_spread) = (BACKOFF_RANGE[0], false);
             self.silent_since = None;
             if std::mem::take(&mut self.silence_logged) {
                 effects.push(Effect::Log(LogEvent::ServiceBack));
@@ -254,13 +254,13 @@
             ToFront::Welcome { .. } | ToFront::Heartbeat => {}
             ToFront::SetReportInterval { millis } => {
                 self.report_interval =
-                    Some(millis.saturating_mul(10).clamp(REPORT_INTERVAL[0], REPORT_INTERVAL[1]));
+                    Some(millis.saturating_mul(10).clamp(REPORT_INTERVAL_RANGE[0], REPORT_INTERVAL_RANGE[1]));
                 effects.push(Effect::SetReportInterval { interval: self.report_interval });
             }
             ToFront::RetryLater { delay } => {
                 effects.push(Effect::Close);
                 // Adds a little jitter to the requested delay, so that no front returns before its turn.
-                let delay = delay.min(10 * RETRY_BACKOFF[1]);
+                let delay = delay.min(10 * BACKOFF_RANGE[1]);
                 let retry_at = now + delay + self.rng.u64(0..=500);
                 self.disconnect(now, retry_at, effects);
             }
@@ -317,15 +317,15 @@
     }
 
     fn on_content(&mut self, now: Ticks, id: VersionId, seal: Seal, body: Body, effects: &mut Vec<Effect>) {
-        let whole = matches!(body, Body::Full(_));
+        let full = matches!(body, Body::Full(_));
         let content: Option<Content> = match body {
             Body::Full(content) => Some(content),
-            Body::Delta(steps) => {
-                self.running.as_ref().and_then(|r| delta::apply(&r.2, &steps)).map(Into::into)
+            Body::Delta(delta) => {
+                self.running.as_ref().and_then(|r| delta::apply(&r.2, &delta)).map(Into::into)
             }
         };
-        if let Some(long) = content.as_ref().map(|c| c.len()).filter(|&l| l > MAX_CONTENT_BYTES) {
-            return self.reject(now, id, RejectionReason::TooLarge(long as u64), effects);
+        if let Some(size) = content.as_ref().map(|c| c.len()).filter(|&size| size > MAX_CONTENT_BYTES) {
+            return self.reject(now, id, RejectionReason::TooLarge(size as u64), effects);
         }
         match content.filter(|c| *blake3::hash(c).as_bytes() == id.hash) {
             Some(content) => {
@@ -334,7 +334,7 @@
                 effects.push(Effect::Check(id, content));
             }
             // The delta may have been made against another base: request the full content.
-            None if !whole => self.fetch(now, id, 1, effects),
+            None if !full => self.fetch(now, id, 1, effects),
             None => self.reject(now, id, RejectionReason::HashMismatch, effects),
         }
     }
--- a/crates/versions/src/merge/hunks.rs
+++ b/crates/versions/src/merge/hunks.rs
@@ -29,11 +29,11 @@
     let outer = search.trim(0..base.len(), 0..other.len());
     let (mut base_at, mut other_at) = (outer.0.start, outer.1.start);
     for (anchor, matching) in anchors(base, other, &outer) {
-        search.gap(base_at..anchor, other_at..matching);
+        search.compare_gap(base_at..anchor, other_at..matching);
         search.equal.push((anchor, matching));
         (base_at, other_at) = (anchor + 1, matching + 1);
     }
-    search.gap(base_at..outer.0.end, other_at..outer.1.end);
+    search.compare_gap(base_at..outer.0.end, other_at..outer.1.end);
     search.equal.sort_unstable();
     let (mut hunks, mut base_at, mut other_at) = (Vec::new(), 0, 0);
     for (next, matching) in search.equal.into_iter().chain([(base.len(), other.len())]) {
@@ -65,7 +65,7 @@
         (a.start + head..a.end - tail, b.start + head..b.end - tail)
     }
 
-    fn gap(&mut self, a: Range<usize>, b: Range<usize>) {
+    fn compare_gap(&mut self, a: Range<usize>, b: Range<usize>) {
         let (a, b) = self.trim(a, b);
         let pairs = a.len().saturating_mul(b.len());
         if pairs == 0 || pairs > self.budget {
@@ -84,22 +84,22 @@
 /// Lines that occur exactly once in each range, as the longest sequence with the same order in both.
 fn anchors(base: &[&[u8]], other: &[&[u8]], within: &(Range<usize>, Range<usize>)) -> Vec<(usize, usize)> {
     #[derive(Default)]
-    struct Seen {
-        base: usize,
-        other: usize,
-        base_at: usize,
+    struct Occurrences {
+        base_count: usize,
+        other_count: usize,
+        other_at: usize,
     }
-    let mut seen: HashMap<&[u8], Seen> = HashMap::new();
+    let mut seen: HashMap<&[u8], Occurrences> = HashMap::new();
     for line in &base[within.0.clone()] {
-        seen.entry(line).or_default().base += 1;
+        seen.entry(line).or_default().base_count += 1;
     }
-    for base_at in within.1.clone() {
-        let line = seen.entry(other[base_at]).or_default();
-        (line.other, line.base_at) = (line.other + 1, base_at);
+    for other_at in within.1.clone() {
+        let line = seen.entry(other[other_at]).or_default();
+        (line.other_count, line.other_at) = (line.other_count + 1, other_at);
     }
     let pairs = within.0.clone().filter_map(|base_at| {
         let line = &seen[base[base_at]];
-        (line.base == 1 && line.other == 1).then_some((base_at, line.base_at))
+        (line.base_count == 1 && line.other_count == 1).then_some((base_at, line.other_at))
     });
     longest_rising(&pairs.collect::<Vec<_>>())
 }
@@ -110,7 +110,7 @@
     let mut before: Vec<Option<usize>> = vec![None; pairs.len()];
     for (index, matching) in pairs.iter().enumerate() {
         let length = tails.partition_point(|tail| pairs[*tail].1 < matching.1);
-        before[index] = length.checked_sub(1).map(|budget| tails[budget]);
+        before[index] = length.checked_sub(1).map(|previous| tails[previous]);
         if length == tails.len() {
             tails.push(index);
         } else {
--- a/crates/versions/src/service/evidence.rs
+++ b/crates/versions/src/service/evidence.rs
@@ -18,12 +18,12 @@
     pub(super) fn start_trials(
         &mut self,
         now: Ticks,
-        under_way: Option<SavedRollout>,
+        in_progress: Option<SavedRollout>,
         saved: Option<SavedTrials>,
     ) {
         let RolloutMode::Evidence(rules) = self.rules.rollout.clone() else { return };
         let newest = self.versions.last_key_value().map_or(0, |v| *v.0);
-        let saved = saved.or_else(|| self.rollout_as_trial(under_way.filter(|r| r.stopped.is_none())));
+        let saved = saved.or_else(|| self.rollout_as_trial(in_progress.filter(|r| r.stopped.is_none())));
         let mut trials = Trials::new(
             rules,
             self.rules.max_service_drop,
@@ -152,7 +152,7 @@
         // nothing later exists.
         let unknown = front.running.is_none() && restored;
         // A front never applies a content that it rejected.
-        let rejected = front.rejected.as_ref().is_some_and(|t| t.0.hash == target.hash);
+        let rejected = front.rejected.as_ref().is_some_and(|r| r.0.hash == target.hash);
         if up_to_date || already_offered || unknown || rejected {
             return;
         }
--- a/crates/versions/src/service/fronts.rs
+++ b/crates/versions/src/service/fronts.rs
@@ -109,8 +109,8 @@
         let Some(r) = self.rollout.as_mut().filter(|r| r.wave == 0 && r.canaries.len() < wanted) else {
             return;
         };
-        let of = |name: &str| self.by_name.get(name).map(|&index| &self.fronts[index].station);
-        if r.canaries.iter().all(|name| of(name) != Some(station)) {
+        let station_of = |name: &str| self.by_name.get(name).map(|&index| &self.fronts[index].station);
+        if r.canaries.iter().all(|name| station_of(name) != Some(station)) {
             r.canaries.insert(self.fronts[index].name.clone());
             self.store_state(effects);
         }
@@ -259,21 +259,21 @@
         let Some(content) = version.or_else(on_trial) else { return };
         let Some(seal) = self.keys.seal(&id) else { return };
         // The same content is the same base, whatever its number.
-        let known = |hash: [u8; 32]| {
+        let content_by_hash = |hash: [u8; 32]| {
             let kept = || self.versions.values().rev().find(|v| v.id.hash == hash).map(|v| v.content.clone());
             self.trials.as_ref().and_then(|t| t.base(&hash)).or_else(kept)
         };
         let max_deltas = if self.trials.is_some() { MAX_DELTAS_OF_TRIALS } else { MAX_DELTAS };
-        let body = match base.and_then(|b| Some((b.hash, known(b.hash)?))) {
+        let body = match base.and_then(|b| Some((b.hash, content_by_hash(b.hash)?))) {
             Some((hash, old)) => {
-                let known = self.deltas.iter().find(|d| d.0 == hash && d.1 == id.hash).map(|d| d.2.clone());
-                let steps = known.unwrap_or_else(|| {
+                let cached = self.deltas.iter().find(|d| d.0 == hash && d.1 == id.hash).map(|d| d.2.clone());
+                let delta = cached.unwrap_or_else(|| {
                     let computed = Arc::new(delta::between(&old, &content));
                     self.deltas.truncate(max_deltas - 1);
                     self.deltas.push_front((hash, id.hash, computed.clone()));
                     computed
                 });
-                Body::Delta((*steps).clone())
+                Body::Delta((*delta).clone())
             }
             None => Body::Full(content),
         };
--- a/crates/versions/src/service/waves.rs
+++ b/crates/versions/src/service/waves.rs
@@ -163,8 +163,8 @@
         let fronts: Vec<usize> = if from <= to && share(wave) - before < 1.0 {
             self.by_rank.range((from, 0)..(to, 0)).map(|(k, ())| k.1).collect()
         } else {
-            let ends = self.by_rank.range((from, 0)..).chain(self.by_rank.range(..(to, 0)));
-            ends.map(|(k, ())| k.1).collect()
+            let wrapped = self.by_rank.range((from, 0)..).chain(self.by_rank.range(..(to, 0)));
+            wrapped.map(|(k, ())| k.1).collect()
         };
         fronts
     }
@@ -182,9 +182,9 @@
 
     /// Mean service level of all fronts that the publication was not offered to.
     pub(super) fn mean_of_others(&self) -> Option<f64> {
-        let service = &self.rollout.as_ref()?.tally.service;
-        let count = self.service_levels.1.checked_sub(service.count).filter(|&c| c > 0)?;
-        Some((self.service_levels.0 - service.current) / count as f64)
+        let levels = &self.rollout.as_ref()?.tally.service;
+        let count = self.service_levels.1.checked_sub(levels.count).filter(|&c| c > 0)?;
+        Some((self.service_levels.0 - levels.current) / count as f64)
     }
 
     /// The version that a front is to run now.
@@ -239,13 +239,12 @@
             r.tally.offered += 1;
             let service_level = f64::from(self.fronts[index].service_level);
             if !service_level.is_nan() {
-                let service = &mut r.tally.service;
-                (service.before, service.current) =
-                    (service.before + service_level, service.current + service_level);
-                service.count += 1;
+                let levels = &mut r.tally.service;
+                (levels.before, levels.current) =
+                    (levels.before + service_level, levels.current + service_level);
+                levels.count += 1;
                 if let Some(mean) = others {
-                    (service.others, service.others_count) =
-                        (service.others + mean, service.others_count + 1);
+                    (levels.others, levels.others_count) = (levels.others + mean, levels.others_count + 1);
                 }
             }
             self.fronts[index].counted = !service_level.is_nan();
@@ -267,7 +266,7 @@
             let front = &self.fronts[index];
             let waiting = front.offered.is_some_and(|o| o.0 == id)
                 && front.running != Some(id)
-                && front.rejected.as_ref().is_none_or(|t| t.0 != id);
+                && front.rejected.as_ref().is_none_or(|r| r.0 != id);
             if waiting && deadline > now {
                 break;
             }
@@ -331,14 +330,14 @@
     /// in the same time; `None` if it is tolerable.
     fn service_drop(&self) -> Option<StopReason> {
         let r = self.rollout.as_ref()?;
-        let service = &r.tally.service;
-        let mean = |sum: f64| sum / service.count.max(1) as f64;
-        let (before, now) = (mean(service.before), mean(service.current));
-        let beside = service.others_count.max(1) as f64;
+        let levels = &r.tally.service;
+        let mean = |sum: f64| sum / levels.count.max(1) as f64;
+        let (before, now) = (mean(levels.before), mean(levels.current));
+        let others_count = levels.others_count.max(1) as f64;
         let others = self
             .mean_of_others()
-            .filter(|_| service.others_count > 0)
-            .map_or(0.0, |now| now - service.others / beside);
+            .filter(|_| levels.others_count > 0)
+            .map_or(0.0, |now| now - levels.others / others_count);
         // Others that improve do not count against the version: only their drop is taken into account.
         let drop = before - now + others.min(0.0);
         let thousandths = |share: f64| (1e3 * share).round();
--- a/crates/versions/src/trial/batch.rs
+++ b/crates/versions/src/trial/batch.rs
@@ -44,7 +44,7 @@
             {
                 return Some((number, harm));
             }
-            earlier_harmless &= arm.harmless();
+            earlier_harmless &= arm.is_harmless();
         }
         None
     }
@@ -130,7 +130,7 @@
         }
         let fits = |k: usize| if k == 1 { MIN_ARM } else { (k + 1) * MIN_ARM } <= room;
         let max_changes = (1..=MAX_BATCH).rev().find(|&k| fits(k)).unwrap_or(1);
-        let alone = |n: &&u64| self.changes.get(n).is_some_and(|c| c.alone);
+        let alone = |n: &&u64| self.changes.get(n).is_some_and(|c| c.try_alone);
         let picked: Vec<u64> = match self.queue.first() {
             Some(first) if alone(&first) => vec![*first],
             _ => self.queue.iter().take_while(|n| !alone(n)).take(max_changes).copied().collect(),
@@ -245,7 +245,7 @@
             return;
         }
         let arms = &batch.experiment.arms;
-        let singles_pass = arms.iter().filter(|a| single(a.purpose)).all(|a| a.harmless());
+        let singles_pass = arms.iter().filter(|a| single(a.purpose)).all(|a| a.is_harmless());
         let combined = batch.harm_of(self.max_rejected_share, |p| p == Purpose::Combined);
         let prefixes = arms.iter().any(|a| matches!(a.purpose, Purpose::Prefix(_)));
         if prefixes {
@@ -257,7 +257,7 @@
             }
             return self.handle_thin_evidence(now);
         }
-        if arms.iter().all(|a| a.harmless()) {
+        if arms.iter().all(|a| a.is_harmless()) {
             if let Some(batch) = &mut self.canary {
                 batch.passed = true;
             }
@@ -306,7 +306,7 @@
                 let number = changes[count - 1];
                 return self.remove_change(now, number, as_interaction(harm));
             }
-            if !arm.harmless() {
+            if !arm.is_harmless() {
                 return self.handle_thin_evidence(now);
             }
         }
--- a/crates/versions/src/trial/changes.rs
+++ b/crates/versions/src/trial/changes.rs
@@ -1,4 +1,4 @@
-//! The life of a change outside its experiments: published, proven, in force, settled.
+//! Changes outside their experiments: published, proven, in force and settled.
 
 use std::sync::Arc;
 
@@ -56,7 +56,7 @@
             before,
             after,
             state: ChangeState::Queued,
-            alone: false,
+            try_alone: false,
             unproven: false,
             previous: self.head,
             watched_until: None,
@@ -101,7 +101,7 @@
             before,
             after: content,
             state: ChangeState::Everywhere,
-            alone: false,
+            try_alone: false,
             unproven: false,
             previous: None,
             watched_until: None,
--- a/crates/versions/src/trial/choose.rs
+++ b/crates/versions/src/trial/choose.rs
@@ -20,7 +20,7 @@
 }
 
 /// Mixes a seed (SplitMix64), so that it is not always the same fronts that go first.
-fn mixed(seed: u64) -> u64 {
+fn mix(seed: u64) -> u64 {
     let mut z = seed.wrapping_add(0x9E37_79B9_7F4A_7C15);
     z = (z ^ (z >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
     z = (z ^ (z >> 27)).wrapping_mul(0x94D0_49BB_1331_11EB);
@@ -72,7 +72,7 @@
                 Some(key) => {
                     m.assigned == Some(key)
                         && m.enrollment(Slot::Canary).is_none()
-                        && m.enrollment(Slot::Wide).is_some_and(|s| s.group != Group::Control)
+                        && m.enrollment(Slot::Wide).is_some_and(|e| e.group != Group::Control)
                 }
                 None => m.assigned.is_none() && !m.is_enrolled(),
             };
@@ -80,7 +80,7 @@
         };
         let mut fronts: Vec<usize> = (0..self.members.len()).filter(eligible).collect();
         // The last front of each station is taken first.
-        fronts.sort_by_key(|&index| (self.members[index].has_baseline(), mixed(seed ^ mixed(index as u64))));
+        fronts.sort_by_key(|&index| (self.members[index].has_baseline(), mix(seed ^ mix(index as u64))));
         let mut stations: BTreeMap<u32, Vec<usize>> = BTreeMap::new();
         let available = fronts.len();
         let with_baseline = fronts.iter().filter(|&&index| self.members[index].has_baseline()).count();
@@ -88,7 +88,7 @@
             .into_iter()
             .for_each(|index| stations.entry(self.members[index].station).or_default().push(index));
         let mut stations: Vec<(u32, Vec<usize>)> = stations.into_iter().collect();
-        stations.sort_by_key(|s| mixed(seed ^ u64::from(s.0)));
+        stations.sort_by_key(|s| mix(seed ^ u64::from(s.0)));
         let by_station = stations.iter().enumerate().map(|(index, s)| (s.0, index)).collect();
         Pool { stations, by_station, next: 0, available, with_baseline }
     }
@@ -98,12 +98,12 @@
         let missing = |has: usize, size: usize| size.saturating_sub(has);
         let experiment = &batch.experiment;
         let replaced =
-            |index: &usize| self.members[*index].enrollment(experiment.slot).is_some_and(|s| s.replaced);
+            |index: &usize| self.members[*index].enrollment(experiment.slot).is_some_and(|e| e.replaced);
         let present = |fronts: &[usize]| fronts.iter().filter(|index| !replaced(index)).count();
         let vacancies: Vec<usize> =
             experiment.arms.iter().map(|a| missing(present(&a.fronts), a.size)).collect();
         let control = missing(experiment.control.len(), experiment.control_size);
-        if control == 0 && vacancies.iter().all(|&w| w == 0) {
+        if control == 0 && vacancies.iter().all(|&vacant| vacant == 0) {
             return;
         }
         let mut pool = self.pool(now, batch.base, batch.generation ^ now);
--- a/crates/versions/src/trial/events.rs
+++ b/crates/versions/src/trial/events.rs
@@ -96,7 +96,7 @@
         for slot in SLOTS {
             let enrollment = self.members[index].enrollments[slot as usize].take();
             let Some(experiment) = self.experiment(slot) else { continue };
-            match enrollment.map(|s| s.group) {
+            match enrollment.map(|e| e.group) {
                 Some(group @ Group::Arm(arm)) => {
                     experiment.leave(index, group);
                     if let Some(arm) = experiment.arms.get_mut(arm) {
@@ -125,7 +125,7 @@
         let Some(m) = self.members.get_mut(index) else { return };
         m.remember_rejection(id.hash);
         for slot in SLOTS {
-            let Some(Group::Arm(arm)) = self.members[index].enrollment(slot).map(|s| s.group) else {
+            let Some(Group::Arm(arm)) = self.members[index].enrollment(slot).map(|e| e.group) else {
                 continue;
             };
             let content = self.experiment(slot).and_then(|e| e.arms.get(arm)).map(|a| a.content);
@@ -134,15 +134,15 @@
             }
             if let Some(arm) = self.experiment(slot).and_then(|e| e.arms.get_mut(arm)) {
                 arm.rejected += 1;
-                arm.first_refusal.get_or_insert_with(|| reason.clone());
+                arm.first_rejection.get_or_insert_with(|| reason.clone());
             }
             self.judge(now, slot);
         }
-        self.rejected_everywhere(now, id, reason);
+        self.remove_widely_rejected(now, id, reason);
     }
 
     /// Removes proven changes that too many fronts reject.
-    fn rejected_everywhere(&mut self, now: Ticks, id: VersionId, reason: &RejectionReason) {
+    fn remove_widely_rejected(&mut self, now: Ticks, id: VersionId, reason: &RejectionReason) {
         let proven = self.proven.and_then(|key| self.contents.id(key));
         if proven.is_none_or(|p| p.hash != id.hash) {
             return;
@@ -155,9 +155,9 @@
         if count as f64 <= self.max_rejected_share.max(MAX_REJECTED_SHARE_EVERYWHERE) * of as f64 {
             return;
         }
-        let last = |c: &(&u64, &Change)| c.1.state == ChangeState::Everywhere;
-        let on_its_way: Vec<u64> = self.changes.iter().filter(last).map(|c| *c.0).collect();
-        for number in on_its_way.into_iter().rev() {
+        let propagating = |c: &(&u64, &Change)| c.1.state == ChangeState::Everywhere;
+        let numbers: Vec<u64> = self.changes.iter().filter(propagating).map(|c| *c.0).collect();
+        for number in numbers.into_iter().rev() {
             self.remove_change(now, number, RemovalReason::Rejected { count, of, first: reason.clone() });
         }
     }
@@ -178,7 +178,7 @@
         }
         let hash = running.map(|id| id.hash);
         for slot in SLOTS {
-            let Some(group) = self.members[index].enrollment(slot).map(|s| s.group) else { continue };
+            let Some(group) = self.members[index].enrollment(slot).map(|e| e.group) else { continue };
             let Some(experiment) = self.experiment(slot) else { continue };
             let expected = match group {
                 Group::Control => experiment.control_hash,
@@ -224,20 +224,20 @@
         self.replace_slow(now);
         self.refill_experiments(now);
         for slot in SLOTS {
-            let patience = self.sample_timeout();
-            if self.experiment(slot).is_some_and(|e| now >= e.sampled_at + patience) {
+            let timeout = self.sample_timeout();
+            if self.experiment(slot).is_some_and(|e| now >= e.sampled_at + timeout) {
                 self.take_samples(now, slot);
             }
         }
         let (proven, head) = (self.proven, self.head);
         let batches = [&self.canary, &self.wide];
-        let last = self.changes.last_key_value().and_then(|c| c.1.previous);
+        let previous_head = self.changes.last_key_value().and_then(|c| c.1.previous);
         let in_use = |key| batches.iter().copied().flatten().any(|b| b.base == Some(key) || b.has(key));
-        self.contents.prune(|key| [proven, head, last].contains(&Some(key)) || in_use(key));
+        self.contents.prune(|key| [proven, head, previous_head].contains(&Some(key)) || in_use(key));
         if self.canary.is_some() || self.wide.is_some() {
-            let patience = self.sample_timeout();
+            let timeout = self.sample_timeout();
             let next =
-                SLOTS.into_iter().filter_map(|s| self.experiment(s).map(|e| e.sampled_at + patience)).min();
+                SLOTS.into_iter().filter_map(|s| self.experiment(s).map(|e| e.sampled_at + timeout)).min();
             next.into_iter().for_each(|time| self.effects.push(Effect::SetTimer(time.max(now + 1))));
         }
     }
--- a/crates/versions/src/trial/experiment.rs
+++ b/crates/versions/src/trial/experiment.rs
@@ -34,7 +34,7 @@
     pub lost: usize,
     pub rejected: usize,
     pub slow: usize,
-    pub first_refusal: Option<RejectionReason>,
+    pub first_rejection: Option<RejectionReason>,
 }
 
 impl Arm {
@@ -50,7 +50,7 @@
             lost: 0,
             rejected: 0,
             slow: 0,
-            first_refusal: None,
+            first_rejection: None,
         }
     }
 
@@ -58,7 +58,7 @@
     /// disconnected since the start.
     pub fn harm(&self, max_rejected_share: f64, lost_share: f64) -> Option<RemovalReason> {
         if self.rejected as f64 > max_rejected_share * self.assigned as f64 {
-            let first = self.first_refusal.clone().unwrap_or(RejectionReason::ConflictingContent);
+            let first = self.first_rejection.clone().unwrap_or(RejectionReason::ConflictingContent);
             return Some(RemovalReason::Rejected { count: self.rejected, of: self.assigned, first });
         }
         if self.lost >= 2 && binomial_tail(self.assigned, self.lost, lost_share) < LOSS_SIGNIFICANCE {
@@ -78,7 +78,7 @@
         matches!(self.comparison.verdict(), Verdict::Undecided { accesses } if accesses >= min_accesses)
     }
 
-    pub fn harmless(&self) -> bool {
+    pub fn is_harmless(&self) -> bool {
         matches!(self.comparison.verdict(), Verdict::Harmless { .. })
     }
 }
--- a/crates/versions/src/trial/mod.rs
+++ b/crates/versions/src/trial/mod.rs
@@ -65,7 +65,7 @@
     undo: Delta,
     state: ChangeState,
     /// To be tried in a batch of its own: combined with others it could not be told which one is harmful.
-    alone: bool,
+    try_alone: bool,
     unproven: bool,
     /// The head before this change was published.
     previous: Option<ContentKey>,
@@ -116,8 +116,8 @@
 
 /// Limit of changes in one batch: nine arms including the combined one, of a few fronts each.
 const MAX_BATCH: usize = 8;
-/// A few fronts may reject a proven content for reasons of their own: they are logged and keep running what
-/// they have.
+/// Share of the fronts that may reject a proven content for reasons of their own: they are logged and keep
+/// running what they have.
 const MAX_REJECTED_SHARE_EVERYWHERE: f64 = 0.01;
 /// Settled changes kept for listing.
 const MAX_SETTLED: usize = 1_000;
--- a/crates/versions/src/trial/removal.rs
+++ b/crates/versions/src/trial/removal.rs
@@ -63,7 +63,7 @@
         let Some(batch) = &self.wide else { return };
         for number in batch.changes.clone() {
             if let Some(change) = self.changes.get_mut(&number) {
-                change.alone = true;
+                change.try_alone = true;
             }
         }
         self.abandon(Slot::Wide);
@@ -74,7 +74,7 @@
     fn drop_change(&mut self, number: u64, reason: RemovalReason) -> Option<super::Change> {
         let change = self.changes.remove(&number)?;
         self.queue.remove(&number);
-        self.propagations.iter_mut().for_each(|s| s.changes.retain(|c| *c != number));
+        self.propagations.iter_mut().for_each(|p| p.changes.retain(|c| *c != number));
         let state = ChangeState::Removed(reason.clone());
         self.settle(ChangeRow { number, note: change.note.clone(), state });
         self.log(LogEvent::ChangeRemoved { change: number, reason });
--- a/crates/versions/src/trial/saved.rs
+++ b/crates/versions/src/trial/saved.rs
@@ -75,7 +75,7 @@
                 after: version.content.clone(),
                 undo: change.undo,
                 state,
-                alone: false,
+                try_alone: false,
                 unproven: false,
                 previous: None,
                 watched_until: None,
--- a/crates/versions/src/trial/wide.rs
+++ b/crates/versions/src/trial/wide.rs
@@ -13,24 +13,25 @@
     pub(super) fn open_wide(&mut self, now: Ticks) {
         let Some(mut batch) = self.canary.take() else { return };
         let connected = self.members.iter().filter(|m| m.connected).count();
-        let tried: Vec<usize> = batch.experiment.arms.iter().flat_map(|a| a.fronts.iter().copied()).collect();
+        let canary_fronts: Vec<usize> =
+            batch.experiment.arms.iter().flat_map(|a| a.fronts.iter().copied()).collect();
         self.clear_slot(Slot::Canary);
         // All fronts that run any of its changes take part, so that no more than the share ever runs them.
-        let size = ((self.rules.share * connected as f64) as usize).max(tried.len()).max(1);
+        let size = ((self.rules.share * connected as f64) as usize).max(canary_fronts.len()).max(1);
         let control = size.max(MIN_CONTROL).min(connected.saturating_sub(size)).max(1);
         let hash = batch.base.and_then(|key| self.contents.id(key)).map(|id| id.hash);
         let mut experiment = Experiment::new(Slot::Wide, now, hash);
         let settings = self.settings(size, control);
         let mut arm = Arm::new(Purpose::Combined, batch.content, size, settings);
         (experiment.control_size, experiment.others) = (control, connected);
-        arm.assigned = tried.len();
-        for &index in &tried {
+        arm.assigned = canary_fronts.len();
+        for &index in &canary_fronts {
             let m = &mut self.members[index];
             m.assigned = Some(batch.content);
             m.enroll(Slot::Wide, Group::Arm(0), now);
             self.offer_target(index);
         }
-        arm.fronts = tried;
+        arm.fronts = canary_fronts;
         experiment.arms.push(arm);
         batch.experiment = experiment;
         for number in &batch.changes {
@@ -53,7 +54,7 @@
                 _ => self.retry_alone(now),
             };
         }
-        let proven = batch.experiment.arms.iter().all(|a| a.harmless());
+        let proven = batch.experiment.arms.iter().all(|a| a.is_harmless());
         let timed_out = now >= batch.experiment.since + self.rules.evidence_timeout;
         let passes = proven || timed_out && self.rules.thin_traffic == ThinTraffic::Continue;
         if !passes {
--- a/crates/versions/tests/machines.rs
+++ b/crates/versions/tests/machines.rs
@@ -1,5 +1,6 @@
-//! Both machines together, with connections that are cut, fronts and services that die at any point, disks that are
-//! full, damaged stores and versions of every bad kind; what must hold is checked after each step.
+//! Simulates fronts and a service in virtual time, with lost connections, fronts and services that die at any
+//! point, full disks, damaged stores and bad versions of every kind. The invariants are checked after each
+//! step.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -28,30 +29,30 @@
 enum Event {
     ToService(u64, ToService),
     ToFront(usize, u64, ToFront),
-    /// Of a front's life and its shell: what it was asked to do is done.
-    Shell(usize, u32, front::Effect),
-    Up(usize, u32),
-    Refused(usize, u32),
-    /// The service hears of an end.
-    Gone(u64),
-    /// A front does.
-    Cut(usize, u64),
-    FrontDue(usize, u32),
-    ServiceDue(u32),
+    /// An effect of one incarnation of a front is executed.
+    Execute(usize, u32, front::Effect),
+    Connected(usize, u32),
+    ConnectFailed(usize, u32),
+    /// The service notices that a connection was closed.
+    ServiceSeesClose(u64),
+    /// A front notices that its connection was closed.
+    FrontSeesClose(usize, u64),
+    FrontTimer(usize, u32),
+    ServiceTimer(u32),
     Restart(usize),
 }
 
 #[derive(Default)]
 struct Host {
     front: Option<Front>,
-    life: u32,
+    incarnation: u32,
     conn: Option<u64>,
-    good: Option<(VersionId, Seal, front::Content)>,
+    last_good: Option<(VersionId, Seal, front::Content)>,
     staged: Option<(VersionId, u32)>,
-    full: bool,
-    /// Its store can't be read at the next start.
-    damaged: bool,
-    lines: Vec<FrontEvent>,
+    disk_full: bool,
+    /// Whether its store is unreadable at the next start.
+    disk_damaged: bool,
+    log: Vec<FrontEvent>,
     starts: u32,
 }
 
@@ -59,23 +60,23 @@
     now: u64,
     rng: Rng,
     events: BinaryHeap<Reverse<(u64, u64)>>,
-    what: BTreeMap<u64, Event>,
+    queued: BTreeMap<u64, Event>,
     count: u64,
     hosts: Vec<Host>,
     service: Option<Service>,
-    service_life: u32,
-    found: service::StoredState,
+    service_incarnation: u32,
+    disk: service::StoredState,
     rules: Rules,
     next_conn: u64,
     conns: BTreeMap<u64, usize>,
-    lines: Vec<LogEvent>,
-    /// Messages are sometimes repeated or come late.
-    unruly: bool,
-    /// Shell events seen so far, and at which of them the front dies.
-    shell_events: u32,
-    dies_at: Option<u32>,
-    /// Bytes of contents sent, and first words that the service took in by the second.
-    sent: usize,
+    log: Vec<LogEvent>,
+    /// Whether messages are sometimes duplicated or delayed.
+    unreliable: bool,
+    /// Effects of fronts executed so far, and at which of them the front dies.
+    steps_executed: u32,
+    dies_at_step: Option<u32>,
+    /// Bytes of contents sent, and fronts admitted by second.
+    content_bytes_sent: usize,
     admitted: BTreeMap<u64, u32>,
 }
 
@@ -85,20 +86,20 @@
             now: START,
             rng: Rng::with_seed(seed),
             events: BinaryHeap::new(),
-            what: BTreeMap::new(),
+            queued: BTreeMap::new(),
             count: 0,
             hosts: (0..fronts).map(|_| Host::default()).collect(),
             service: None,
-            service_life: 0,
-            found: service::StoredState::default(),
+            service_incarnation: 0,
+            disk: service::StoredState::default(),
             rules,
             next_conn: 0,
             conns: BTreeMap::new(),
-            lines: Vec::new(),
-            unruly: false,
-            shell_events: 0,
-            dies_at: None,
-            sent: 0,
+            log: Vec::new(),
+            unreliable: false,
+            steps_executed: 0,
+            dies_at_step: None,
+            content_bytes_sent: 0,
             admitted: BTreeMap::new(),
         };
         world.start_service();
@@ -106,105 +107,112 @@
         world
     }
 
-    fn at(&mut self, after: u64, event: Event) {
+    fn schedule(&mut self, delay: u64, event: Event) {
         self.count += 1;
-        self.events.push(Reverse((self.now + after, self.count)));
-        self.what.insert(self.count, event);
+        self.events.push(Reverse((self.now + delay, self.count)));
+        self.queued.insert(self.count, event);
     }
 
     fn start_service(&mut self) {
-        let mut out = Vec::new();
-        self.service_life += 1;
-        let found = self.found.clone();
-        self.service = Some(Service::start(self.now, self.rules.clone(), keys(), found, &mut out));
-        self.do_service(out);
+        let mut effects = Vec::new();
+        self.service_incarnation += 1;
+        let disk = self.disk.clone();
+        self.service = Some(Service::start(self.now, self.rules.clone(), keys(), disk, &mut effects));
+        self.execute_service_effects(effects);
     }
 
     fn kill_service(&mut self) {
         self.service = None;
         let open: Vec<_> = std::mem::take(&mut self.conns).into_iter().collect();
-        open.into_iter().for_each(|(conn, n)| self.at(100, Event::Cut(n, conn)));
+        open.into_iter().for_each(|(conn, n)| self.schedule(100, Event::FrontSeesClose(n, conn)));
     }
 
     fn start_front(&mut self, n: usize) {
         let host = &mut self.hosts[n];
-        host.life += 1;
+        host.incarnation += 1;
         host.starts += 1;
-        let found = match host.damaged {
+        let disk = match host.disk_damaged {
             true => front::StoredState::default(),
-            false => front::StoredState { last_good: host.good.clone(), staged: host.staged },
+            false => front::StoredState { last_good: host.last_good.clone(), staged: host.staged },
         };
-        // What was kept is checked as any version is; a version that this program can't read is found then.
-        let usable = match &found.last_good {
+        // The stored version is checked like any other; it may be unreadable for this program.
+        let usable = match &disk.last_good {
             Some((.., content)) => check(content),
             None => Ok(()),
         };
-        let (mut out, name) = (Vec::new(), format!("front-{n}"));
-        let seed = n as u64 + 100 * u64::from(host.life);
+        let (mut effects, name) = (Vec::new(), format!("front-{n}"));
+        let seed = n as u64 + 100 * u64::from(host.incarnation);
         let station = format!("station-{}", n % 3);
-        let front = Front::start(self.now, seed, (&name, &station), keys(), found, usable, &mut out);
+        let front = Front::start(self.now, seed, (&name, &station), keys(), disk, usable, &mut effects);
         self.hosts[n].front = Some(front);
-        self.do_front(n, out);
+        self.execute_front_effects(n, effects);
     }
 
-    fn kill_front(&mut self, n: usize, back_after: u64) {
+    fn kill_front(&mut self, n: usize, restart_after: u64) {
         let host = &mut self.hosts[n];
         host.front = None;
-        host.life += 1;
+        host.incarnation += 1;
         if let Some(conn) = host.conn.take()
             && self.conns.remove(&conn).is_some()
         {
-            self.at(100, Event::Gone(conn));
+            self.schedule(100, Event::ServiceSeesClose(conn));
         }
-        self.at(back_after, Event::Restart(n));
+        self.schedule(restart_after, Event::Restart(n));
     }
 
-    fn do_front(&mut self, n: usize, out: Vec<front::Effect>) {
-        let life = self.hosts[n].life;
-        for each in out {
-            let lag = 1 + self.rng.u64(0..200);
-            match each {
+    fn execute_front_effects(&mut self, n: usize, effects: Vec<front::Effect>) {
+        let incarnation = self.hosts[n].incarnation;
+        for effect in effects {
+            let delay = 1 + self.rng.u64(0..200);
+            match effect {
                 front::Effect::Connect => {
-                    let event =
-                        if self.service.is_some() { Event::Up(n, life) } else { Event::Refused(n, life) };
-                    self.at(lag, event);
+                    let event = if self.service.is_some() {
+                        Event::Connected(n, incarnation)
+                    } else {
+                        Event::ConnectFailed(n, incarnation)
+                    };
+                    self.schedule(delay, event);
                 }
                 front::Effect::Close => {
                     if let Some(conn) = self.hosts[n].conn.take()
                         && self.conns.remove(&conn).is_some()
                     {
-                        self.at(lag, Event::Gone(conn));
+                        self.schedule(delay, Event::ServiceSeesClose(conn));
                     }
                 }
                 front::Effect::Send(message) => {
-                    let runs = self.hosts[n].front.as_ref().map(Front::running);
+                    let running = self.hosts[n].front.as_ref().map(Front::running);
                     match &message {
-                        ToService::Running { id, .. } => assert_eq!(runs, Some(Some(*id)), "an untrue claim"),
-                        ToService::Hello { running: told, .. } => {
-                            assert!(runs.is_none_or(|r| r == told.map(|t| t.0)));
+                        ToService::Running { id, .. } => {
+                            assert_eq!(running, Some(Some(*id)), "the front claims to run another version")
+                        }
+                        ToService::Hello { running: reported, .. } => {
+                            assert!(running.is_none_or(|r| r == reported.map(|t| t.0)));
                         }
                         _ => {}
                     }
                     if let Some(conn) = self.hosts[n].conn {
-                        self.at(lag, Event::ToService(conn, message));
+                        self.schedule(delay, Event::ToService(conn, message));
                     }
                 }
-                front::Effect::SetTimer(at) => self.at(at.saturating_sub(self.now), Event::FrontDue(n, life)),
-                front::Effect::Log(line) => self.hosts[n].lines.push(line),
+                front::Effect::SetTimer(at) => {
+                    self.schedule(at.saturating_sub(self.now), Event::FrontTimer(n, incarnation))
+                }
+                front::Effect::Log(event) => self.hosts[n].log.push(event),
                 front::Effect::Unstage => self.hosts[n].staged = None,
-                shell => self.at(lag, Event::Shell(n, life, shell)),
+                effect => self.schedule(delay, Event::Execute(n, incarnation, effect)),
             }
         }
     }
 
-    fn do_service(&mut self, out: Vec<service::Effect>) {
-        for each in out {
-            let lag = 1 + self.rng.u64(0..200);
-            match each {
+    fn execute_service_effects(&mut self, effects: Vec<service::Effect>) {
+        for effect in effects {
+            let delay = 1 + self.rng.u64(0..200);
+            match effect {
                 service::Effect::Send(conn, message) => {
                     let Some(&n) = self.conns.get(&conn) else { continue };
                     if let ToFront::Content { body, .. } = &message {
-                        self.sent += match body {
+                        self.content_bytes_sent += match body {
                             Body::Full(all) => all.len(),
                             Body::Delta(steps) => steps
                                 .iter()
@@ -218,92 +226,92 @@
                     if matches!(message, ToFront::Welcome { .. }) {
                         *self.admitted.entry(self.now / SECOND).or_default() += 1;
                     }
-                    if self.unruly && self.rng.u8(0..8) == 0 {
-                        self.at(
-                            lag + self.rng.clone().u64(0..SECOND),
+                    if self.unreliable && self.rng.u8(0..8) == 0 {
+                        self.schedule(
+                            delay + self.rng.clone().u64(0..SECOND),
                             Event::ToFront(n, conn, message.clone()),
                         );
                     }
-                    self.at(lag, Event::ToFront(n, conn, message));
+                    self.schedule(delay, Event::ToFront(n, conn, message));
                 }
                 service::Effect::Close(conn) => {
                     if let Some(n) = self.conns.remove(&conn) {
-                        self.at(lag + 200, Event::Cut(n, conn));
+                        self.schedule(delay + 200, Event::FrontSeesClose(n, conn));
                     }
                 }
                 service::Effect::Store(version) => {
-                    self.found.versions.retain(|v| v.id.number != version.id.number);
-                    self.found.versions.push(version);
+                    self.disk.versions.retain(|v| v.id.number != version.id.number);
+                    self.disk.versions.push(version);
                 }
                 service::Effect::StoreState { epoch, base, rollout } => {
-                    self.found.versions.retain(|v| v.id.epoch == epoch);
-                    (self.found.epoch, self.found.base, self.found.rollout) = (epoch, base, rollout);
+                    self.disk.versions.retain(|v| v.id.epoch == epoch);
+                    (self.disk.epoch, self.disk.base, self.disk.rollout) = (epoch, base, rollout);
                 }
                 service::Effect::SetTimer(at) => {
-                    let life = self.service_life;
-                    self.at(at.saturating_sub(self.now).max(1), Event::ServiceDue(life));
+                    let incarnation = self.service_incarnation;
+                    self.schedule(at.saturating_sub(self.now).max(1), Event::ServiceTimer(incarnation));
                 }
-                service::Effect::Log(line) => self.lines.push(line),
+                service::Effect::Log(event) => self.log.push(event),
                 service::Effect::StoreTrials(_) | service::Effect::Delete(_) => {
-                    panic!("trials are stored where rollouts go in waves")
+                    panic!("trials are stored although rollouts go in waves")
                 }
             }
         }
     }
 
     fn on_front(&mut self, n: usize, act: impl FnOnce(&mut Front, u64, &mut Vec<front::Effect>)) {
-        let mut out = Vec::new();
+        let mut effects = Vec::new();
         if let Some(front) = &mut self.hosts[n].front {
-            act(front, self.now, &mut out);
+            act(front, self.now, &mut effects);
         }
-        self.do_front(n, out);
+        self.execute_front_effects(n, effects);
     }
 
     fn on_service<T>(
         &mut self,
         act: impl FnOnce(&mut Service, u64, &mut Vec<service::Effect>) -> T,
     ) -> Option<T> {
-        let (mut out, now) = (Vec::new(), self.now);
-        let result = self.service.as_mut().map(|s| act(s, now, &mut out));
-        self.do_service(out);
+        let (mut effects, now) = (Vec::new(), self.now);
+        let result = self.service.as_mut().map(|s| act(s, now, &mut effects));
+        self.execute_service_effects(effects);
         result
     }
 
-    fn shell(&mut self, n: usize, asked: front::Effect) {
-        self.shell_events += 1;
-        if self.dies_at == Some(self.shell_events) {
+    fn execute(&mut self, n: usize, effect: front::Effect) {
+        self.steps_executed += 1;
+        if self.dies_at_step == Some(self.steps_executed) {
             return self.kill_front(n, SECOND);
         }
-        match asked {
+        match effect {
             front::Effect::Check(id, content) => {
                 let result = check(&content);
-                self.on_front(n, |f, now, out| f.on_checked(now, id, result, out));
+                self.on_front(n, |f, now, effects| f.on_checked(now, id, result, effects));
             }
-            front::Effect::Stage { id, crashes: falls } => {
-                if !self.hosts[n].full {
-                    self.hosts[n].staged = Some((id, falls));
+            front::Effect::Stage { id, crashes } => {
+                if !self.hosts[n].disk_full {
+                    self.hosts[n].staged = Some((id, crashes));
                 }
-                self.on_front(n, |f, now, out| f.on_staged(now, id, out));
+                self.on_front(n, |f, now, effects| f.on_staged(now, id, effects));
             }
             front::Effect::Apply(id, content) => {
-                let runs = self.hosts[n].front.as_ref().and_then(Front::running);
-                assert!(runs.is_none_or(|r| r.position() < id.position()), "an older version is applied");
+                let running = self.hosts[n].front.as_ref().and_then(Front::running);
+                assert!(running.is_none_or(|r| r.position() < id.position()), "an older version is applied");
                 match &content[..5] {
                     b"fatal" => self.kill_front(n, 2 * SECOND),
                     b"stuck" => {
-                        let why = RejectionReason::NotApplied("it does not go in".into());
-                        self.on_front(n, |f, now, out| f.on_applied(now, id, Err(why), out));
+                        let reason = RejectionReason::NotApplied("it does not go in".into());
+                        self.on_front(n, |f, now, effects| f.on_applied(now, id, Err(reason), effects));
                     }
-                    _ => self.on_front(n, |f, now, out| f.on_applied(now, id, Ok(()), out)),
+                    _ => self.on_front(n, |f, now, effects| f.on_applied(now, id, Ok(()), effects)),
                 }
             }
             front::Effect::Store(id, seal, content) => {
-                let full = self.hosts[n].full;
-                if !full {
-                    (self.hosts[n].good, self.hosts[n].staged) = (Some((id, seal, content)), None);
-                    self.hosts[n].damaged = false;
+                let disk_full = self.hosts[n].disk_full;
+                if !disk_full {
+                    (self.hosts[n].last_good, self.hosts[n].staged) = (Some((id, seal, content)), None);
+                    self.hosts[n].disk_damaged = false;
                 }
-                self.on_front(n, |f, now, out| f.on_stored(now, id, !full, out));
+                self.on_front(n, |f, now, effects| f.on_stored(now, id, !disk_full, effects));
             }
             _ => {}
         }
@@ -311,38 +319,44 @@
 
     fn step(&mut self) -> bool {
         let Some(Reverse((at, number))) = self.events.pop() else { return false };
-        let Some(event) = self.what.remove(&number) else { return true };
+        let Some(event) = self.queued.remove(&number) else { return true };
         self.now = self.now.max(at);
         match event {
-            Event::Up(n, life) if self.hosts[n].life == life && self.service.is_some() => {
+            Event::Connected(n, incarnation)
+                if self.hosts[n].incarnation == incarnation && self.service.is_some() =>
+            {
                 self.next_conn += 1;
                 let conn = self.next_conn;
                 self.hosts[n].conn = Some(conn);
                 self.conns.insert(conn, n);
-                self.on_front(n, |f, now, out| f.on_connected(now, out));
+                self.on_front(n, |f, now, effects| f.on_connected(now, effects));
             }
-            Event::Up(n, life) | Event::Refused(n, life) if self.hosts[n].life == life => {
-                self.on_front(n, |f, now, out| f.on_disconnected(now, out));
+            Event::Connected(n, incarnation) | Event::ConnectFailed(n, incarnation)
+                if self.hosts[n].incarnation == incarnation =>
+            {
+                self.on_front(n, |f, now, effects| f.on_disconnected(now, effects));
             }
             Event::ToService(conn, message) if self.conns.contains_key(&conn) => {
-                self.on_service(|s, now, out| s.on_message(now, conn, message, out));
+                self.on_service(|s, now, effects| s.on_message(now, conn, message, effects));
             }
             Event::ToFront(n, conn, message) if self.hosts[n].conn == Some(conn) => {
-                self.on_front(n, |f, now, out| f.on_message(now, message, out));
+                self.on_front(n, |f, now, effects| f.on_message(now, message, effects));
             }
-            Event::Cut(n, conn) if self.hosts[n].conn == Some(conn) => {
+            Event::FrontSeesClose(n, conn) if self.hosts[n].conn == Some(conn) => {
                 self.hosts[n].conn = None;
-                self.on_front(n, |f, now, out| f.on_disconnected(now, out));
+                self.on_front(n, |f, now, effects| f.on_disconnected(now, effects));
+            }
+            Event::ServiceSeesClose(conn) => {
+                self.on_service(|s, now, effects| s.on_disconnected(now, conn, effects));
             }
-            Event::Gone(conn) => {
-                self.on_service(|s, now, out| s.on_disconnected(now, conn, out));
+            Event::Execute(n, incarnation, effect) if self.hosts[n].incarnation == incarnation => {
+                self.execute(n, effect)
             }
-            Event::Shell(n, life, asked) if self.hosts[n].life == life => self.shell(n, asked),
-            Event::FrontDue(n, life) if self.hosts[n].life == life => {
-                self.on_front(n, |f, now, out| f.on_timer(now, out));
+            Event::FrontTimer(n, incarnation) if self.hosts[n].incarnation == incarnation => {
+                self.on_front(n, |f, now, effects| f.on_timer(now, effects));
             }
-            Event::ServiceDue(life) if self.service_life == life => {
-                self.on_service(|s, now, out| s.on_timer(now, out));
+            Event::ServiceTimer(incarnation) if self.service_incarnation == incarnation => {
+                self.on_service(|s, now, effects| s.on_timer(now, effects));
             }
             Event::Restart(n) if self.hosts[n].front.is_none() => self.start_front(n),
             _ => {}
@@ -354,13 +368,13 @@
     fn check(&self) {
         for host in &self.hosts {
             let Some(front) = &host.front else { continue };
-            let Some(runs) = front.running() else { continue };
-            let good = GOOD.with(|g| g.borrow().contains(&runs.hash));
+            let Some(running) = front.running() else { continue };
+            let good = GOOD.with(|g| g.borrow().contains(&running.hash));
             assert!(good, "a front runs a version that is not good");
         }
     }
 
-    fn pass(&mut self, time: u64) {
+    fn advance(&mut self, time: u64) {
         let end = self.now + time;
         while self.events.peek().is_some_and(|Reverse((at, _))| *at <= end) {
             self.step();
@@ -374,14 +388,14 @@
             GOOD.with(|g| g.borrow_mut().insert(*blake3_of(&bytes)));
         }
         let last = self.service.as_ref().map_or(0, Service::last);
-        let result = self.on_service(|s, now, out| s.publish(now, bytes, "", last, out));
+        let result = self.on_service(|s, now, effects| s.publish(now, bytes, "", last, effects));
         result.unwrap_or(Err(PublishError::NoSuchVersion))
     }
 
-    /// Until nothing of a publication goes on any more, and fronts have had the time to come.
-    fn settle(&mut self) {
+    /// Runs until the rollout has ended, with time for fronts to connect.
+    fn run_to_end(&mut self) {
         for _ in 0..600 {
-            self.pass(SECOND);
+            self.advance(SECOND);
             let progress = self.service.as_ref().and_then(Service::progress);
             if progress.is_none_or(|p| p.stopped.is_some()) {
                 break;
@@ -411,86 +425,93 @@
     }
 }
 
-fn quick() -> Rules {
+fn fast_rules() -> Rules {
     Rules { soak: 2 * SECOND, response_timeout: 10 * SECOND, ..Rules::default() }
 }
 
 #[test]
-fn a_version_goes_in_waves_and_is_run_and_known_by_all() {
-    let mut w = World::new(1, 40, quick());
-    w.pass(5 * SECOND);
+fn a_version_is_rolled_out_in_waves_to_all_fronts() {
+    let mut w = World::new(1, 40, fast_rules());
+    w.advance(5 * SECOND);
     let long: String = (0..2_000).map(|n| format!("line {n}\n")).collect();
     let first = w.publish(&format!("good one\n{long}")).unwrap();
-    w.pass(SECOND);
+    w.advance(SECOND);
     assert_eq!(w.running(first), 2, "the canaries first");
-    w.settle();
+    w.run_to_end();
     assert_eq!(w.running(first), 40);
-    assert!(matches!(w.lines.last(), Some(LogEvent::Everywhere(id)) if *id == first));
-    let whole = std::mem::take(&mut w.sent);
+    assert!(matches!(w.log.last(), Some(LogEvent::Everywhere(id)) if *id == first));
+    let full = std::mem::take(&mut w.content_bytes_sent);
     let second =
         w.publish(&format!("good one\n{}", long.replace("line 700\n", "line seven hundred\n"))).unwrap();
-    w.settle();
+    w.run_to_end();
     assert_eq!(w.running(second), 40);
-    assert!(w.sent * 100 < whole, "{} bytes for one line, {whole} for all", w.sent);
+    assert!(
+        w.content_bytes_sent * 100 < full,
+        "{} bytes for one line, {full} for the full content",
+        w.content_bytes_sent
+    );
     let service = w.service.as_ref().unwrap();
     assert!(
         service.fronts().all(|f| f.state == FrontState::Current && f.stored && f.running == Some(second))
     );
-    // Who has not seen the last version publishes nothing.
-    let stale = w.on_service(|s, now, out| s.publish(now, b"good x"[..].into(), "", 1, out)).unwrap();
+    // A publisher that has not seen the last version is rejected.
+    let stale = w.on_service(|s, now, effects| s.publish(now, b"good x"[..].into(), "", 1, effects)).unwrap();
     assert_eq!(stale, Err(PublishError::Conflict { last: 2 }));
 }
 
 #[test]
-fn a_bad_version_of_each_kind_stops_at_the_canaries_and_says_why() {
-    for (content, why) in [
+fn a_bad_version_of_each_kind_stops_at_the_canaries_with_its_reason() {
+    for (content, reason) in [
         ("bad", "d.hcl:1:1: key 'bad': unknown key: expected 'good'?"),
         ("later", "it changes settings that need a restart: listen"),
         ("stuck", "it could not be applied: it does not go in"),
         ("fatal", "the front crashed on it 2 times"),
     ] {
-        let mut w =
-            World::new(2, 30, Rules { max_timed_out_share: 0.9, response_timeout: 60 * SECOND, ..quick() });
-        w.pass(5 * SECOND);
+        let mut w = World::new(
+            2,
+            30,
+            Rules { max_timed_out_share: 0.9, response_timeout: 60 * SECOND, ..fast_rules() },
+        );
+        w.advance(5 * SECOND);
         let good = w.publish("good one").unwrap();
-        w.settle();
+        w.run_to_end();
         let bad = w.publish(content).unwrap();
-        w.settle();
+        w.run_to_end();
         let progress = w.service.as_ref().unwrap().progress().unwrap();
         let Some(StopReason::Rejected { first, .. }) = progress.stopped else {
             panic!("{content}: {progress:?}")
         };
-        assert_eq!(first.to_string(), why);
-        assert!(progress.offered <= 2, "{content} went to {}", progress.offered);
-        w.pass(10 * SECOND);
+        assert_eq!(first.to_string(), reason);
+        assert!(progress.offered <= 2, "{content} was offered to {}", progress.offered);
+        w.advance(10 * SECOND);
         assert_eq!((w.running(good), w.running(bad)), (30, 0));
-        // Back to the good one is a new number, and goes to whoever has anything else: here, to all.
-        let back = w.on_service(|s, now, out| s.roll_back(now, 1, out)).unwrap().unwrap();
-        w.settle();
+        // A rollback gets a new number and is offered to all fronts with another version: here, all of them.
+        let back = w.on_service(|s, now, effects| s.roll_back(now, 1, effects)).unwrap().unwrap();
+        w.run_to_end();
         assert_eq!((back.number, w.running(back)), (3, 30), "{content}");
     }
 }
 
 #[test]
-fn a_drop_of_service_stops_it_within_the_first_wave() {
-    let mut w = World::new(3, 30, quick());
-    w.pass(5 * SECOND);
+fn a_drop_of_the_service_level_stops_a_rollout_in_the_first_wave() {
+    let mut w = World::new(3, 30, fast_rules());
+    w.advance(5 * SECOND);
     w.publish("good one").unwrap();
-    w.settle();
+    w.run_to_end();
     let report = |w: &mut World, harm: Option<VersionId>| {
         for _ in 0..6 {
             for n in 0..30 {
-                let runs = w.hosts[n].front.as_ref().and_then(Front::running);
-                let share = if harm.is_some() && runs == harm { 0.6 } else { 0.98 };
-                w.on_front(n, |f, _, out| f.report_service_level(share, out));
+                let running = w.hosts[n].front.as_ref().and_then(Front::running);
+                let share = if harm.is_some() && running == harm { 0.6 } else { 0.98 };
+                w.on_front(n, |f, _, effects| f.report_service_level(share, effects));
             }
-            w.pass(SECOND / 3);
+            w.advance(SECOND / 3);
         }
     };
     report(&mut w, None);
     let harmful = w.publish("good but harmful").unwrap();
     report(&mut w, Some(harmful));
-    w.settle();
+    w.run_to_end();
     let progress = w.service.as_ref().unwrap().progress().unwrap();
     assert!(
         matches!(progress.stopped, Some(StopReason::ServiceDrop { from: 970.., to: ..900, .. })),
@@ -500,89 +521,88 @@
 }
 
 #[test]
-fn a_storm_that_all_fronts_feel_stops_no_version() {
-    let mut w = World::new(3, 30, quick());
-    w.pass(5 * SECOND);
+fn an_overload_of_all_fronts_stops_no_rollout() {
+    let mut w = World::new(3, 30, fast_rules());
+    w.advance(5 * SECOND);
     w.publish("good one").unwrap();
-    w.settle();
+    w.run_to_end();
     let report = |w: &mut World, share: f32| {
         for _ in 0..6 {
-            (0..30).for_each(|n| w.on_front(n, |f, _, out| f.report_service_level(share, out)));
-            w.pass(SECOND / 3);
+            (0..30).for_each(|n| w.on_front(n, |f, _, effects| f.report_service_level(share, effects)));
+            w.advance(SECOND / 3);
         }
     };
     report(&mut w, 0.98);
     let next = w.publish("good two").unwrap();
     report(&mut w, 0.6);
-    w.settle();
+    w.run_to_end();
     assert_eq!((w.service.as_ref().unwrap().progress(), w.running(next)), (None, 30));
 }
 
 #[test]
-fn a_service_that_dies_in_the_first_wave_comes_back_to_the_same_canaries() {
+fn a_service_that_restarts_in_the_first_wave_keeps_the_same_canaries() {
     for seed in 0..8 {
-        let mut w = World::new(seed, 30, Rules { soak: 60 * SECOND, ..quick() });
-        w.pass(5 * SECOND);
+        let mut w = World::new(seed, 30, Rules { soak: 60 * SECOND, ..fast_rules() });
+        w.advance(5 * SECOND);
         w.publish("good one").unwrap();
-        w.settle();
+        w.run_to_end();
         let next = w.publish("good two").unwrap();
-        w.pass(SECOND);
+        w.advance(SECOND);
         let before = w.running(next);
         assert_eq!(before, 2);
         w.kill_service();
-        w.pass(SECOND);
+        w.advance(SECOND);
         w.start_service();
-        w.pass(40 * SECOND);
-        assert_eq!(w.running(next), before, "seed {seed}: others were touched");
+        w.advance(40 * SECOND);
+        assert_eq!(w.running(next), before, "seed {seed}: other fronts run it");
     }
 }
 
-/// Found by the model check: a true word was taken for a lie.
+/// Guards against a true claim being treated as false, which the model check found: a front confirms the
+/// previous version after the next one was published.
 #[test]
-fn a_front_still_at_a_version_when_the_next_is_published_is_believed() {
-    let mut w = World::new(8, 1, quick());
-    w.pass(5 * SECOND);
+fn a_late_confirmation_of_the_previous_version_is_no_false_claim() {
+    let mut w = World::new(8, 1, fast_rules());
+    w.advance(5 * SECOND);
     let first = w.publish("good one").unwrap();
-    // The front has its content, and has not said yet that it runs it, when another is published.
+    // The front has applied the first version but not confirmed it when the second is published.
     while w.hosts[0].front.as_ref().and_then(Front::running) != Some(first) {
         w.step();
     }
-    w.on_service(|s, _, out| s.stop(StopReason::Manual, out));
+    w.on_service(|s, _, effects| s.stop(StopReason::Manual, effects));
     let second = w.publish("good two").unwrap();
-    w.settle();
+    w.run_to_end();
     assert_eq!((first.number, w.running(second)), (1, 1));
-    let untrue = w.lines.iter().filter(|l| matches!(l, LogEvent::FalseClaim { .. })).count();
-    assert_eq!(untrue, 0, "{:?}", w.lines);
+    let false_claims = w.log.iter().filter(|l| matches!(l, LogEvent::FalseClaim { .. })).count();
+    assert_eq!(false_claims, 0, "{:?}", w.log);
 }
 
 #[test]
-fn what_could_not_be_stored_was_never_published() {
-    let mut w = World::new(5, 4, quick());
-    w.pass(5 * SECOND);
+fn a_version_that_could_not_be_stored_is_not_published() {
+    let mut w = World::new(5, 4, fast_rules());
+    w.advance(5 * SECOND);
     w.publish("good one").unwrap();
-    w.settle();
+    w.run_to_end();
     let service = w.service.as_mut().unwrap();
-    let mut out = Vec::new();
-    let id = service.publish(w.now, b"good two".as_slice().into(), "", 1, &mut out).unwrap();
+    let mut effects = Vec::new();
+    let id = service.publish(w.now, b"good two".as_slice().into(), "", 1, &mut effects).unwrap();
     service.withdraw(id);
     assert_eq!((service.last(), service.progress()), (1, None));
     let next = w.publish("good three").unwrap();
-    w.settle();
+    w.run_to_end();
     assert_eq!((next.number, w.running(next)), (2, 4));
 }
 
 #[test]
-fn people_are_told_what_stands_in_their_way() {
-    let mut w = World::new(6, 3, Rules { soak: 600 * SECOND, ..quick() });
-    w.pass(5 * SECOND);
+fn a_denied_request_gets_the_reason() {
+    let mut w = World::new(6, 3, Rules { soak: 600 * SECOND, ..fast_rules() });
+    w.advance(5 * SECOND);
     let service = w.service.as_mut().unwrap();
-    let mut ask =
-        |role, ask: Request| service.handle_request(w.now, role, ask, |_| Err("no".into()), &mut Vec::new());
-    let publish = |expects| Request::Publish {
-        content: b"x".as_slice().into(),
-        note: "".into(),
-        expected_last: expects,
+    let mut ask = |role, request: Request| {
+        service.handle_request(w.now, role, request, |_| Err("no".into()), &mut Vec::new())
     };
+    let publish =
+        |expected_last| Request::Publish { content: b"x".as_slice().into(), note: "".into(), expected_last };
     assert_eq!(ask(Role::Viewer, publish(0)), Response::Denied(Denial::ReadOnly));
     assert_eq!(ask(Role::Operator, publish(7)), Response::NotPublished(PublishError::Conflict { last: 0 }));
     assert_eq!(ask(Role::Operator, publish(0)), Response::Invalid("no".into()));
@@ -604,157 +624,159 @@
 }
 
 #[test]
-fn fronts_go_on_while_the_service_is_away_and_tell_its_return_from_old_news() {
-    let mut w = World::new(4, 30, quick());
-    w.pass(5 * SECOND);
+fn fronts_keep_their_version_while_the_service_is_down_or_restored_from_an_older_store() {
+    let mut w = World::new(4, 30, fast_rules());
+    w.advance(5 * SECOND);
     let one = w.publish("good one").unwrap();
-    w.settle();
-    let copy = w.found.clone();
+    w.run_to_end();
+    let copy = w.disk.clone();
     let two = w.publish("good two").unwrap();
-    w.settle();
-    // Away for minutes, back with its store: nothing changes.
+    w.run_to_end();
+    // The service returns after minutes with its store: nothing changes.
     w.kill_service();
-    w.pass(180 * SECOND);
+    w.advance(180 * SECOND);
     assert_eq!(w.running(two), 30);
-    assert!(w.hosts[0].lines.iter().any(|l| matches!(l, FrontEvent::ServiceSilent(_))));
+    assert!(w.hosts[0].log.iter().any(|l| matches!(l, FrontEvent::ServiceSilent(_))));
     w.start_service();
-    w.pass(180 * SECOND);
+    w.advance(180 * SECOND);
     assert!(w.service.as_ref().unwrap().fronts().filter(|f| f.state == FrontState::Current).count() == 30);
-    // Back with an older copy: its next number would be one that fronts know with other content.
+    // It returns with an older copy of its store: its next number would be one that fronts know with other
+    // content.
     w.kill_service();
-    w.found = copy;
+    w.disk = copy;
     w.start_service();
-    w.pass(180 * SECOND);
+    w.advance(180 * SECOND);
     let service = w.service.as_ref().unwrap();
     assert!(service.epoch() > two.epoch, "a new epoch");
     assert_eq!((w.running(two), w.running(one)), (30, 0), "nothing older is offered");
     let three = w.publish("good three").unwrap();
-    w.settle();
+    w.run_to_end();
     assert_eq!(w.running(three), 30);
-    // Back with nothing: fronts keep what they run until somebody publishes.
+    // It returns without a store: fronts keep their version until the next publication.
     w.kill_service();
-    w.found = service::StoredState::default();
-    w.pass(60 * SECOND);
+    w.disk = service::StoredState::default();
+    w.advance(60 * SECOND);
     w.start_service();
-    w.pass(180 * SECOND);
+    w.advance(180 * SECOND);
     assert_eq!(w.running(three), 30);
     let four = w.publish("good four").unwrap();
-    w.settle();
+    w.run_to_end();
     assert_eq!(w.running(four), 30);
 }
 
 #[test]
-fn a_front_without_a_store_is_not_given_an_older_copys_versions_by_being_first() {
-    let mut w = World::new(9, 6, quick());
-    w.pass(5 * SECOND);
+fn a_front_without_a_store_is_not_offered_versions_of_an_older_copy_by_connecting_first() {
+    let mut w = World::new(9, 6, fast_rules());
+    w.advance(5 * SECOND);
     let one = w.publish("good one").unwrap();
-    w.settle();
-    let copy = w.found.clone();
+    w.run_to_end();
+    let copy = w.disk.clone();
     let two = w.publish("good two").unwrap();
-    w.settle();
+    w.run_to_end();
     assert_eq!(w.running(two), 6);
-    // All die, the service with them; one has lost its store, and is the first to come to the older copy.
+    // All fronts and the service die; a front that lost its store is the first to connect to the service on
+    // the older copy.
     w.kill_service();
     (0..6).for_each(|n| w.kill_front(n, 1_000 * SECOND));
-    w.hosts[0].good = None;
-    w.found = copy.clone();
+    w.hosts[0].last_good = None;
+    w.disk = copy.clone();
     w.start_service();
     w.start_front(0);
-    w.pass(20 * SECOND);
+    w.advance(20 * SECOND);
     assert_eq!((w.running(one), w.running(two)), (0, 0), "it runs its own file");
     (1..6).for_each(|n| w.start_front(n));
-    w.pass(180 * SECOND);
+    w.advance(180 * SECOND);
     assert_eq!((w.running(one), w.running(two)), (0, 5));
     let three = w.publish("good three").unwrap();
-    w.settle();
+    w.run_to_end();
     assert_eq!(w.running(three), 6);
-    // With nobody there who ran anything later, the copy is what there is, once they have had the time to come.
+    // If no front has a later version, the older copy is used once all have had time to connect.
     w.kill_service();
     (0..6).for_each(|n| w.kill_front(n, 1_000 * SECOND));
-    (0..6).for_each(|n| w.hosts[n].good = None);
-    w.found = copy;
+    (0..6).for_each(|n| w.hosts[n].last_good = None);
+    w.disk = copy;
     w.start_service();
     (0..6).for_each(|n| w.start_front(n));
-    w.pass(50 * SECOND);
+    w.advance(50 * SECOND);
     assert_eq!(w.running(one), 0);
-    w.pass(60 * SECOND);
+    w.advance(60 * SECOND);
     assert_eq!(w.running(one), 6);
 }
 
 #[test]
-fn of_two_services_the_later_one_is_followed_and_the_other_steps_back() {
-    let mut w = World::new(5, 12, quick());
-    w.pass(5 * SECOND);
+fn of_two_services_fronts_follow_the_later_epoch_and_the_other_steps_back() {
+    let mut w = World::new(5, 12, fast_rules());
+    w.advance(5 * SECOND);
     w.publish("good one").unwrap();
-    w.settle();
-    let (older, found) = (w.service.take().unwrap(), w.found.clone());
+    w.run_to_end();
+    let (older, disk) = (w.service.take().unwrap(), w.disk.clone());
     w.conns.clear();
-    w.found = service::StoredState::default();
+    w.disk = service::StoredState::default();
     for n in 0..12 {
         let conn = w.hosts[n].conn.unwrap();
-        w.at(100, Event::Cut(n, conn));
+        w.schedule(100, Event::FrontSeesClose(n, conn));
     }
     w.start_service();
-    w.pass(120 * SECOND);
+    w.advance(120 * SECOND);
     let two = w.publish("good two").unwrap();
-    w.settle();
+    w.run_to_end();
     assert_eq!(w.running(two), 12);
-    // Now they come to the first one, which was never away.
+    // Now the fronts connect to the first service, which kept running.
     w.kill_service();
-    (w.service, w.found) = (Some(older), found);
-    w.pass(180 * SECOND);
-    assert!(w.lines.iter().any(|l| matches!(l, LogEvent::Superseded { by } if *by == two.epoch)));
+    (w.service, w.disk) = (Some(older), disk);
+    w.advance(180 * SECOND);
+    assert!(w.log.iter().any(|l| matches!(l, LogEvent::Superseded { by } if *by == two.epoch)));
     assert_eq!(w.publish("good three"), Err(PublishError::Superseded { by: two.epoch }));
     assert_eq!(w.running(two), 12);
 }
 
 #[test]
-fn one_front_that_claims_what_cannot_be_moves_nobody_else() {
-    let mut w = World::new(6, 20, quick());
-    w.pass(5 * SECOND);
+fn a_false_claim_of_one_front_does_not_affect_others() {
+    let mut w = World::new(6, 20, fast_rules());
+    w.advance(5 * SECOND);
     let one = w.publish("good one").unwrap();
-    w.settle();
+    w.run_to_end();
     let (conn, epoch) = (1_000, w.service.as_ref().unwrap().epoch());
     for id in [
         VersionId { number: 9, ..one },
         VersionId { epoch: u64::MAX, ..one },
         VersionId { hash: [7; 32], ..one },
     ] {
-        let runs = Some((id, Seal { key: 1, mac: [3; 32] }));
-        let hello = ToService::Hello { front: "liar".into(), station: "x".into(), running: runs };
-        w.on_service(|s, now, out| s.on_message(now, conn, hello, out));
-        w.on_service(|s, now, out| {
+        let running = Some((id, Seal { key: 1, mac: [3; 32] }));
+        let hello = ToService::Hello { front: "liar".into(), station: "x".into(), running };
+        w.on_service(|s, now, effects| s.on_message(now, conn, hello, effects));
+        w.on_service(|s, now, effects| {
             s.on_message(
                 now,
                 conn,
                 ToService::Running { id: VersionId { number: 5, ..one }, stored: true },
-                out,
+                effects,
             )
         });
-        w.on_service(|s, now, out| s.on_disconnected(now, conn, out));
+        w.on_service(|s, now, effects| s.on_disconnected(now, conn, effects));
     }
     let service = w.service.as_ref().unwrap();
     assert_eq!(service.epoch(), epoch);
     assert!(service.fronts().any(|f| f.front == "liar" && f.false_claim));
-    assert!(w.lines.iter().filter(|l| matches!(l, LogEvent::FalseClaim { .. })).count() >= 4);
+    assert!(w.log.iter().filter(|l| matches!(l, LogEvent::FalseClaim { .. })).count() >= 4);
     assert!(w.publish("good two").is_ok());
 }
 
-/// A front killed at each of its shell's steps, with a disk that works, is full, or is damaged.
+/// Kills a front at each step of taking a version, with a disk that works, is full, or is damaged.
 #[test]
-fn a_front_that_dies_at_any_point_starts_on_a_good_version_and_ends_on_the_last() {
+fn a_front_killed_at_any_step_restarts_on_a_good_version_and_ends_on_the_last() {
     let mut points = 0;
     for (full, damaged) in [(false, false), (true, false), (false, true)] {
         for point in 1..100 {
-            let mut w = World::new(7, 1, quick());
-            w.pass(5 * SECOND);
+            let mut w = World::new(7, 1, fast_rules());
+            w.advance(5 * SECOND);
             w.publish("good one").unwrap();
-            w.settle();
-            (w.hosts[0].full, w.hosts[0].damaged) = (full, damaged);
-            w.shell_events = 0;
-            w.dies_at = Some(point);
+            w.run_to_end();
+            (w.hosts[0].disk_full, w.hosts[0].disk_damaged) = (full, damaged);
+            w.steps_executed = 0;
+            w.dies_at_step = Some(point);
             let two = w.publish("good two").unwrap();
-            w.pass(60 * SECOND);
+            w.advance(60 * SECOND);
             let died = w.hosts[0].starts > 1;
             assert_eq!(w.running(two), 1, "killed at step {point}");
             if !died {
@@ -766,29 +788,29 @@
     assert_eq!(points, 12, "checked, staged, applied, kept; three kinds of disk");
 }
 
-/// All come in the same second, and again after three silent minutes.
+/// All fronts connect in the same second, and again after the service was down for three minutes.
 #[test]
-fn returning_fronts_come_in_at_the_rate_that_is_told() {
-    let rules = Rules { admissions_per_second: 100.0, ..quick() };
+fn returning_fronts_are_admitted_at_the_configured_rate() {
+    let rules = Rules { admissions_per_second: 100.0, ..fast_rules() };
     let mut w = World::new(8, 1_000, rules);
-    w.pass(30 * SECOND);
+    w.advance(30 * SECOND);
     assert!(w.admitted.values().all(|&n| n <= 115), "{:?}", w.admitted);
     assert_eq!(w.service.as_ref().unwrap().fronts().count(), 1_000);
     w.kill_service();
-    w.pass(180 * SECOND);
+    w.advance(180 * SECOND);
     w.start_service();
     w.admitted.clear();
-    w.pass(300 * SECOND);
+    w.advance(300 * SECOND);
     assert!(w.admitted.values().all(|&n| n <= 115), "{:?}", w.admitted);
     assert_eq!(w.service.as_ref().unwrap().fronts().filter(|f| f.connected).count(), 1_000);
 }
 
 #[test]
-fn what_a_relay_alters_or_nobody_vouches_for_is_not_taken() {
-    let mut out = Vec::new();
+fn altered_contents_and_invalid_seals_are_rejected() {
+    let mut effects = Vec::new();
     let own = ("front", "station");
-    let mut f = Front::start(START, 1, own, keys(), front::StoredState::default(), Ok(()), &mut out);
-    f.on_connected(START, &mut out);
+    let mut f = Front::start(START, 1, own, keys(), front::StoredState::default(), Ok(()), &mut effects);
+    f.on_connected(START, &mut effects);
     let content: Arc<[u8]> = b"good one"[..].into();
     let id = VersionId::of(1, 1, &content);
     let seal = keys().seal(&id).unwrap();
@@ -805,45 +827,45 @@
             "its seal is not valid: key 1 is unknown, or did not make it",
         ),
     ];
-    for (number, (seal, body, why)) in (1..).zip(tries) {
-        // Each under a number of its own: what was refused once is not fetched again.
+    for (number, (seal, body, reason)) in (1..).zip(tries) {
+        // Each has its own number, since a rejected version is not fetched again.
         let id = if number == 1 { id } else { VersionId { number, ..id } };
         let seal = if number == 1 { seal } else { Seal { mac: keys().seal(&id).unwrap().mac, ..seal } };
         let seal = if number == 3 { Seal { mac: [0; 32], ..seal } } else { seal };
-        out.clear();
-        f.on_message(START, ToFront::Offer { id }, &mut out);
-        f.on_message(START, ToFront::Content { id, seal, body }, &mut out);
-        let told = out.iter().find_map(|d| match d {
-            front::Effect::Send(ToService::Rejected { reason: why, .. }) => Some(why.to_string()),
+        effects.clear();
+        f.on_message(START, ToFront::Offer { id }, &mut effects);
+        f.on_message(START, ToFront::Content { id, seal, body }, &mut effects);
+        let reported = effects.iter().find_map(|d| match d {
+            front::Effect::Send(ToService::Rejected { reason, .. }) => Some(reason.to_string()),
             _ => None,
         });
-        assert_eq!(told.as_deref(), Some(why));
-        assert!(!out.iter().any(|d| matches!(d, front::Effect::Check(..))));
-        out.clear();
-        f.on_message(START, ToFront::Offer { id }, &mut out);
+        assert_eq!(reported.as_deref(), Some(reason));
+        assert!(!effects.iter().any(|d| matches!(d, front::Effect::Check(..))));
+        effects.clear();
+        f.on_message(START, ToFront::Offer { id }, &mut effects);
         assert!(
-            matches!(&out[..], [front::Effect::Send(ToService::Rejected { .. })]),
-            "told again, not fetched"
+            matches!(&effects[..], [front::Effect::Send(ToService::Rejected { .. })]),
+            "rejected again, not fetched"
         );
     }
-    // A delta that does not fit is asked for whole; keys may change hands meanwhile.
+    // If a delta does not fit, the full content is requested; meanwhile the keys are rotated.
     f.set_keys(Keys::new(vec![(1, b"the key".to_vec()), (2, b"the next".to_vec())]));
     let id = VersionId { number: 7, ..id };
     let seal = Keys::new(vec![(2, b"the next".to_vec())]).seal(&id).unwrap();
-    out.clear();
-    f.on_message(START, ToFront::Offer { id }, &mut out);
+    effects.clear();
+    f.on_message(START, ToFront::Offer { id }, &mut effects);
     let steps = vec![delta::Op::Copy { from: u64::MAX, count: u64::MAX }];
-    f.on_message(START, ToFront::Content { id, seal, body: Body::Delta(steps) }, &mut out);
-    f.on_message(START, ToFront::Content { id, seal, body: Body::Full(content) }, &mut out);
-    assert!(out.iter().any(|d| matches!(d, front::Effect::Send(ToService::Fetch { base: None, .. }))));
-    assert!(out.iter().any(|d| matches!(d, front::Effect::Check(..))));
+    f.on_message(START, ToFront::Content { id, seal, body: Body::Delta(steps) }, &mut effects);
+    f.on_message(START, ToFront::Content { id, seal, body: Body::Full(content) }, &mut effects);
+    assert!(effects.iter().any(|d| matches!(d, front::Effect::Send(ToService::Fetch { base: None, .. }))));
+    assert!(effects.iter().any(|d| matches!(d, front::Effect::Check(..))));
 }
 
 fn random_run(seed: u64) {
     let fronts = 1 + (seed % 7) as usize;
-    let mut w = World::new(seed, fronts, Rules { max_timed_out_share: 0.5, ..quick() });
-    w.unruly = true;
-    let mut copy = w.found.clone();
+    let mut w = World::new(seed, fronts, Rules { max_timed_out_share: 0.5, ..fast_rules() });
+    w.unreliable = true;
+    let mut copy = w.disk.clone();
     for number in 0..60 {
         let n = w.rng.usize(0..fronts);
         match w.rng.u8(0..16) {
@@ -853,7 +875,7 @@
             }
             4 => {
                 let back = w.service.as_ref().map_or(0, |s| s.last().saturating_sub(1));
-                w.on_service(|s, now, out| s.roll_back(now, back, out).ok());
+                w.on_service(|s, now, effects| s.roll_back(now, back, effects).ok());
             }
             5 | 6 => {
                 let after = w.rng.u64(1..20 * SECOND);
@@ -862,18 +884,18 @@
                 }
             }
             7 => w.kill_service(),
-            8 => w.hosts[n].full = !w.hosts[n].full,
-            9 => w.hosts[n].damaged = true,
-            10 => copy = w.found.clone(),
+            8 => w.hosts[n].disk_full = !w.hosts[n].disk_full,
+            9 => w.hosts[n].disk_damaged = true,
+            10 => copy = w.disk.clone(),
             11 if w.service.is_none() => {
-                w.found = [copy.clone(), service::StoredState::default()][w.rng.usize(0..2)].clone()
+                w.disk = [copy.clone(), service::StoredState::default()][w.rng.usize(0..2)].clone()
             }
             12 => {
                 if let Some(conn) = w.hosts[n].conn
                     && w.conns.remove(&conn).is_some()
                 {
-                    w.at(50, Event::Gone(conn));
-                    w.at(90, Event::Cut(n, conn));
+                    w.schedule(50, Event::ServiceSeesClose(conn));
+                    w.schedule(90, Event::FrontSeesClose(n, conn));
                 }
             }
             _ => {}
@@ -882,26 +904,27 @@
             w.start_service();
         }
         let time = w.rng.u64(1..10 * SECOND);
-        w.pass(time);
+        w.advance(time);
     }
-    // Whoever can hear converges.
-    w.unruly = false;
+    // All fronts can connect again and must converge.
+    w.unreliable = false;
     if w.service.is_none() {
         w.start_service();
     }
-    w.hosts.iter_mut().for_each(|h| h.full = false);
-    w.pass(600 * SECOND);
-    w.on_service(|s, _, out| s.stop(StopReason::Manual, out));
+    w.hosts.iter_mut().for_each(|h| h.disk_full = false);
+    w.advance(600 * SECOND);
+    w.on_service(|s, _, effects| s.stop(StopReason::Manual, effects));
     let mut last = w.publish(&format!("good {seed} last"));
     if matches!(last, Err(PublishError::Superseded { .. })) {
-        // An older copy of its store, from before an epoch that it opened: what is about is its own past. That can't
-        // be told from another service, so a person says it.
-        w.on_service(|s, _, out| s.take_over(out));
+        // The service runs on a copy of its store from before it opened a new epoch, so that the superseding
+        // service is its own past. It can't distinguish that from another service; an operator has to take
+        // over.
+        w.on_service(|s, _, effects| s.take_over(effects));
         last = w.publish(&format!("good {seed} last"));
     }
     let last = last.expect("it publishes again");
-    w.settle();
-    w.pass(300 * SECOND);
+    w.run_to_end();
+    w.advance(300 * SECOND);
     assert_eq!(w.running(last), fronts);
     let service = w.service.as_ref().unwrap();
     assert!(service.fronts().all(|f| f.state == FrontState::Current && f.running == Some(last)));
@@ -911,7 +934,7 @@
     #![proptest_config(ProptestConfig { cases: 150, rng_seed: RngSeed::Fixed(5), failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn no_front_runs_what_is_not_good_and_all_that_can_hear_converge(seed in any::<u64>()) {
+    fn no_front_runs_a_bad_version_and_all_connected_fronts_converge(seed in any::<u64>()) {
         random_run(seed);
     }
 
@@ -920,7 +943,7 @@
         let steps = delta::between(old.as_bytes(), new.as_bytes());
         let applied = delta::apply(old.as_bytes(), &steps);
         prop_assert_eq!(applied.as_deref(), Some(new.as_bytes()));
-        // On another base it may give anything; the hash tells.
+        // On another base the result is arbitrary; the hash detects it.
         let _ = delta::apply(other.as_bytes(), &steps);
     }
 }
--- a/crates/versions/tests/merge.rs
+++ b/crates/versions/tests/merge.rs
@@ -1,4 +1,4 @@
-//! Laying changes on each other and taking them out again.
+//! Merging and reverting changes.
 
 // Tests have a clock.
 #![allow(clippy::disallowed_types, clippy::disallowed_methods)]
@@ -10,7 +10,7 @@
 
 const MEMBERS: usize = 250;
 
-/// A hierarchy as `doorgrade-lab config` streams it; each member with its standing.
+/// A hierarchy like those that `doorgrade-lab config` streams, with the standing of each member.
 fn members(standings: &[&str]) -> String {
     let mut text = String::from("log { level = \"info\" }\nhierarchy { tier = 1 }\n");
     text += "member \"s-000000ff\" {\n  incarnation = 1\n  number = 1\n  tier = 2\n  fills_from = []\n}\n";
@@ -23,9 +23,9 @@
     text
 }
 
-/// All in service but these.
-fn drained(which: &[usize]) -> String {
-    let standing = |n| if which.contains(&n) { "draining" } else { "in_service" };
+/// All members are in service except these.
+fn drained(members_drained: &[usize]) -> String {
+    let standing = |n| if members_drained.contains(&n) { "draining" } else { "in_service" };
     members(&(0..MEMBERS).map(standing).collect::<Vec<_>>())
 }
 
@@ -40,13 +40,13 @@
 }
 
 #[test]
-fn changes_of_two_members_are_laid_on_each_other() {
+fn changes_of_two_members_are_merged() {
     let (base, one, two) = (drained(&[]), drained(&[3]), drained(&[200]));
     assert_eq!(text(merge(base.as_bytes(), one.as_bytes(), two.as_bytes())), drained(&[3, 200]));
 }
 
 #[test]
-fn of_five_changes_the_second_is_taken_out_alone() {
+fn one_of_five_changes_is_reverted() {
     let (before, after) = (drained(&[10]), drained(&[10, 20]));
     let all = drained(&[10, 20, 30, 40, 50]);
     let rest = text(revert(before.as_bytes(), after.as_bytes(), all.as_bytes()));
@@ -54,10 +54,10 @@
 }
 
 #[test]
-fn of_members_added_in_turn_the_first_is_taken_out_and_the_second_stays() {
+fn of_two_added_members_the_first_is_reverted_and_the_second_stays() {
     let (none, one, two) = (added(&[]), added(&["s-a"]), added(&["s-a", "s-b"]));
     assert_eq!(text(revert(none.as_bytes(), one.as_bytes(), two.as_bytes())), added(&["s-b"]));
-    // So is the second laid alone on what is proven.
+    // The second one is also merged alone into the proven content.
     assert_eq!(text(merge(one.as_bytes(), none.as_bytes(), two.as_bytes())), added(&["s-b"]));
 }
 
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn a_change_that_builds_on_another_is_told_with_its_lines() {
+fn a_conflict_names_the_lines() {
     let (base, one) = (drained(&[]), drained(&[3]));
     let two = one.replace("draining", "out");
     let conflict = revert(base.as_bytes(), one.as_bytes(), two.as_bytes()).unwrap_err();
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn lines_of_one_block_that_adjoin_are_one_place() {
+fn adjacent_lines_of_one_block_conflict() {
     let base = drained(&[]);
     let member = "member \"s-00010000\" {\n  incarnation = 1\n  number = 1";
     let one = base.replace(member, "member \"s-00010000\" {\n  incarnation = 2\n  number = 1");
@@ -100,31 +100,32 @@
 }
 
 #[test]
-fn two_different_members_added_at_one_place_are_a_conflict_and_the_same_one_twice_is_not() {
+fn different_members_added_at_one_position_conflict_and_equal_ones_do_not() {
     let (base, one, two) = (added(&[]), added(&["s-a"]), added(&["s-b"]));
     assert!(merge(base.as_bytes(), one.as_bytes(), two.as_bytes()).is_err());
     assert_eq!(text(merge(base.as_bytes(), one.as_bytes(), one.as_bytes())), one);
 }
 
 #[test]
-fn ends_without_a_line_feed_and_other_bytes_survive() {
+fn a_missing_final_line_feed_and_arbitrary_bytes_are_preserved() {
     assert_eq!(merge(b"a\nb\nc", b"A\nb\nc", b"a\nb\nc\r\n").unwrap(), b"A\nb\nc\r\n");
     assert_eq!(merge(b"", b"\xff\x00", b"").unwrap(), b"\xff\x00");
     assert_eq!(merge(b"\xff\n\n\xfe\n", b"\xff\n\n", b"x\n\xff\n\n\xfe\n").unwrap(), b"x\n\xff\n\n");
 }
 
-/// A megabyte of lines, of so many kinds; of kind 0 all differ.
+/// A megabyte of lines with this many distinct ones; 0: all differ.
 fn hostile(seed: u64, kinds: u64) -> Vec<u8> {
     let mut rng = fastrand::Rng::with_seed(seed);
-    let mut out = Vec::with_capacity(1 << 20);
-    while out.len() < 1 << 20 {
+    let mut content = Vec::with_capacity(1 << 20);
+    while content.len() < 1 << 20 {
         let line = if kinds > 0 { rng.u64(..kinds) } else { rng.u64(..) };
-        out.extend_from_slice(format!("{line}\n").as_bytes());
+        content.extend_from_slice(format!("{line}\n").as_bytes());
     }
-    out
+    content
 }
 
-/// The bound on lines compared holds whatever the machine; without it, two of these take many minutes.
+/// The limit on compared lines bounds the time on any machine; without it, two of these cases take many
+/// minutes.
 #[test]
 fn hostile_contents_of_a_megabyte_take_a_bounded_time() {
     let start = Instant::now();
@@ -137,13 +138,13 @@
 }
 
 #[test]
-fn a_hierarchy_of_many_thousand_members_merges_though_its_first_and_last_change() {
-    let many = |first: &str, last: &str| {
+fn a_hierarchy_of_thousands_of_members_merges_changes_of_its_first_and_last() {
+    let hierarchy = |first: &str, last: &str| {
         let mut standings = vec!["in_service"; 8_000];
         (standings[0], standings[7_999]) = (first, last);
         members(&standings)
     };
-    let (base, one) = (many("in_service", "in_service"), many("draining", "draining"));
+    let (base, one) = (hierarchy("in_service", "in_service"), hierarchy("draining", "draining"));
     let two = base.replace("number = 1\n  tier = 2", "number = 2\n  tier = 2");
     let merged = text(merge(base.as_bytes(), one.as_bytes(), two.as_bytes()));
     assert_eq!(merged, one.replace("number = 1\n  tier = 2", "number = 2\n  tier = 2"));
@@ -170,12 +171,12 @@
     }
 
     #[test]
-    fn the_last_change_taken_out_gives_the_content_before(before in contents(), after in contents()) {
+    fn reverting_the_last_change_gives_the_content_before(before in contents(), after in contents()) {
         prop_assert_eq!(revert(&before, &after, &after).unwrap(), before);
     }
 
     #[test]
-    fn changes_commute_and_conflicts_are_told_to_both(base in contents(), one in contents(), two in contents()) {
+    fn merges_are_symmetric(base in contents(), one in contents(), two in contents()) {
         match (merge(&base, &one, &two), merge(&base, &two, &one)) {
             (Ok(a), Ok(b)) => prop_assert_eq!(a, b),
             (Err(a), Err(b)) => prop_assert_eq!(a.lines, b.lines),
@@ -184,7 +185,7 @@
     }
 
     #[test]
-    fn independent_changes_come_in_and_go_out_in_any_order(
+    fn independent_changes_can_be_merged_and_reverted_in_any_order(
         one in proptest::collection::btree_set(0..MEMBERS / 2, 1..4),
         two in proptest::collection::btree_set(MEMBERS / 2..MEMBERS, 1..4),
     ) {
@@ -197,7 +198,7 @@
     }
 
     #[test]
-    fn whatever_the_bytes_it_ends(
+    fn arbitrary_bytes_are_handled(
         base in proptest::collection::vec(any::<u8>(), 0..200),
         one in proptest::collection::vec(any::<u8>(), 0..200),
         two in proptest::collection::vec(any::<u8>(), 0..200),
--- a/crates/versions/tests/small_trial/mod.rs
+++ b/crates/versions/tests/small_trial/mod.rs
@@ -1,7 +1,7 @@
-//! Four fronts and a service, for the model check of overlapping rollouts: what a round is, what may befall them, and how
-//! it is to be once quiet.
+//! Four fronts and a service for the model check of overlapping rollouts: rounds, faults, and the expected
+//! final state.
 
-mod play;
+mod steps;
 
 use std::collections::{BTreeSet, VecDeque};
 use std::hash::{Hash, Hasher};
@@ -15,15 +15,15 @@
 const START: u64 = 17_000_000_000_000;
 const FRONTS: usize = 4;
 const ROUND: u64 = 5_000;
-/// Accesses a round: as many as there may be, so that two rounds are evidence enough.
-const ASKED: u64 = 400_000;
-/// Rounds until it is quiet, at most: five minutes.
-const MOST_ROUNDS: usize = 600;
+/// Accesses of a front per round: the plausible maximum, so that two rounds are enough evidence.
+const ACCESSES_PER_ROUND: u64 = 400_000;
+/// Maximum number of rounds until the world is quiet: five minutes.
+const MAX_ROUNDS: usize = 600;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Fault {
     Kill(usize),
-    Cut(usize),
+    Disconnect(usize),
     Service,
     ServiceOnOlderStore,
     ServiceWithoutStore,
@@ -34,23 +34,23 @@
     Round,
     Publish,
     RollBack,
-    Befalls(Fault),
-    /// What is on its way to one front reaches it, and its answers the service.
+    Fault(Fault),
+    /// Delivers the messages in flight to one front, and its replies to the service.
     Deliver(usize),
 }
 
-/// What is made wrong on purpose.
+/// A bug that is injected to prove that the check detects it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Plant {
+pub enum Bug {
     None,
-    DeafAfterWithdrawal,
+    DropsOffersAfterRemoval,
     ConfirmsWithoutRunning,
-    GoesBack,
+    RunsLowerNumber,
     HidesHarm,
 }
 
 #[derive(Clone, Copy, Debug)]
-pub struct Left {
+pub struct Budget {
     pub rounds: u8,
     pub faults: u8,
     pub roll_backs: u8,
@@ -60,34 +60,34 @@
 pub struct Small {
     pub publications: &'static [&'static str],
     pub faults: &'static [Fault],
-    pub left: Left,
-    pub plant: Plant,
+    pub budget: Budget,
+    pub bug: Bug,
 }
 
 #[derive(Clone, Debug)]
 pub struct Host {
     front: Option<Front>,
     conn: Option<u64>,
-    wants: bool,
-    wakes: Option<u64>,
-    good: Option<(VersionId, Seal, front::Content)>,
+    wants_connection: bool,
+    timer_at: Option<u64>,
+    last_good: Option<(VersionId, Seal, front::Content)>,
     staged: Option<(VersionId, u32)>,
-    /// What its accesses are answered by, whatever it says.
+    /// The content that its accesses are answered with, whatever it reports.
     content: Option<front::Content>,
     pub to_front: VecDeque<ToFront>,
     to_service: VecDeque<ToService>,
-    refused: BTreeSet<[u8; 32]>,
+    rejected: BTreeSet<[u8; 32]>,
     highest: (u64, u64),
     counts: (u64, u64),
     reports: bool,
 }
 
-/// What people were told, and of a change: its number and the line that it wrote.
+/// Changes that were published (number, and the line that each wrote), reported in force and removed.
 #[derive(Clone, Debug, Default)]
-pub struct Told {
+pub struct Reported {
     published: Vec<(u64, String)>,
     in_force: Vec<u64>,
-    taken_out: Vec<u64>,
+    removed: Vec<u64>,
 }
 
 #[derive(Clone, Debug)]
@@ -95,20 +95,20 @@
     now: u64,
     pub hosts: Vec<Host>,
     pub service: Option<Service>,
-    service_wakes: Option<u64>,
+    service_timer_at: Option<u64>,
     next_conn: u64,
     disk: StoredState,
-    older: StoredState,
-    plant: Plant,
-    pub left: Left,
-    /// How many were published.
-    pub next: usize,
-    pub told: Told,
+    older_disk: StoredState,
+    bug: Bug,
+    pub budget: Budget,
+    /// Number of changes published so far.
+    pub published_count: usize,
+    pub reported: Reported,
     store_lost: bool,
-    /// Nothing was published since a service lost its store whole: it has nothing to give until somebody publishes.
+    /// Set while a service that lost its whole store has nothing to offer, until the next publication.
     empty: bool,
     rolled_back: bool,
-    pub broken: Option<String>,
+    pub violation: Option<String>,
     pub verdict: Option<Result<(), String>>,
 }
 
@@ -142,19 +142,19 @@
 }
 
 impl World {
-    /// All fronts are known by their long run, and a first content is everyone's.
-    pub fn settled(plant: Plant, left: Left) -> World {
+    /// All fronts have a baseline, and a first content is in force.
+    pub fn settled(bug: Bug, budget: Budget) -> World {
         let host = Host {
             front: None,
             conn: None,
-            wants: false,
-            wakes: None,
-            good: None,
+            wants_connection: false,
+            timer_at: None,
+            last_good: None,
             staged: None,
             content: None,
             to_front: VecDeque::new(),
             to_service: VecDeque::new(),
-            refused: BTreeSet::new(),
+            rejected: BTreeSet::new(),
             highest: (0, 0),
             counts: (0, 0),
             reports: false,
@@ -163,18 +163,18 @@
             now: START,
             hosts: vec![host; FRONTS],
             service: None,
-            service_wakes: None,
+            service_timer_at: None,
             next_conn: 1,
             disk: StoredState::default(),
-            older: StoredState::default(),
-            plant: Plant::None,
-            left,
-            next: 0,
-            told: Told::default(),
+            older_disk: StoredState::default(),
+            bug: Bug::None,
+            budget,
+            published_count: 0,
+            reported: Reported::default(),
             store_lost: false,
             empty: false,
             rolled_back: false,
-            broken: None,
+            violation: None,
             verdict: None,
         };
         w.start_service();
@@ -184,9 +184,9 @@
         for _ in 0..140 {
             w.round();
         }
-        assert_eq!(w.told.in_force.len(), 1, "the first is in force: {:?}", w.told);
-        w.older = w.disk.clone();
-        w.plant = plant;
+        assert_eq!(w.reported.in_force.len(), 1, "the first is in force: {:?}", w.reported);
+        w.older_disk = w.disk.clone();
+        w.bug = bug;
         w
     }
 
@@ -198,104 +198,106 @@
             recovery_delay: 20_000,
             ..Rules::default()
         };
-        let mut out = Vec::new();
-        self.service = Some(Service::start(self.now, rules, keys(), self.disk.clone(), &mut out));
-        self.of_service(out);
+        let mut effects = Vec::new();
+        self.service = Some(Service::start(self.now, rules, keys(), self.disk.clone(), &mut effects));
+        self.execute_service_effects(effects);
     }
 
     fn start_front(&mut self, n: usize) {
         let host = &self.hosts[n];
-        let found = front::StoredState { last_good: host.good.clone(), staged: host.staged };
-        let content = found.last_good.as_ref().map(|g| g.2.clone());
-        let may = content.as_ref().map_or(Ok(()), |c| usable(c));
+        let stored = front::StoredState { last_good: host.last_good.clone(), staged: host.staged };
+        let content = stored.last_good.as_ref().map(|g| g.2.clone());
+        let check = content.as_ref().map_or(Ok(()), |c| usable(c));
         let (name, station) = (format!("front-{n}"), format!("station-{}", n % 2));
-        let mut out = Vec::new();
-        let front = Front::start(self.now, n as u64, (&name, &station), keys(), found, may, &mut out);
+        let mut effects = Vec::new();
+        let front = Front::start(self.now, n as u64, (&name, &station), keys(), stored, check, &mut effects);
         let host = &mut self.hosts[n];
         (host.front, host.content, host.counts) = (Some(front), content, (0, 0));
-        self.of_front(n, out);
+        self.execute_front_effects(n, effects);
     }
 
-    fn breaks(&mut self, why: &str) {
-        self.broken.get_or_insert_with(|| why.to_owned());
+    fn fail(&mut self, reason: &str) {
+        self.violation.get_or_insert_with(|| reason.to_owned());
     }
 
-    // ---- what the machines want done; a front's shell does it at once
+    // ---- effects; those of a front are executed at once
 
-    fn of_front(&mut self, n: usize, out: Vec<front::Effect>) {
-        let mut todo = VecDeque::from(out);
-        while let Some(each) = todo.pop_front() {
+    fn execute_front_effects(&mut self, n: usize, effects: Vec<front::Effect>) {
+        let mut pending = VecDeque::from(effects);
+        while let Some(effect) = pending.pop_front() {
             let (now, mut more) = (self.now, Vec::new());
             let host = &mut self.hosts[n];
-            match each {
-                front::Effect::Connect => host.wants = true,
-                front::Effect::Close => self.cut(n, false),
+            match effect {
+                front::Effect::Connect => host.wants_connection = true,
+                front::Effect::Close => self.disconnect(n, false),
                 front::Effect::Send(message) => {
                     if let ToService::Rejected { id, .. } = &message {
-                        host.refused.insert(id.hash);
+                        host.rejected.insert(id.hash);
                     }
                     if host.conn.is_some() {
                         host.to_service.push_back(message);
                     }
                 }
-                front::Effect::SetTimer(at) => host.wakes = Some(host.wakes.map_or(at, |w| w.min(at))),
+                front::Effect::SetTimer(at) => {
+                    host.timer_at = Some(host.timer_at.map_or(at, |timer| timer.min(at)))
+                }
                 front::Effect::Unstage => host.staged = None,
                 front::Effect::Log(_) => {}
-                front::Effect::SetReportInterval { interval: every } => host.reports = every.is_some(),
+                front::Effect::SetReportInterval { interval } => host.reports = interval.is_some(),
                 front::Effect::Check(id, content) => {
                     let result = usable(&content);
                     if let Some(front) = &mut host.front {
                         front.on_checked(now, id, result, &mut more);
                     }
                 }
-                front::Effect::Stage { id, crashes: falls } => {
-                    host.staged = Some((id, falls));
+                front::Effect::Stage { id, crashes } => {
+                    host.staged = Some((id, crashes));
                     if let Some(front) = &mut host.front {
                         front.on_staged(now, id, &mut more);
                     }
                 }
                 front::Effect::Apply(id, content) => {
-                    let only_says_so = self.plant == Plant::ConfirmsWithoutRunning && n == 0;
-                    if !only_says_so {
+                    let only_confirms = self.bug == Bug::ConfirmsWithoutRunning && n == 0;
+                    if !only_confirms {
                         host.content = Some(content);
                     }
                     if let Some(front) = &mut host.front {
                         front.on_applied(now, id, Ok(()), &mut more);
                     }
-                    let (lower, refused) = (id.position() < host.highest, host.refused.contains(&id.hash));
+                    let (lower, rejected) = (id.position() < host.highest, host.rejected.contains(&id.hash));
                     host.highest = host.highest.max(id.position());
                     if lower {
-                        self.breaks("it went to a lower number");
+                        self.fail("it went to a lower number");
                     }
-                    if refused {
-                        self.breaks("it starts on what it turned down");
+                    if rejected {
+                        self.fail("it applies a content that it rejected");
                     }
                 }
                 front::Effect::Store(id, seal, content) => {
-                    (host.good, host.staged) = (Some((id, seal, content)), None);
+                    (host.last_good, host.staged) = (Some((id, seal, content)), None);
                     if let Some(front) = &mut host.front {
                         front.on_stored(now, id, true, &mut more);
                     }
                 }
             }
-            todo.extend(more);
+            pending.extend(more);
         }
     }
 
-    fn of_service(&mut self, out: Vec<service::Effect>) {
-        for each in out {
-            match each {
+    fn execute_service_effects(&mut self, effects: Vec<service::Effect>) {
+        for effect in effects {
+            match effect {
                 service::Effect::Send(conn, message) => {
                     let Some(n) = self.hosts.iter().position(|h| h.conn == Some(conn)) else { continue };
-                    let withdrawn = !self.told.taken_out.is_empty();
+                    let removal = !self.reported.removed.is_empty();
                     let offer = matches!(message, ToFront::Offer { .. });
-                    if !(self.plant == Plant::DeafAfterWithdrawal && withdrawn && offer) {
+                    if !(self.bug == Bug::DropsOffersAfterRemoval && removal && offer) {
                         self.hosts[n].to_front.push_back(message);
                     }
                 }
                 service::Effect::Close(conn) => {
                     if let Some(n) = self.hosts.iter().position(|h| h.conn == Some(conn)) {
-                        self.cut(n, true);
+                        self.disconnect(n, true);
                     }
                 }
                 service::Effect::Store(version) => {
@@ -309,11 +311,11 @@
                 service::Effect::StoreTrials(trials) => self.disk.trials = Some(trials),
                 service::Effect::Delete(id) => self.disk.versions.retain(|v| v.id != id),
                 service::Effect::SetTimer(at) => {
-                    self.service_wakes = Some(self.service_wakes.map_or(at, |w| w.min(at)));
+                    self.service_timer_at = Some(self.service_timer_at.map_or(at, |timer| timer.min(at)));
                 }
                 service::Effect::Log(LogEvent::InForce(id)) => self.in_force(id),
                 service::Effect::Log(LogEvent::ChangeRemoved { change, .. }) => {
-                    self.told.taken_out.push(change)
+                    self.reported.removed.push(change)
                 }
                 service::Effect::Log(_) => {}
             }
@@ -321,33 +323,34 @@
     }
 
     fn in_force(&mut self, id: VersionId) {
-        self.told.in_force.push(id.number);
+        self.reported.in_force.push(id.number);
         let Some(token) = self.token(id.number) else { return };
         let lacks = |h: &Host| h.conn.is_some() && !h.content.as_ref().is_some_and(|c| has(c, &token));
         if self.hosts.iter().any(lacks) {
-            self.breaks("told in force while a connected front lacks it");
+            self.fail("reported in force while a connected front lacks it");
         }
     }
 
     fn token(&self, number: u64) -> Option<String> {
-        // A service without its store begins anew with its numbers: the latest of that number is meant.
-        self.told.published.iter().rev().find(|p| p.0 == number).map(|p| p.1.clone())
+        // A service without its store starts its numbers over: the latest change with that number is meant.
+        self.reported.published.iter().rev().find(|p| p.0 == number).map(|p| p.1.clone())
     }
 
-    /// The connection ends; `heard`: the front hears of it, or else it is the one who ended it.
-    fn cut(&mut self, n: usize, heard: bool) {
+    /// Closes a connection. `front_notices`: the front is notified; otherwise it closed the connection
+    /// itself.
+    fn disconnect(&mut self, n: usize, front_notices: bool) {
         let now = self.now;
         let host = &mut self.hosts[n];
         let Some(conn) = host.conn.take() else { return };
         (host.to_front, host.to_service) = Default::default();
-        let (mut out, mut of_service) = (Vec::new(), Vec::new());
-        if let Some(front) = host.front.as_mut().filter(|_| heard) {
-            front.on_disconnected(now, &mut out);
+        let (mut effects, mut service_effects) = (Vec::new(), Vec::new());
+        if let Some(front) = host.front.as_mut().filter(|_| front_notices) {
+            front.on_disconnected(now, &mut effects);
         }
         if let Some(service) = &mut self.service {
-            service.on_disconnected(now, conn, &mut of_service);
+            service.on_disconnected(now, conn, &mut service_effects);
         }
-        self.of_service(of_service);
-        self.of_front(n, out);
+        self.execute_service_effects(service_effects);
+        self.execute_front_effects(n, effects);
     }
 }
--- a/crates/versions/tests/trial_model.rs
+++ b/crates/versions/tests/trial_model.rs
@@ -1,12 +1,12 @@
-//! Overlapping rollouts judged by evidence, in every order of a small installation: publications of which one may do harm
-//! or be turned down, a rollback, fronts that die or are cut off, a service that dies and comes back with its store,
-//! an older copy of it, or none. A step is a round (everything delivered, half a second of accesses reported) or
-//! something that comes between two rounds. From each state in which nothing more befalls it, it is played on until it is
-//! quiet, and must then be as it is to be.
+//! Checks overlapping rollouts judged by evidence in every order of events of a small installation:
+//! publications of which one may be harmful or rejected, a rollback, fronts that die or are disconnected, and
+//! a service that dies and restarts with its store, an older copy of it, or none. A step is a round (all
+//! messages are delivered, half a second of accesses is reported) or an event between two rounds. From each
+//! state without further faults the world is run until it is quiet, and its final state is checked.
 
 mod small_trial;
 
-use small_trial::{Fault, Left, Plant, Small, Step, World};
+use small_trial::{Budget, Bug, Fault, Small, Step, World};
 use stateright::{Checker, Model, Property};
 
 impl Model for Small {
@@ -14,27 +14,27 @@
     type Action = Step;
 
     fn init_states(&self) -> Vec<World> {
-        vec![World::settled(self.plant, self.left)]
+        vec![World::settled(self.bug, self.budget)]
     }
 
     fn actions(&self, w: &World, steps: &mut Vec<Step>) {
-        if w.broken.is_some() {
+        if w.violation.is_some() {
             return;
         }
-        if w.left.rounds > 0 {
+        if w.budget.rounds > 0 {
             steps.push(Step::Round);
         }
-        if w.next < self.publications.len() && w.service.is_some() {
+        if w.published_count < self.publications.len() && w.service.is_some() {
             steps.push(Step::Publish);
         }
-        if w.left.roll_backs > 0 && w.next > 0 && w.service.is_some() {
+        if w.budget.roll_backs > 0 && w.published_count > 0 && w.service.is_some() {
             steps.push(Step::RollBack);
         }
-        if w.left.faults > 0 {
-            steps.extend(self.faults.iter().map(|fault| Step::Befalls(*fault)));
+        if w.budget.faults > 0 {
+            steps.extend(self.faults.iter().map(|fault| Step::Fault(*fault)));
         }
         let waiting = |n: &usize| !w.hosts[*n].to_front.is_empty();
-        if w.left.deliveries > 0 {
+        if w.budget.deliveries > 0 {
             steps.extend((0..w.hosts.len()).filter(waiting).map(Step::Deliver));
         }
     }
@@ -43,37 +43,37 @@
         let mut w = last.clone();
         match step {
             Step::Round => {
-                w.left.rounds -= 1;
+                w.budget.rounds -= 1;
                 w.round();
             }
-            Step::Publish => w.publish(self.publications[w.next]),
+            Step::Publish => w.publish(self.publications[w.published_count]),
             Step::RollBack => {
-                w.left.roll_backs -= 1;
+                w.budget.roll_backs -= 1;
                 w.roll_back();
             }
-            Step::Befalls(fault) => {
-                w.left.faults -= 1;
-                w.befalls(fault);
+            Step::Fault(fault) => {
+                w.budget.faults -= 1;
+                w.inject(fault);
             }
             Step::Deliver(n) => {
-                w.left.deliveries -= 1;
+                w.budget.deliveries -= 1;
                 w.deliver(n);
             }
         }
-        if w.broken.is_none()
-            && w.left.faults == 0
-            && w.next == self.publications.len()
-            && w.left.roll_backs == 0
+        if w.violation.is_none()
+            && w.budget.faults == 0
+            && w.published_count == self.publications.len()
+            && w.budget.roll_backs == 0
         {
-            w.verdict = w.clone().plays_out();
+            w.verdict = w.clone().run_until_quiet();
         }
         Some(w)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("no rule is broken on the way", |_, w: &World| w.broken.is_none()),
-            Property::always("once quiet it is as it is to be", |_, w: &World| {
+            Property::always("no invariant is violated on the way", |_, w: &World| w.violation.is_none()),
+            Property::always("the final state is as expected", |_, w: &World| {
                 !matches!(w.verdict, Some(Err(_)))
             }),
             Property::sometimes("it becomes quiet", |_, w: &World| matches!(w.verdict, Some(Ok(())))),
@@ -81,100 +81,103 @@
     }
 }
 
-const NONE: Left = Left { rounds: 6, faults: 0, roll_backs: 0, deliveries: 0 };
+const NONE: Budget = Budget { rounds: 6, faults: 0, roll_backs: 0, deliveries: 0 };
 
-fn small(publications: &'static [&'static str], faults: &'static [Fault], left: Left) -> Small {
-    Small { publications, faults, left, plant: Plant::None }
+fn small(publications: &'static [&'static str], faults: &'static [Fault], budget: Budget) -> Small {
+    Small { publications, faults, budget, bug: Bug::None }
 }
 
-/// Searches all of it; how many states there were.
+/// Searches all states and returns their number.
 fn search(small: Small) -> usize {
     let checked = small.checker().threads(2).spawn_bfs().join();
     for (name, path) in checked.discoveries() {
         if name != "it becomes quiet" {
             let last = path.last_state();
             let steps = path.clone().into_actions();
-            panic!("{name}: {:?} {:?} after {steps:?}; told {:?}", last.broken, last.verdict, last.told);
+            panic!(
+                "{name}: {:?} {:?} after {steps:?}; reported {:?}",
+                last.violation, last.verdict, last.reported
+            );
         }
     }
     checked.assert_properties();
     checked.unique_state_count()
 }
 
-/// Searches until what was planted is found; says what it was found by.
-fn found(plant: Plant, publications: &'static [&'static str]) -> String {
-    let small = Small { plant, ..small(publications, &[], NONE) };
+/// Searches until the injected bug is detected and returns the violation.
+fn violation_with(bug: Bug, publications: &'static [&'static str]) -> String {
+    let small = Small { bug, ..small(publications, &[], NONE) };
     let checked = small.checker().threads(2).spawn_bfs().join();
     let found = checked.discoveries();
     let path = found.iter().find(|d| *d.0 != "it becomes quiet").map(|d| d.1.last_state());
-    path.map_or_else(String::new, |w| format!("{:?} {:?}", w.broken, w.verdict))
+    path.map_or_else(String::new, |w| format!("{:?} {:?}", w.violation, w.verdict))
 }
 
-fn states(count: usize, least: usize) {
+fn report_states(count: usize, min: usize) {
     use std::io::Write;
     let _ = writeln!(std::io::stderr(), "{count} states");
-    assert!(count >= least, "{count} states: the search has become small");
+    assert!(count >= min, "{count} states: the search has become small");
 }
 
 #[test]
 fn two_overlapping_rollouts_one_of_them_harmful() {
-    states(search(small(&["harm", "good"], &[], NONE)), 20);
-    states(search(small(&["good", "harm"], &[], NONE)), 20);
+    report_states(search(small(&["harm", "good"], &[], NONE)), 20);
+    report_states(search(small(&["good", "harm"], &[], NONE)), 20);
 }
 
 #[test]
 fn two_overlapping_rollouts_and_a_rollback() {
-    states(search(small(&["good", "good"], &[], Left { roll_backs: 1, ..NONE })), 60);
+    report_states(search(small(&["good", "good"], &[], Budget { roll_backs: 1, ..NONE })), 60);
 }
 
 #[test]
-fn a_change_that_is_turned_down_goes_out_alone() {
-    states(search(small(&["refuse", "good"], &[], NONE)), 20);
+fn only_the_rejected_change_is_removed() {
+    report_states(search(small(&["refuse", "good"], &[], NONE)), 20);
 }
 
 #[test]
-fn a_front_that_dies_or_is_cut_off_at_any_step() {
-    let faults = &[Fault::Kill(0), Fault::Kill(2), Fault::Cut(1), Fault::Cut(3)];
-    states(search(small(&["harm", "good"], faults, Left { rounds: 4, faults: 1, ..NONE })), 60);
+fn a_front_that_dies_or_is_disconnected_at_any_step() {
+    let faults = &[Fault::Kill(0), Fault::Kill(2), Fault::Disconnect(1), Fault::Disconnect(3)];
+    report_states(search(small(&["harm", "good"], faults, Budget { rounds: 4, faults: 1, ..NONE })), 60);
 }
 
 #[test]
-fn a_service_that_dies_at_any_step_and_comes_back_with_its_store_or_an_older_one() {
+fn a_service_that_dies_at_any_step_and_restarts_with_its_store_or_an_older_one() {
     let faults = &[Fault::Service, Fault::ServiceOnOlderStore];
-    states(search(small(&["harm", "good"], faults, Left { rounds: 4, faults: 1, ..NONE })), 60);
+    report_states(search(small(&["harm", "good"], faults, Budget { rounds: 4, faults: 1, ..NONE })), 60);
 }
 
 #[test]
-fn a_service_that_comes_back_without_its_store() {
-    let left = Left { rounds: 4, faults: 1, ..NONE };
-    states(search(small(&["good", "good"], &[Fault::ServiceWithoutStore], left)), 30);
+fn a_service_that_restarts_without_its_store() {
+    let budget = Budget { rounds: 4, faults: 1, ..NONE };
+    report_states(search(small(&["good", "good"], &[Fault::ServiceWithoutStore], budget)), 30);
 }
 
 #[test]
 fn messages_that_reach_one_front_before_the_others() {
-    states(search(small(&["harm", "good"], &[], Left { rounds: 4, deliveries: 1, ..NONE })), 40);
+    report_states(search(small(&["harm", "good"], &[], Budget { rounds: 4, deliveries: 1, ..NONE })), 40);
 }
 
 #[test]
-fn planted_a_front_that_hears_of_no_withdrawal_is_found() {
-    let by = found(Plant::DeafAfterWithdrawal, &["harm", "good"]);
-    assert!(by.contains("withdrawn"), "{by}");
+fn a_front_that_gets_no_offer_after_a_removal_is_detected() {
+    let violation = violation_with(Bug::DropsOffersAfterRemoval, &["harm", "good"]);
+    assert!(violation.contains("removed version"), "{violation}");
 }
 
 #[test]
-fn planted_a_front_that_confirms_what_it_does_not_run_is_found() {
-    let by = found(Plant::ConfirmsWithoutRunning, &["good"]);
-    assert!(by.contains("told in force"), "{by}");
+fn a_front_that_confirms_a_version_that_it_does_not_run_is_detected() {
+    let violation = violation_with(Bug::ConfirmsWithoutRunning, &["good"]);
+    assert!(violation.contains("reported in force"), "{violation}");
 }
 
 #[test]
-fn planted_a_front_that_goes_back_to_an_older_version_is_found() {
-    let by = found(Plant::GoesBack, &["good"]);
-    assert!(by.contains("lower number"), "{by}");
+fn a_front_that_applies_an_older_version_is_detected() {
+    let violation = violation_with(Bug::RunsLowerNumber, &["good"]);
+    assert!(violation.contains("lower number"), "{violation}");
 }
 
 #[test]
-fn planted_reports_that_hide_harm_are_found() {
-    let by = found(Plant::HidesHarm, &["harm"]);
-    assert!(by.contains("harmful"), "{by}");
+fn reports_that_hide_harm_are_detected() {
+    let violation = violation_with(Bug::HidesHarm, &["harm"]);
+    assert!(violation.contains("harmful"), "{violation}");
 }
--- a/crates/versions/tests/trial_world/mod.rs
+++ b/crates/versions/tests/trial_world/mod.rs
@@ -1,9 +1,10 @@
-//! Both machines in virtual time, with fronts whose accesses are drawn from a seed and whose share answered depends on the
-//! content that they run; what must never be is checked as it happens.
+//! Simulates fronts and a service in virtual time. Accesses are drawn from a seed, and the share answered
+//! depends on the content that a front runs. Invariants are checked as events happen.
 //!
-//! A content is lines `member N = ...`; a change writes one of them. In a line: `cK;` says which change wrote it,
-//! `harm=0.1` takes that share of the answers away, `pair` does where two lines have it, `later=0.1` does ten seconds after the
-//! front took it, `refuse` is turned down, `fatal` brings the front down.
+//! A content consists of lines `member N = ...`; a change writes one of them. In a line, `cK;` tells which
+//! change wrote it, `harm=0.1` reduces the answered share by that much, `pair` does so if two lines have it,
+//! `later=0.1` does so ten seconds after the front applied it, `refuse` is rejected, and `fatal` crashes the
+//! front.
 #![allow(dead_code)]
 
 use std::cmp::Reverse;
@@ -22,8 +23,8 @@
 
 pub const SECOND: u64 = 10_000;
 pub const START: u64 = 17_000_000_000_000;
-/// Within this time after a withdrawal no connected front runs what was withdrawn.
-pub const BOUND: u64 = 5 * SECOND;
+/// A removed change must not run on any connected front after this time.
+pub const REMOVAL_DEADLINE: u64 = 5 * SECOND;
 const LINES: usize = 250;
 
 pub fn keys() -> Keys {
@@ -34,95 +35,95 @@
 enum Event {
     ToService(u64, ToService),
     ToFront(usize, u64, ToFront),
-    Shell(usize, u32, front::Effect),
-    Up(usize, u32),
-    Refused(usize, u32),
-    Gone(u64),
-    Cut(usize, u64),
-    FrontDue(usize, u32),
-    ServiceDue(u32),
+    Execute(usize, u32, front::Effect),
+    Connected(usize, u32),
+    ConnectFailed(usize, u32),
+    ServiceSeesClose(u64),
+    FrontSeesClose(usize, u64),
+    FrontTimer(usize, u32),
+    ServiceTimer(u32),
     Restart(usize),
     Report(usize, u32, u32),
-    Heal(usize),
+    ConnectivityRestored(usize),
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Effects {
+struct Behavior {
     harm: f64,
-    later: f64,
+    delayed_harm: f64,
     refuse: bool,
     fatal: bool,
 }
 
-/// A front with its shell, its store and its accesses.
+/// A front with its store, its connection and its accesses.
 pub struct Host {
     pub front: Option<Front>,
-    life: u32,
+    incarnation: u32,
     pub conn: Option<u64>,
-    /// Since when the service has it connected.
-    pub since: u64,
-    good: Option<(VersionId, Seal, front::Content)>,
+    /// Since when the service considers it connected.
+    pub connected_since: u64,
+    last_good: Option<(VersionId, Seal, front::Content)>,
     staged: Option<(VersionId, u32)>,
-    effects: Effects,
-    took: u64,
+    behavior: Behavior,
+    applied_at: u64,
     pub content: Option<Arc<[u8]>>,
     share: f64,
     rate: f64,
     latency: u64,
-    asked: u64,
+    accesses: u64,
     answered: u64,
-    counted: u64,
-    /// Its timer for reports: only the last one counts.
+    counted_until: u64,
+    /// Number of its current report timer; earlier ones are ignored.
     timer: u32,
-    every: Option<u64>,
-    /// Versions that it took into use.
+    report_interval: Option<u64>,
+    /// Number of versions applied.
     pub applied: u64,
-    /// It neither reads nor writes nor serves.
-    pub stopped: bool,
-    held: Vec<Event>,
-    /// Multiplies what it says it has answered.
-    pub lies: Option<f64>,
-    /// Says everything twice, and now and then late or not at all.
-    pub unruly: bool,
-    /// Connections can't be made.
-    pub cut_off: bool,
-    last_sent: u64,
-    last_heard: u64,
+    /// A paused process neither reads, writes nor serves.
+    pub paused: bool,
+    held_events: Vec<Event>,
+    /// Factor applied to the answered accesses that it reports.
+    pub misreports: Option<f64>,
+    /// Whether its reports are sometimes lost, duplicated or delayed.
+    pub unreliable: bool,
+    /// Whether connecting fails.
+    pub unreachable: bool,
+    last_send_arrival: u64,
+    last_receive_arrival: u64,
 }
 
 pub struct World {
     pub now: u64,
     pub rng: Rng,
     events: BinaryHeap<Reverse<(u64, u64)>>,
-    what: BTreeMap<u64, Event>,
+    queued: BTreeMap<u64, Event>,
     count: u64,
     pub hosts: Vec<Host>,
     pub service: Option<Service>,
-    service_life: u32,
-    pub found: StoredState,
+    service_incarnation: u32,
+    pub disk: StoredState,
     pub rules: Rules,
     next_conn: u64,
     conns: BTreeMap<u64, usize>,
-    pub lines: Vec<(u64, LogEvent)>,
-    /// All accesses of all fronts lose this share of answers.
-    pub storm: f64,
-    /// By the number of a change: when it was published, and its token.
+    pub log: Vec<(u64, LogEvent)>,
+    /// Share of answers that all fronts lose.
+    pub overload: f64,
+    /// Time of publication and token by change number.
     pub published: BTreeMap<u64, (u64, String)>,
     pub in_force: BTreeMap<u64, u64>,
-    pub taken_out: BTreeMap<u64, (u64, RemovalReason)>,
+    pub removed: BTreeMap<u64, (u64, RemovalReason)>,
     /// The fronts that ever ran a change, by its token.
     pub reach: BTreeMap<String, BTreeSet<usize>>,
-    /// Of a token: whose reach is looked at.
-    watched: Vec<String>,
-    edits: u64,
-    /// Services that were started anew.
+    /// Tokens whose reach is recorded.
+    tracked_tokens: Vec<String>,
+    changes_made: u64,
+    /// Number of service restarts.
     pub epochs: u64,
-    /// Kill the service at that many stored states from now.
-    pub dies_at: Option<u32>,
+    /// Kills the service when this number of states has been stored.
+    pub dies_at_store: Option<u32>,
     pub stores: u32,
-    checked: u64,
-    /// Effects of contents, by their hashes.
-    known: BTreeMap<[u8; 32], Effects>,
+    last_check: u64,
+    /// Behavior of contents by hash.
+    behaviors: BTreeMap<[u8; 32], Behavior>,
     tokens: BTreeMap<[u8; 32], Vec<usize>>,
 }
 
@@ -135,89 +136,89 @@
     }
 }
 
-fn effects(content: &[u8]) -> Effects {
+fn behavior(content: &[u8]) -> Behavior {
     let text = String::from_utf8_lossy(content);
     let value = |key: &str| -> f64 {
         text.split(key).skip(1).filter_map(|rest| rest.split([' ', '\n']).next()?.parse::<f64>().ok()).sum()
     };
     let pairs = text.matches("pair").count();
-    Effects {
+    Behavior {
         harm: value("harm=") + if pairs >= 2 { 0.1 } else { 0.0 },
-        later: value("later="),
+        delayed_harm: value("later="),
         refuse: text.contains("refuse"),
         fatal: text.contains("fatal"),
     }
 }
 
-/// A number of answers, nearly as a binomial distribution gives it.
-fn drawn(rng: &mut Rng, of: u64, share: f64) -> u64 {
+/// Samples a binomial distribution, approximately.
+fn sample_binomial(rng: &mut Rng, count: u64, share: f64) -> u64 {
     let share = share.clamp(0.0, 1.0);
-    if of < 40 {
-        return (0..of).filter(|_| rng.f64() < share).count() as u64;
+    if count < 40 {
+        return (0..count).filter(|_| rng.f64() < share).count() as u64;
     }
     let normal = (-2.0 * rng.f64().max(1e-12).ln()).sqrt() * (std::f64::consts::TAU * rng.f64()).cos();
-    let n = of as f64;
+    let n = count as f64;
     (n * share + normal * (n * share * (1.0 - share)).sqrt()).round().clamp(0.0, n) as u64
 }
 
 impl World {
-    /// With fronts at a tenth as many stations, 930 accesses a second each, and round trips of 10 to 150 ms.
+    /// Fronts at a tenth as many stations, with 930 accesses per second each and round trips of 10 to 150 ms.
     pub fn new(seed: u64, fronts: usize, rules: Rules) -> World {
         let mut rng = Rng::with_seed(seed);
         let host = |rng: &mut Rng| Host {
             front: None,
-            life: 0,
+            incarnation: 0,
             conn: None,
-            since: 0,
-            good: None,
+            connected_since: 0,
+            last_good: None,
             staged: None,
-            effects: Effects::default(),
-            took: 0,
+            behavior: Behavior::default(),
+            applied_at: 0,
             content: None,
             share: 0.97 + 0.02 * rng.f64(),
             rate: 930.0,
             latency: 50 + rng.u64(0..700),
-            asked: 0,
+            accesses: 0,
             answered: 0,
-            counted: START,
+            counted_until: START,
             timer: 0,
-            every: None,
+            report_interval: None,
             applied: 0,
-            stopped: false,
-            held: Vec::new(),
-            lies: None,
-            unruly: false,
-            cut_off: false,
-            last_sent: 0,
-            last_heard: 0,
+            paused: false,
+            held_events: Vec::new(),
+            misreports: None,
+            unreliable: false,
+            unreachable: false,
+            last_send_arrival: 0,
+            last_receive_arrival: 0,
         };
         let hosts = (0..fronts).map(|_| host(&mut rng)).collect();
         let mut world = World {
             now: START,
             rng,
             events: BinaryHeap::new(),
-            what: BTreeMap::new(),
+            queued: BTreeMap::new(),
             count: 0,
             hosts,
             service: None,
-            service_life: 0,
-            found: StoredState::default(),
+            service_incarnation: 0,
+            disk: StoredState::default(),
             rules,
             next_conn: 0,
             conns: BTreeMap::new(),
-            lines: Vec::new(),
-            storm: 0.0,
+            log: Vec::new(),
+            overload: 0.0,
             published: BTreeMap::new(),
             in_force: BTreeMap::new(),
-            taken_out: BTreeMap::new(),
+            removed: BTreeMap::new(),
             reach: BTreeMap::new(),
-            watched: Vec::new(),
-            edits: 0,
+            tracked_tokens: Vec::new(),
+            changes_made: 0,
             epochs: 0,
-            dies_at: None,
+            dies_at_store: None,
             stores: 0,
-            checked: START,
-            known: BTreeMap::new(),
+            last_check: START,
+            behaviors: BTreeMap::new(),
             tokens: BTreeMap::new(),
         };
         world.start_service();
@@ -225,16 +226,16 @@
         world
     }
 
-    /// One where a first content is everyone's, known, and each front has a long run.
+    /// A world in which a first content is in force and each front has a baseline.
     pub fn settled(seed: u64, fronts: usize, rules: Rules) -> World {
         let mut world = World::new(seed, fronts, rules);
-        // Each is known by its long run before anything is tried.
-        world.pass(40 * SECOND);
+        // Gives each front a baseline before anything is tried.
+        world.advance(40 * SECOND);
         let first: String = (0..LINES).map(|n| format!("member {n} = 0\n")).collect();
         let first = format!("{first}end c0;\n");
         let id = world.publish_content(&first, "c0;", 0).expect("the first is published");
-        world.pass(40 * SECOND);
-        assert!(world.in_force.contains_key(&id.number), "{:?}", world.lines.last());
+        world.advance(40 * SECOND);
+        assert!(world.in_force.contains_key(&id.number), "{:?}", world.log.last());
         world
     }
 
@@ -245,218 +246,225 @@
         }
     }
 
-    fn at(&mut self, after: u64, event: Event) {
+    fn schedule(&mut self, delay: u64, event: Event) {
         self.count += 1;
-        self.events.push(Reverse((self.now + after, self.count)));
-        self.what.insert(self.count, event);
+        self.events.push(Reverse((self.now + delay, self.count)));
+        self.queued.insert(self.count, event);
     }
 
-    // ---- starts, ends
+    // ---- starts and ends of processes
 
     pub fn start_service(&mut self) {
-        let mut out = Vec::new();
-        self.service_life += 1;
-        let found = self.found.clone();
-        self.service = Some(Service::start(self.now, self.rules.clone(), keys(), found, &mut out));
-        self.do_service(out);
+        let mut effects = Vec::new();
+        self.service_incarnation += 1;
+        let disk = self.disk.clone();
+        self.service = Some(Service::start(self.now, self.rules.clone(), keys(), disk, &mut effects));
+        self.execute_service_effects(effects);
     }
 
     pub fn kill_service(&mut self) {
         self.service = None;
         let open: Vec<_> = std::mem::take(&mut self.conns).into_iter().collect();
-        open.into_iter().for_each(|(conn, n)| self.at(100, Event::Cut(n, conn)));
+        open.into_iter().for_each(|(conn, n)| self.schedule(100, Event::FrontSeesClose(n, conn)));
     }
 
     fn start_front(&mut self, n: usize) {
         let host = &mut self.hosts[n];
-        host.life += 1;
-        (host.asked, host.answered, host.counted, host.every) = (0, 0, self.now, None);
-        let found = front::StoredState { last_good: host.good.clone(), staged: host.staged };
-        host.content = found.last_good.as_ref().map(|g| g.2.clone());
-        host.effects = host.content.as_ref().map(|c| effects(c)).unwrap_or_default();
-        host.took = self.now;
-        let (mut out, name) = (Vec::new(), format!("front-{n}"));
-        let seed = n as u64 + 1_000 * u64::from(host.life);
+        host.incarnation += 1;
+        (host.accesses, host.answered, host.counted_until, host.report_interval) = (0, 0, self.now, None);
+        let disk = front::StoredState { last_good: host.last_good.clone(), staged: host.staged };
+        host.content = disk.last_good.as_ref().map(|g| g.2.clone());
+        host.behavior = host.content.as_ref().map(|c| behavior(c)).unwrap_or_default();
+        host.applied_at = self.now;
+        let (mut effects, name) = (Vec::new(), format!("front-{n}"));
+        let seed = n as u64 + 1_000 * u64::from(host.incarnation);
         let station = format!("station-{}", n % (self.hosts.len() / 10).max(3));
-        let front = Front::start(self.now, seed, (&name, &station), keys(), found, Ok(()), &mut out);
+        let front = Front::start(self.now, seed, (&name, &station), keys(), disk, Ok(()), &mut effects);
         self.hosts[n].front = Some(front);
-        self.do_front(n, out);
+        self.execute_front_effects(n, effects);
     }
 
-    pub fn kill_front(&mut self, n: usize, back_after: u64) {
-        self.lose_front(n);
-        self.at(back_after, Event::Restart(n));
+    pub fn kill_front(&mut self, n: usize, restart_after: u64) {
+        self.stop_front_process(n);
+        self.schedule(restart_after, Event::Restart(n));
     }
 
-    fn lose_front(&mut self, n: usize) {
+    fn stop_front_process(&mut self, n: usize) {
         let host = &mut self.hosts[n];
         host.front = None;
-        host.life += 1;
-        host.held.clear();
+        host.incarnation += 1;
+        host.held_events.clear();
         if let Some(conn) = host.conn.take() {
             self.conns.remove(&conn);
-            self.at(100, Event::Gone(conn));
+            self.schedule(100, Event::ServiceSeesClose(conn));
         }
     }
 
-    /// Its connection is lost and can't be made for so long.
-    pub fn cut_front(&mut self, n: usize, heal_after: u64) {
-        self.hosts[n].cut_off = true;
+    /// Closes a front's connection and lets reconnects fail for this time.
+    pub fn disconnect_front(&mut self, n: usize, reconnect_after: u64) {
+        self.hosts[n].unreachable = true;
         if let Some(conn) = self.hosts[n].conn
             && self.conns.remove(&conn).is_some()
         {
-            self.at(50, Event::Gone(conn));
-            self.at(90, Event::Cut(n, conn));
+            self.schedule(50, Event::ServiceSeesClose(conn));
+            self.schedule(90, Event::FrontSeesClose(n, conn));
         }
-        self.at(heal_after, Event::Heal(n));
+        self.schedule(reconnect_after, Event::ConnectivityRestored(n));
     }
 
-    /// As SIGSTOP and SIGCONT: what comes meanwhile waits.
-    pub fn stop_front(&mut self, n: usize) {
+    /// Pauses a front as with SIGSTOP; its events are held until it resumes.
+    pub fn pause_front(&mut self, n: usize) {
         self.count_accesses(n);
-        self.hosts[n].stopped = true;
+        self.hosts[n].paused = true;
     }
 
-    pub fn continue_front(&mut self, n: usize) {
-        self.hosts[n].stopped = false;
-        self.hosts[n].counted = self.now;
-        // The bound runs from when it can be heard again.
-        if self.hosts[n].since > 0 {
-            self.hosts[n].since = self.now;
+    pub fn resume_front(&mut self, n: usize) {
+        self.hosts[n].paused = false;
+        self.hosts[n].counted_until = self.now;
+        // The deadline for removals starts when it can receive messages again.
+        if self.hosts[n].connected_since > 0 {
+            self.hosts[n].connected_since = self.now;
         }
-        let held = std::mem::take(&mut self.hosts[n].held);
-        held.into_iter().for_each(|event| self.at(1, event));
+        let held_events = std::mem::take(&mut self.hosts[n].held_events);
+        held_events.into_iter().for_each(|event| self.schedule(1, event));
     }
 
     // ---- accesses
 
     fn count_accesses(&mut self, n: usize) {
-        let (now, storm) = (self.now, self.storm);
+        let (now, overload) = (self.now, self.overload);
         let host = &mut self.hosts[n];
-        let seconds = now.saturating_sub(host.counted) as f64 / SECOND as f64;
-        host.counted = now;
-        if host.front.is_none() || host.stopped {
+        let seconds = now.saturating_sub(host.counted_until) as f64 / SECOND as f64;
+        host.counted_until = now;
+        if host.front.is_none() || host.paused {
             return;
         }
-        let asked = (host.rate * seconds + self.rng.f64()) as u64;
-        let later = if now >= host.took + 10 * SECOND { host.effects.later } else { 0.0 };
-        let share = host.share - host.effects.harm - later - storm;
-        host.asked += asked;
-        host.answered += drawn(&mut self.rng, asked, share);
+        let accesses = (host.rate * seconds + self.rng.f64()) as u64;
+        let delayed_harm =
+            if now >= host.applied_at + 10 * SECOND { host.behavior.delayed_harm } else { 0.0 };
+        let share = host.share - host.behavior.harm - delayed_harm - overload;
+        host.accesses += accesses;
+        host.answered += sample_binomial(&mut self.rng, accesses, share);
     }
 
     /// From now on all fronts lose this share of their answers.
-    pub fn set_storm(&mut self, storm: f64) {
+    pub fn set_overload(&mut self, overload: f64) {
         (0..self.hosts.len()).for_each(|n| self.count_accesses(n));
-        self.storm = storm;
+        self.overload = overload;
     }
 
-    // ---- what the machines want
+    // ---- effects
 
-    fn do_front(&mut self, n: usize, out: Vec<front::Effect>) {
-        let life = self.hosts[n].life;
-        for each in out {
-            let lag = self.hosts[n].latency + self.rng.u64(0..20);
-            match each {
+    fn execute_front_effects(&mut self, n: usize, effects: Vec<front::Effect>) {
+        let incarnation = self.hosts[n].incarnation;
+        for effect in effects {
+            let delay = self.hosts[n].latency + self.rng.u64(0..20);
+            match effect {
                 front::Effect::Connect => {
-                    let reachable = self.service.is_some() && !self.hosts[n].cut_off;
-                    let event = if reachable { Event::Up(n, life) } else { Event::Refused(n, life) };
-                    self.at(2 * lag, event);
+                    let reachable = self.service.is_some() && !self.hosts[n].unreachable;
+                    let event = if reachable {
+                        Event::Connected(n, incarnation)
+                    } else {
+                        Event::ConnectFailed(n, incarnation)
+                    };
+                    self.schedule(2 * delay, event);
                 }
                 front::Effect::Close => {
                     if let Some(conn) = self.hosts[n].conn.take()
                         && self.conns.remove(&conn).is_some()
                     {
-                        self.at(lag, Event::Gone(conn));
+                        self.schedule(delay, Event::ServiceSeesClose(conn));
                     }
                 }
                 front::Effect::Send(message) => {
                     let Some(conn) = self.hosts[n].conn else { continue };
-                    let at = (self.now + lag).max(self.hosts[n].last_sent);
-                    self.hosts[n].last_sent = at;
+                    let at = (self.now + delay).max(self.hosts[n].last_send_arrival);
+                    self.hosts[n].last_send_arrival = at;
                     let report = matches!(message, ToService::Report { .. });
-                    if self.hosts[n].unruly && report {
+                    if self.hosts[n].unreliable && report {
                         match self.rng.u8(0..4) {
                             0 => continue,
                             1 => {
                                 let late = at - self.now + self.rng.u64(0..SECOND);
-                                self.at(late, Event::ToService(conn, message.clone()));
+                                self.schedule(late, Event::ToService(conn, message.clone()));
                             }
                             _ => {}
                         }
                     }
-                    self.at(at - self.now, Event::ToService(conn, message));
+                    self.schedule(at - self.now, Event::ToService(conn, message));
+                }
+                front::Effect::SetTimer(at) => {
+                    self.schedule(at.saturating_sub(self.now), Event::FrontTimer(n, incarnation))
                 }
-                front::Effect::SetTimer(at) => self.at(at.saturating_sub(self.now), Event::FrontDue(n, life)),
                 front::Effect::Log(_) => {}
                 front::Effect::Unstage => self.hosts[n].staged = None,
-                front::Effect::SetReportInterval { interval: every } => {
+                front::Effect::SetReportInterval { interval } => {
                     self.hosts[n].timer += 1;
-                    self.hosts[n].every = every;
+                    self.hosts[n].report_interval = interval;
                     let timer = self.hosts[n].timer;
-                    if every.is_some() {
-                        self.at(0, Event::Report(n, life, timer));
+                    if interval.is_some() {
+                        self.schedule(0, Event::Report(n, incarnation, timer));
                     }
                 }
-                shell => {
-                    let work = self.rng.u64(10..50);
-                    self.at(work, Event::Shell(n, life, shell));
+                effect => {
+                    let duration = self.rng.u64(10..50);
+                    self.schedule(duration, Event::Execute(n, incarnation, effect));
                 }
             }
         }
     }
 
-    fn do_service(&mut self, out: Vec<service::Effect>) {
-        for each in out {
-            match each {
+    fn execute_service_effects(&mut self, effects: Vec<service::Effect>) {
+        for effect in effects {
+            match effect {
                 service::Effect::Send(conn, message) => {
                     let Some(&n) = self.conns.get(&conn) else { continue };
                     if let ToFront::Offer { id } = &message {
-                        let runs = self.hosts[n].front.as_ref().and_then(Front::running);
+                        let running = self.hosts[n].front.as_ref().and_then(Front::running);
                         assert!(
-                            runs.is_none_or(|r| r.position() < id.position()),
+                            running.is_none_or(|r| r.position() < id.position()),
                             "a lower number is offered"
                         );
                     }
                     let at = (self.now + self.hosts[n].latency + self.rng.u64(0..20))
-                        .max(self.hosts[n].last_heard);
-                    self.hosts[n].last_heard = at;
-                    self.at(at - self.now, Event::ToFront(n, conn, message));
+                        .max(self.hosts[n].last_receive_arrival);
+                    self.hosts[n].last_receive_arrival = at;
+                    self.schedule(at - self.now, Event::ToFront(n, conn, message));
                 }
                 service::Effect::Close(conn) => {
                     if let Some(n) = self.conns.remove(&conn) {
-                        self.at(700, Event::Cut(n, conn));
+                        self.schedule(700, Event::FrontSeesClose(n, conn));
                     }
                 }
                 service::Effect::Store(version) => {
-                    self.found.versions.retain(|v| v.id.number != version.id.number);
-                    self.found.versions.push(version);
+                    self.disk.versions.retain(|v| v.id.number != version.id.number);
+                    self.disk.versions.push(version);
                 }
                 service::Effect::StoreState { epoch, base, rollout } => {
-                    self.found.versions.retain(|v| v.id.epoch == epoch);
-                    (self.found.epoch, self.found.base, self.found.rollout) = (epoch, base, rollout);
+                    self.disk.versions.retain(|v| v.id.epoch == epoch);
+                    (self.disk.epoch, self.disk.base, self.disk.rollout) = (epoch, base, rollout);
                 }
                 service::Effect::StoreTrials(saved) => {
-                    self.found.trials = Some(saved);
+                    self.disk.trials = Some(saved);
                     self.stores += 1;
-                    if self.dies_at == Some(self.stores) {
-                        // What came after this in the same step is lost with it.
+                    if self.dies_at_store == Some(self.stores) {
+                        // Later effects of the same event are lost with the service.
                         self.kill_service();
                         return;
                     }
                 }
-                service::Effect::Delete(id) => self.found.versions.retain(|v| v.id != id),
+                service::Effect::Delete(id) => self.disk.versions.retain(|v| v.id != id),
                 service::Effect::SetTimer(at) => {
-                    let life = self.service_life;
-                    self.at(at.saturating_sub(self.now).max(1), Event::ServiceDue(life));
+                    let incarnation = self.service_incarnation;
+                    self.schedule(at.saturating_sub(self.now).max(1), Event::ServiceTimer(incarnation));
                 }
-                service::Effect::Log(line) => self.told(line),
+                service::Effect::Log(event) => self.on_log_event(event),
             }
         }
     }
 
-    fn told(&mut self, line: LogEvent) {
-        match &line {
+    fn on_log_event(&mut self, event: LogEvent) {
+        match &event {
             LogEvent::InForce(id) => {
                 self.in_force.entry(id.number).or_insert(self.now);
                 if let Some((_, token)) = self.published.get(&id.number) {
@@ -465,208 +473,219 @@
                         let content = host.content.as_ref().filter(|_| host.front.is_some());
                         let has =
                             content.is_some_and(|c| String::from_utf8_lossy(c).contains(token.as_str()));
-                        // One that is connected and has not said its first word is not known yet.
-                        let heard = host.since > 0;
+                        // A connected front that has not sent its first message is not known yet.
+                        let known = host.connected_since > 0;
                         assert!(
-                            has || !heard || host.front.is_none(),
-                            "{id} told in force while front {n}, connected, lacks it: it runs {:?}, the service has it at {:?}; {}",
+                            has || !known || host.front.is_none(),
+                            "{id} reported in force while front {n}, connected, lacks it: it runs {:?}, the service has it at {:?}; {}",
                             host.front.as_ref().and_then(Front::running),
                             self.service.as_ref().and_then(|s| s
                                 .fronts()
                                 .find(|f| f.front == format!("front-{n}"))
                                 .map(|f| (f.connected, f.running, f.state))),
-                            self.story()
+                            self.recent_events()
                         );
                     }
                 }
             }
-            LogEvent::ChangeRemoved { change, reason: why } => {
-                self.taken_out.entry(*change).or_insert((self.now, why.clone()));
+            LogEvent::ChangeRemoved { change, reason } => {
+                self.removed.entry(*change).or_insert((self.now, reason.clone()));
             }
             _ => {}
         }
-        self.lines.push((self.now, line));
+        self.log.push((self.now, event));
     }
 
     pub fn on_front(&mut self, n: usize, act: impl FnOnce(&mut Front, u64, &mut Vec<front::Effect>)) {
-        let mut out = Vec::new();
+        let mut effects = Vec::new();
         if let Some(front) = &mut self.hosts[n].front {
-            act(front, self.now, &mut out);
+            act(front, self.now, &mut effects);
         }
-        self.do_front(n, out);
+        self.execute_front_effects(n, effects);
     }
 
     pub fn on_service<T>(
         &mut self,
         act: impl FnOnce(&mut Service, u64, &mut Vec<service::Effect>) -> T,
     ) -> Option<T> {
-        let (mut out, now) = (Vec::new(), self.now);
-        let result = self.service.as_mut().map(|s| act(s, now, &mut out));
-        self.do_service(out);
+        let (mut effects, now) = (Vec::new(), self.now);
+        let result = self.service.as_mut().map(|s| act(s, now, &mut effects));
+        self.execute_service_effects(effects);
         result
     }
 
-    fn shell(&mut self, n: usize, asked: front::Effect) {
-        match asked {
+    fn execute(&mut self, n: usize, effect: front::Effect) {
+        match effect {
             front::Effect::Check(id, content) => {
-                let refuse = self.effects_of(&id, &content).refuse;
+                let refuse = self.behavior_of(&id, &content).refuse;
                 let result = if refuse { Err(RejectionReason::Unusable("refused".into())) } else { Ok(()) };
-                self.on_front(n, |f, now, out| f.on_checked(now, id, result, out));
+                self.on_front(n, |f, now, effects| f.on_checked(now, id, result, effects));
             }
-            front::Effect::Stage { id, crashes: falls } => {
-                self.hosts[n].staged = Some((id, falls));
-                self.on_front(n, |f, now, out| f.on_staged(now, id, out));
+            front::Effect::Stage { id, crashes } => {
+                self.hosts[n].staged = Some((id, crashes));
+                self.on_front(n, |f, now, effects| f.on_staged(now, id, effects));
             }
             front::Effect::Apply(id, content) => {
-                let runs = self.hosts[n].front.as_ref().and_then(Front::running);
-                assert!(runs.is_none_or(|r| r.position() < id.position()), "an older version is applied");
-                let effects = self.effects_of(&id, &content);
-                if effects.fatal {
+                let running = self.hosts[n].front.as_ref().and_then(Front::running);
+                assert!(running.is_none_or(|r| r.position() < id.position()), "an older version is applied");
+                let behavior = self.behavior_of(&id, &content);
+                if behavior.fatal {
                     return self.kill_front(n, 2 * SECOND);
                 }
                 self.count_accesses(n);
                 let host = &mut self.hosts[n];
-                (host.effects, host.took, host.content) = (effects, self.now, Some(content.clone()));
+                (host.behavior, host.applied_at, host.content) = (behavior, self.now, Some(content.clone()));
                 self.hosts[n].applied += 1;
-                self.reached(n, &id);
-                self.on_front(n, |f, now, out| f.on_applied(now, id, Ok(()), out));
+                self.record_reach(n, &id);
+                self.on_front(n, |f, now, effects| f.on_applied(now, id, Ok(()), effects));
             }
             front::Effect::Store(id, seal, content) => {
-                (self.hosts[n].good, self.hosts[n].staged) = (Some((id, seal, content)), None);
-                self.on_front(n, |f, now, out| f.on_stored(now, id, true, out));
+                (self.hosts[n].last_good, self.hosts[n].staged) = (Some((id, seal, content)), None);
+                self.on_front(n, |f, now, effects| f.on_stored(now, id, true, effects));
             }
             _ => {}
         }
     }
 
-    fn effects_of(&mut self, id: &VersionId, content: &[u8]) -> Effects {
-        *self.known.entry(id.hash).or_insert_with(|| effects(content))
+    fn behavior_of(&mut self, id: &VersionId, content: &[u8]) -> Behavior {
+        *self.behaviors.entry(id.hash).or_insert_with(|| behavior(content))
     }
 
-    fn reached(&mut self, n: usize, id: &VersionId) {
+    fn record_reach(&mut self, n: usize, id: &VersionId) {
         let Some(content) = &self.hosts[n].content else { return };
-        let watched = &self.watched;
+        let tracked_tokens = &self.tracked_tokens;
         let tokens = self.tokens.entry(id.hash).or_insert_with(|| {
             let text = String::from_utf8_lossy(content);
-            // Long settled ones are in everything.
-            (watched.len().saturating_sub(40)..watched.len())
-                .filter(|t| text.contains(watched[*t].as_str()))
+            // Changes that were settled long ago are in all contents.
+            (tracked_tokens.len().saturating_sub(40)..tracked_tokens.len())
+                .filter(|t| text.contains(tracked_tokens[*t].as_str()))
                 .collect()
         });
         for token in tokens.iter() {
-            self.reach.entry(self.watched[*token].clone()).or_default().insert(n);
+            self.reach.entry(self.tracked_tokens[*token].clone()).or_default().insert(n);
         }
     }
 
     // ---- time
 
-    fn stopped(&self, event: &Event) -> Option<usize> {
+    fn paused_front(&self, event: &Event) -> Option<usize> {
         let n = match event {
             Event::ToFront(n, ..)
-            | Event::Shell(n, ..)
-            | Event::Up(n, _)
-            | Event::Refused(n, _)
-            | Event::Cut(n, _)
-            | Event::FrontDue(n, _)
+            | Event::Execute(n, ..)
+            | Event::Connected(n, _)
+            | Event::ConnectFailed(n, _)
+            | Event::FrontSeesClose(n, _)
+            | Event::FrontTimer(n, _)
             | Event::Report(n, ..) => *n,
             _ => return None,
         };
-        self.hosts[n].stopped.then_some(n)
+        self.hosts[n].paused.then_some(n)
     }
 
     pub fn step(&mut self) -> bool {
         let Some(Reverse((at, number))) = self.events.pop() else { return false };
-        let Some(event) = self.what.remove(&number) else { return true };
+        let Some(event) = self.queued.remove(&number) else { return true };
         self.now = self.now.max(at);
-        if let Some(n) = self.stopped(&event) {
-            self.hosts[n].held.push(event);
+        if let Some(n) = self.paused_front(&event) {
+            self.hosts[n].held_events.push(event);
             return true;
         }
         match event {
-            Event::Up(n, life)
-                if self.hosts[n].life == life && self.service.is_some() && !self.hosts[n].cut_off =>
+            Event::Connected(n, incarnation)
+                if self.hosts[n].incarnation == incarnation
+                    && self.service.is_some()
+                    && !self.hosts[n].unreachable =>
             {
                 self.next_conn += 1;
                 let conn = self.next_conn;
-                (self.hosts[n].conn, self.hosts[n].since) = (Some(conn), 0);
+                (self.hosts[n].conn, self.hosts[n].connected_since) = (Some(conn), 0);
                 self.conns.insert(conn, n);
-                self.on_front(n, |f, now, out| f.on_connected(now, out));
+                self.on_front(n, |f, now, effects| f.on_connected(now, effects));
             }
-            Event::Up(n, life) | Event::Refused(n, life) if self.hosts[n].life == life => {
-                self.on_front(n, |f, now, out| f.on_disconnected(now, out));
+            Event::Connected(n, incarnation) | Event::ConnectFailed(n, incarnation)
+                if self.hosts[n].incarnation == incarnation =>
+            {
+                self.on_front(n, |f, now, effects| f.on_disconnected(now, effects));
             }
             Event::ToService(conn, message) if self.conns.contains_key(&conn) => {
                 if matches!(message, ToService::Hello { .. }) {
                     let n = self.conns[&conn];
-                    self.hosts[n].since = self.now;
+                    self.hosts[n].connected_since = self.now;
                 }
-                self.on_service(|s, now, out| s.on_message(now, conn, message, out));
+                self.on_service(|s, now, effects| s.on_message(now, conn, message, effects));
             }
             Event::ToFront(n, conn, message) if self.hosts[n].conn == Some(conn) => {
-                self.on_front(n, |f, now, out| f.on_message(now, message, out));
+                self.on_front(n, |f, now, effects| f.on_message(now, message, effects));
             }
-            Event::Cut(n, conn) if self.hosts[n].conn == Some(conn) => {
+            Event::FrontSeesClose(n, conn) if self.hosts[n].conn == Some(conn) => {
                 self.hosts[n].conn = None;
-                self.on_front(n, |f, now, out| f.on_disconnected(now, out));
+                self.on_front(n, |f, now, effects| f.on_disconnected(now, effects));
             }
-            Event::Gone(conn) => {
-                self.on_service(|s, now, out| s.on_disconnected(now, conn, out));
+            Event::ServiceSeesClose(conn) => {
+                self.on_service(|s, now, effects| s.on_disconnected(now, conn, effects));
             }
-            Event::Shell(n, life, asked) if self.hosts[n].life == life => self.shell(n, asked),
-            Event::FrontDue(n, life) if self.hosts[n].life == life => {
-                self.on_front(n, |f, now, out| f.on_timer(now, out));
+            Event::Execute(n, incarnation, effect) if self.hosts[n].incarnation == incarnation => {
+                self.execute(n, effect)
             }
-            Event::ServiceDue(life) if self.service_life == life => {
-                self.on_service(|s, now, out| s.on_timer(now, out));
+            Event::FrontTimer(n, incarnation) if self.hosts[n].incarnation == incarnation => {
+                self.on_front(n, |f, now, effects| f.on_timer(now, effects));
+            }
+            Event::ServiceTimer(incarnation) if self.service_incarnation == incarnation => {
+                self.on_service(|s, now, effects| s.on_timer(now, effects));
             }
             Event::Restart(n) if self.hosts[n].front.is_none() => self.start_front(n),
-            Event::Heal(n) => self.hosts[n].cut_off = false,
-            Event::Report(n, life, timer) if self.hosts[n].life == life && self.hosts[n].timer == timer => {
+            Event::ConnectivityRestored(n) => self.hosts[n].unreachable = false,
+            Event::Report(n, incarnation, timer)
+                if self.hosts[n].incarnation == incarnation && self.hosts[n].timer == timer =>
+            {
                 self.count_accesses(n);
-                let (asked, mut answered) = (self.hosts[n].asked, self.hosts[n].answered);
-                if let Some(lie) = self.hosts[n].lies {
-                    answered = (answered as f64 * lie) as u64;
+                let (accesses, mut answered) = (self.hosts[n].accesses, self.hosts[n].answered);
+                if let Some(factor) = self.hosts[n].misreports {
+                    answered = (answered as f64 * factor) as u64;
                 }
-                self.on_front(n, |f, _, out| f.report(asked, answered, out));
-                if let Some(every) = self.hosts[n].every {
-                    self.at(every, Event::Report(n, life, timer));
+                self.on_front(n, |f, _, effects| f.report(accesses, answered, effects));
+                if let Some(interval) = self.hosts[n].report_interval {
+                    self.schedule(interval, Event::Report(n, incarnation, timer));
                 }
             }
             _ => {}
         }
-        if self.now >= self.checked + SECOND {
-            self.checked = self.now;
-            self.check_withdrawn();
+        if self.now >= self.last_check + SECOND {
+            self.last_check = self.now;
+            self.check_removed();
         }
         true
     }
 
-    fn check_withdrawn(&self) {
-        for (number, (at, why)) in &self.taken_out {
+    fn check_removed(&self) {
+        for (number, (at, reason)) in &self.removed {
             let Some((_, token)) = self.published.get(number) else { continue };
-            // Nobody is given it anew: looked at for a minute.
-            if self.now < at + BOUND || self.now > at + 60 * SECOND {
+            // It is not offered again; checks for a minute.
+            if self.now < at + REMOVAL_DEADLINE || self.now > at + 60 * SECOND {
                 continue;
             }
             for &n in self.conns.values() {
                 let host = &self.hosts[n];
-                if host.stopped || host.since == 0 || self.now < host.since + BOUND {
+                if host.paused
+                    || host.connected_since == 0
+                    || self.now < host.connected_since + REMOVAL_DEADLINE
+                {
                     continue;
                 }
-                let runs = host.content.as_ref().filter(|_| host.front.is_some());
-                let has = runs.is_some_and(|c| String::from_utf8_lossy(c).contains(token.as_str()));
+                let running = host.content.as_ref().filter(|_| host.front.is_some());
+                let has = running.is_some_and(|c| String::from_utf8_lossy(c).contains(token.as_str()));
                 assert!(
                     !has,
-                    "front {n}, connected, runs change {number}, taken out {why:?} {} ago: it runs {:?}, {}",
+                    "front {n}, connected, runs change {number}, removed {reason:?} {} ago: it runs {:?}, {}",
                     self.now - at,
                     host.front.as_ref().and_then(Front::running),
-                    self.story()
+                    self.recent_events()
                 );
             }
         }
     }
 
-    pub fn pass(&mut self, time: u64) {
+    pub fn advance(&mut self, time: u64) {
         let end = self.now + time;
         while self.events.peek().is_some_and(|Reverse((at, _))| *at <= end) {
             self.step();
@@ -674,16 +693,16 @@
         self.now = end;
     }
 
-    /// Until it holds, or a time is over.
-    pub fn until(&mut self, time: u64, holds: impl Fn(&World) -> bool) -> bool {
+    /// Advances until a condition is met or the time is over; returns whether it is met.
+    pub fn advance_until(&mut self, time: u64, condition: impl Fn(&World) -> bool) -> bool {
         let end = self.now + time;
         while self.now < end {
-            if holds(self) {
+            if condition(self) {
                 return true;
             }
-            self.pass(SECOND / 20);
+            self.advance(SECOND / 20);
         }
-        holds(self)
+        condition(self)
     }
 
     // ---- publications
@@ -692,14 +711,14 @@
         &mut self,
         content: &str,
         token: &str,
-        expects: u64,
+        expected_last: u64,
     ) -> Result<VersionId, PublishError> {
         let bytes: Arc<[u8]> = content.as_bytes().into();
-        let result = self.on_service(|s, now, out| s.publish(now, bytes, token, expects, out));
+        let result = self.on_service(|s, now, effects| s.publish(now, bytes, token, expected_last, effects));
         let result = result.unwrap_or(Err(PublishError::NoSuchVersion));
         if let Ok(id) = &result {
             self.published.insert(id.number, (self.now, token.into()));
-            self.watched.push(token.into());
+            self.tracked_tokens.push(token.into());
         }
         result
     }
@@ -710,15 +729,15 @@
         String::from_utf8_lossy(&head).into_owned()
     }
 
-    /// The newest content with one more line written: `what` is its effect.
+    /// Publishes the head with one more line changed; `what` is its effect.
     pub fn change(&mut self, what: &str) -> Result<VersionId, PublishError> {
-        let line = (2 * self.edits as usize) % LINES;
+        let line = (2 * self.changes_made as usize) % LINES;
         self.change_line(line, what)
     }
 
     pub fn change_line(&mut self, line: usize, what: &str) -> Result<VersionId, PublishError> {
-        self.edits += 1;
-        let token = format!("c{};", self.edits);
+        self.changes_made += 1;
+        let token = format!("c{};", self.changes_made);
         let mut content = String::new();
         for (n, old) in self.head().lines().enumerate() {
             match n == line {
@@ -727,7 +746,7 @@
             }
         }
         if !content.contains(&token) {
-            // A service that lost its store has nothing to change.
+            // A service that lost its store has no line to change.
             content += &format!("member {line} = {token} {what}\n");
         }
         let last = self.service.as_ref().map_or(0, Service::last);
@@ -736,8 +755,8 @@
 
     pub fn state(&self, number: u64) -> Option<ChangeState> {
         let mut service = self.service.clone()?;
-        let (role, mut out) = (service::Role::Viewer, Vec::new());
-        match service.handle_request(self.now, role, service::Request::Changes, |_| Ok(()), &mut out) {
+        let (role, mut effects) = (service::Role::Viewer, Vec::new());
+        match service.handle_request(self.now, role, service::Request::Changes, |_| Ok(()), &mut effects) {
             service::Response::Changes(rows) => {
                 rows.into_iter().find(|r| r.number == number).map(|r| r.state)
             }
@@ -745,8 +764,8 @@
         }
     }
 
-    /// Seconds from its publication until it was told in force.
-    pub fn took(&self, number: u64) -> Option<f64> {
+    /// Seconds from a change's publication until it was reported in force.
+    pub fn seconds_to_in_force(&self, number: u64) -> Option<f64> {
         let at = self.in_force.get(&number)?;
         Some((at - self.published.get(&number)?.0) as f64 / SECOND as f64)
     }
@@ -755,37 +774,37 @@
         self.published.get(&number).and_then(|p| self.reach.get(&p.1)).map_or(0, BTreeSet::len)
     }
 
-    /// What has been told lately, for whoever looks why a test fails.
-    pub fn story(&self) -> String {
+    /// The latest log events and open changes, for the message of a failed assertion.
+    pub fn recent_events(&self) -> String {
         let since = |at: u64| (at - START) as f64 / SECOND as f64;
-        let lines =
-            self.lines.iter().rev().take(12).rev().map(|(at, line)| format!("{:.2} {line:?}", since(*at)));
+        let log =
+            self.log.iter().rev().take(12).rev().map(|(at, event)| format!("{:.2} {event:?}", since(*at)));
         let open = self.published.keys().filter(|n| !self.in_force.contains_key(n));
         let open: Vec<_> = open.map(|n| (*n, self.state(*n))).collect();
-        format!("at {:.2}: {}\nopen: {open:?}", since(self.now), lines.collect::<Vec<_>>().join("\n"))
+        format!("at {:.2}: {}\nopen: {open:?}", since(self.now), log.collect::<Vec<_>>().join("\n"))
     }
 
-    /// Whether a front runs a content that holds the change's line.
-    pub fn has(&self, n: usize, number: u64) -> bool {
+    /// Whether a front runs a content that includes the change.
+    pub fn front_has(&self, n: usize, number: u64) -> bool {
         let Some((_, token)) = self.published.get(&number) else { return false };
         let host = &self.hosts[n];
         let content = host.content.as_ref().filter(|_| host.front.is_some());
         content.is_some_and(|c| String::from_utf8_lossy(c).contains(token.as_str()))
     }
 
-    /// A content in place of the head.
+    /// Publishes a content that replaces the head.
     pub fn publish_text(&mut self, content: &str) -> Result<VersionId, PublishError> {
         let last = self.service.as_ref().map_or(0, Service::last);
         self.publish_content(content, content.trim_end(), last)
     }
 
-    /// Fronts whose running content holds the change's line.
-    pub fn having(&self, number: u64) -> usize {
-        (0..self.hosts.len()).filter(|&n| self.has(n, number)).count()
+    /// Number of fronts that run a content that includes the change.
+    pub fn count_with(&self, number: u64) -> usize {
+        (0..self.hosts.len()).filter(|&n| self.front_has(n, number)).count()
     }
 }
 
-/// The value that this share of the values is at most.
+/// The value that this share of the values does not exceed.
 pub fn quantile(values: &[f64], share: f64) -> f64 {
     let mut sorted = values.to_vec();
     sorted.sort_by(f64::total_cmp);
