--- a/crates/custody/src/lib.rs
+++ b/crates/custody/src/lib.rs
@@ -141,51 +141,29 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum ReplicaRequest {
     /// Stores a new request, unless the replica has a record with this id.
-    Create {
-        term: Term,
-        record: RequestRecord,
-        time_left: Ticks,
-    },
-    Write {
-        term: Term,
-        version: u32,
-        record: RequestRecord,
-        time_left: Ticks,
-    },
+    Create { term: Term, record: RequestRecord, time_left: Ticks },
+    /// Stores the next state of a request.
+    Write { term: Term, version: u32, record: RequestRecord, time_left: Ticks },
     /// Claims ownership under a later term, along with what is known, for a replica that has no record.
-    Claim {
-        term: Term,
-        view: RecordView,
-    },
+    Claim { term: Term, view: RecordView },
     /// The sender created a request under an id that was in use already; its copy is void.
-    Discard {
-        creation_id: u64,
-    },
+    Discard { creation_id: u64 },
+    /// Asks for what is stored.
     Read,
 }
 
 /// A replica's answer.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum ReplicaResponse {
-    /// `creation_id`: the same front may have tried before under the same term.
-    Stored {
-        creation_id: u64,
-        term: Term,
-        version: u32,
-    },
-    Promised {
-        term: Term,
-        view: RecordView,
-    },
+    /// The change is on disk. `creation_id`: the same front may have tried before under the same term.
+    Stored { creation_id: u64, term: Term, version: u32 },
+    /// Writes of terms before this one are rejected from now on.
+    Promised { term: Term, view: RecordView },
     /// Another request has this id, or a later term was promised.
-    Rejected {
-        promised: Term,
-        view: RecordView,
-    },
-    Current {
-        promised: Term,
-        view: RecordView,
-    },
+    Rejected { promised: Term, view: RecordView },
+    /// What is stored; the answer to `Read`.
+    Current { promised: Term, view: RecordView },
+    /// There is no record; also the answer to `Discard`.
     Empty,
     /// It has no room, or the record exceeds the limits.
     Full,
