--- a/crates/cli/src/recall.rs
+++ b/crates/cli/src/recall.rs
@@ -51,19 +51,20 @@
 }
 
 fn stored(snapshot: &Snapshot, now: u64, json: bool) -> String {
-    let ago = now.saturating_sub(snapshot.taken) / 10;
+    let ago = now.saturating_sub(snapshot.taken_at) / 10;
     let refused = snapshot.check(&snapshot.front, &snapshot.rules, now).err().map(|why| why.to_string());
     let mut memory = Memory::new(snapshot.rules.clone());
-    let (.., tally) = memory.hear(now, Source::Snapshot, &snapshot.fills, &snapshot.purges);
+    let (.., tally) = memory.import(now, Source::Snapshot, &snapshot.fills, &snapshot.purges);
     if json {
         let dropped = tally.dropped.iter().map(|(why, count)| (why.to_string(), json!(count)));
-        let told = json!({"front": &*snapshot.front, "taken_ms_ago": ago, "life": snapshot.life,
+        let told = json!({"front": &*snapshot.front, "taken_ms_ago": ago, "life": snapshot.incarnation,
             "parts": snapshot.fills.len(), "purges": snapshot.purges.len(), "refused": refused,
             "would_take": {"parts": tally.fills, "purges": tally.purges},
             "would_drop": dropped.collect::<serde_json::Map<_, _>>()});
         return format!("{told}\n");
     }
-    let fresh = snapshot.rules.fresh.iter().map(|t| (t / 10).to_string()).collect::<Vec<_>>().join(", ");
+    let fresh =
+        snapshot.rules.fresh_times.iter().map(|t| (t / 10).to_string()).collect::<Vec<_>>().join(", ");
     let verdict = match refused {
         Some(why) => format!("a start now would leave it out: {why}"),
         None => format!("a start now would take of it: {tally}"),
@@ -71,7 +72,7 @@
     format!(
         "{}\'s snapshot of {ago} ms ago, in life {}: {} parts, {} purges; fresh times {fresh} ms\n{verdict}\n",
         snapshot.front,
-        snapshot.life,
+        snapshot.incarnation,
         snapshot.fills.len(),
         snapshot.purges.len()
     )
--- a/crates/cli/tests/recall.rs
+++ b/crates/cli/tests/recall.rs
@@ -289,7 +289,7 @@
         rig.learn_and_die(0);
         alter(&rig, 0, |snapshot| {
             assert_eq!(snapshot.fills.len(), 1);
-            snapshot.fills[0].made = (unix_ms() - FRESH_MS * said / 20) * 10;
+            snapshot.fills[0].made_at = (unix_ms() - FRESH_MS * said / 20) * 10;
             // And of a purge that is to come, and one of something else that never was: an age that is asked for, no more.
             let at = unix_ms() * 10;
             snapshot.purges.push(Purge { object: None, group: 17, at: at + 36_000_000 });
--- a/crates/control-client/src/memory.rs
+++ b/crates/control-client/src/memory.rs
@@ -9,7 +9,8 @@
 use doorgrade_operator::files;
 use doorgrade_operator::neighbours::Recall;
 use doorgrade_recall::{
-    Asked, Asking, Fill, Gave, Giver, Giving, Memory, Purge, Rules, Snapshot, Source, Tally,
+    Fill, ImportStats, Memory, PageFetcher, PageRequest, PageResponse, PageServer, Provider, Purge, Rules,
+    Snapshot, Source,
 };
 use doorgrade_store::{Records, Trouble};
 use serde::{Deserialize, Serialize};
@@ -33,7 +34,7 @@
 
 /// The rules that a deployment's offerings make.
 pub fn rules(offerings: &[Offering], purge_done: Ticks, most: usize) -> Rules {
-    Rules { fresh: offerings.iter().map(|o| o.fresh_time).collect(), purge_done, most }
+    Rules { fresh_times: offerings.iter().map(|o| o.fresh_time).collect(), purge_done, max_fills: most }
 }
 
 /// For people: what is remembered and from whom, and what came of asking and giving.
@@ -70,9 +71,9 @@
     written: Ticks,
     /// Something has come since.
     changed: bool,
-    asking: Option<Asking>,
-    giving: Giving,
-    tally: Tally,
+    asking: Option<PageFetcher>,
+    giving: PageServer,
+    tally: ImportStats,
     /// What was found at the start, for the instance to hear before it serves.
     found: (Vec<Fill>, Vec<Purge>),
     found_homes: Option<(Ticks, Vec<Kept>)>,
@@ -95,7 +96,7 @@
                 None
             }
         };
-        let giving = Giving::new(own.pages, now);
+        let giving = PageServer::new(own.pages, now);
         let mut remember = Remember {
             memory: Memory::new(rules),
             name: name.into(),
@@ -105,7 +106,7 @@
             changed: false,
             asking: None,
             giving,
-            tally: Tally::default(),
+            tally: ImportStats::default(),
             found: Default::default(),
             found_homes: None,
             homes: Vec::new(),
@@ -125,14 +126,14 @@
             Err(why) => return tracing::error!("recall: its own snapshot is left out: {why}"),
         };
         if *snapshot.front == *self.name {
-            self.last_incarnation = snapshot.life;
+            self.last_incarnation = snapshot.incarnation;
         }
         if let Err(why) = snapshot.check(&self.name, self.memory.rules(), now) {
             return tracing::warn!("recall: its own snapshot is left out: {why}");
         }
         let (fills, purges, tally) =
-            self.memory.hear(now, Source::Snapshot, &snapshot.fills, &snapshot.purges);
-        let ago = now.saturating_sub(snapshot.taken) / 10;
+            self.memory.import(now, Source::Snapshot, &snapshot.fills, &snapshot.purges);
+        let ago = now.saturating_sub(snapshot.taken_at) / 10;
         tracing::info!("recall: from its own snapshot of {ago} ms ago: {tally}");
         self.found = (fills, purges);
     }
@@ -172,8 +173,8 @@
         self.changed |= !seen.is_empty();
         for seen in seen {
             match seen {
-                Learned::Fill(fill) => self.memory.saw(now, *fill),
-                Learned::Purge(purge) => self.memory.purged(now, *purge),
+                Learned::Fill(fill) => self.memory.record_fill(now, *fill),
+                Learned::Purge(purge) => self.memory.record_purge(now, *purge),
                 Learned::Homes(lists) => self.homes.clone_from(lists),
             }
         }
@@ -217,20 +218,20 @@
 
     /// It has just come back, or woken: those that lived are asked.
     pub fn ask(&mut self, now: Ticks) {
-        self.asking = Some(Asking::new(&self.name, now));
-        self.tally = Tally::default();
+        self.asking = Some(PageFetcher::new(&self.name, now));
+        self.tally = ImportStats::default();
     }
 
     /// What it has seen before a stall is no first-hand knowledge any more.
     pub fn slept(&mut self, now: Ticks) {
-        self.memory.slept();
+        self.memory.demote_own();
         self.ask(now);
     }
 
     /// A neighbour is there that was not.
     pub fn met(&mut self, now: Ticks) {
-        let true_for = self.memory.rules().longest();
-        self.asking.iter_mut().for_each(|a| a.met(now, true_for));
+        let true_for = self.memory.rules().max_lifetime();
+        self.asking.iter_mut().for_each(|a| a.on_new_neighbour(now, true_for));
     }
 
     /// Whether it still asks neighbours.
@@ -240,26 +241,26 @@
 
     /// When the next question to a neighbour is due.
     pub fn late(&self) -> Option<Ticks> {
-        self.asking.as_ref().and_then(Asking::due)
+        self.asking.as_ref().and_then(PageFetcher::next_timeout)
     }
 
     /// Whom to ask for which page now.
-    pub fn step(&mut self, now: Ticks, givers: &[Giver]) -> Vec<Asked> {
+    pub fn step(&mut self, now: Ticks, givers: &[Provider]) -> Vec<PageRequest> {
         let Some(asking) = self.asking.as_mut().filter(|a| !a.done) else { return Vec::new() };
-        let asks = asking.step(now, givers);
+        let asks = asking.poll(now, givers);
         if asking.done {
-            tracing::info!("recall: from neighbours, {} pages: {}", asking.came, self.tally);
+            tracing::info!("recall: from neighbours, {} pages: {}", asking.pages_received, self.tally);
         }
         asks
     }
 
     /// What a neighbour that asks for a page is given.
-    pub fn page(&mut self, now: Ticks, to: SocketAddrV4, page: u16) -> Gave {
+    pub fn page(&mut self, now: Ticks, to: SocketAddrV4, page: u16) -> PageResponse {
         let remembers = !self.found.0.is_empty();
-        if self.asking.as_ref().is_some_and(|a| !a.gives(remembers)) {
-            return Gave::Nothing;
+        if self.asking.as_ref().is_some_and(|a| !a.may_serve(remembers)) {
+            return PageResponse::Nothing;
         }
-        self.giving.page(now, clock::now(), to, &self.memory, page)
+        self.giving.serve(now, clock::now(), to, &self.memory, page)
     }
 
     /// A page that was asked for has come; what of it is new is for the instance to hear.
@@ -270,23 +271,23 @@
         fills: &[Fill],
         purges: &[Purge],
     ) -> Option<(Vec<Fill>, Vec<Purge>)> {
-        if !self.asking.as_mut()?.given(from, page, pages) {
+        if !self.asking.as_mut()?.on_page(from, page, pages) {
             return None;
         }
-        let (fills, purges, tally) = self.memory.hear(clock::now(), Source::Neighbour, fills, purges);
-        self.tally.add(&tally);
+        let (fills, purges, tally) = self.memory.import(clock::now(), Source::Neighbour, fills, purges);
+        self.tally.merge(&tally);
         self.changed = true;
         Some((fills, purges)).filter(|news| !news.0.is_empty() || !news.1.is_empty())
     }
 
     /// The neighbour gives no more at the moment.
     pub fn busy(&mut self, now: Ticks, from: SocketAddrV4, page: u16) {
-        self.asking.iter_mut().for_each(|a| a.busy(now, from, page));
+        self.asking.iter_mut().for_each(|a| a.on_busy(now, from, page));
     }
 
     /// The neighbour has nothing to give.
     pub fn nothing(&mut self, now: Ticks, from: SocketAddrV4, page: u16) {
-        self.asking.iter_mut().for_each(|a| a.nothing(now, from, page));
+        self.asking.iter_mut().for_each(|a| a.on_nothing(now, from, page));
     }
 
     /// Counts, for people.
@@ -297,11 +298,11 @@
             own: count(Source::Own),
             snapshot: count(Source::Snapshot),
             neighbours: count(Source::Neighbour),
-            purges: self.memory.purges() as u64,
-            given: self.giving.given,
-            turned_down: self.giving.refused,
-            came: asking.map_or(0, |a| a.came),
-            lost: asking.map_or(0, |a| a.lost),
+            purges: self.memory.purge_count() as u64,
+            given: self.giving.pages_served,
+            turned_down: self.giving.pages_rejected,
+            came: asking.map_or(0, |a| a.pages_received),
+            lost: asking.map_or(0, |a| a.pages_missed),
             done: asking.is_none_or(|a| a.done),
         }
     }
--- a/crates/control-client/src/neighbours/exchange.rs
+++ b/crates/control-client/src/neighbours/exchange.rs
@@ -5,7 +5,7 @@
 
 use doorgrade::Ticks;
 use doorgrade_members::{self as members, Effect, Words};
-use doorgrade_recall::Gave;
+use doorgrade_recall::PageResponse;
 use tokio::sync::mpsc as queue;
 use tokio::time::sleep;
 
@@ -163,9 +163,11 @@
             Message::Recall { page } => {
                 let Some((peers, remember)) = self.peers.as_ref().zip(self.remember.as_mut()) else { return };
                 let answer = match remember.page(now, from, page) {
-                    Gave::Page { pages, fills, purges } => Message::Page { page, pages, fills, purges },
-                    Gave::Busy => Message::Busy { page },
-                    Gave::Nothing => Message::Nothing { page },
+                    PageResponse::Page { pages, fills, purges } => {
+                        Message::Page { page, pages, fills, purges }
+                    }
+                    PageResponse::Busy => Message::Busy { page },
+                    PageResponse::Nothing => Message::Nothing { page },
                 };
                 peers.send(from, &answer).await;
             }
--- a/crates/control-client/src/neighbours/socket.rs
+++ b/crates/control-client/src/neighbours/socket.rs
@@ -5,7 +5,7 @@
 use doorgrade::Ticks;
 use doorgrade_members::seal::Keys;
 use doorgrade_members::{Id, Members, Settings};
-use doorgrade_recall::Giver;
+use doorgrade_recall::Provider;
 use tokio::net::UdpSocket;
 
 use super::Membership;
@@ -58,9 +58,9 @@
     }
 
     /// Who may have memory: those that are there.
-    pub(super) fn givers(&self) -> Vec<Giver> {
+    pub(super) fn givers(&self) -> Vec<Provider> {
         let near = |id: &Id| id.station == self.membership.own.station;
-        self.members.up().map(|id| Giver { at: id.at, near: near(id) }).collect()
+        self.members.up().map(|id| Provider { address: id.at, same_station: near(id) }).collect()
     }
 
     /// Takes over seal keys that have changed in their file.
--- a/crates/control-client/tests/exchange.rs
+++ b/crates/control-client/tests/exchange.rs
@@ -101,7 +101,7 @@
         let (one, two) = (free_address(), free_address());
         let first = start(&folder.0, "n1", one, two);
         let now = unix();
-        let fill = Fill { offering: 0, object: 7, part: 0, group: 1, made: now, seen: now };
+        let fill = Fill { offering: 0, object: 7, part: 0, group: 1, made_at: now, requested_at: now };
         first.learning.send(vec![Learned::Fill(fill)]).await.unwrap();
         // It gives nothing while it asks for the first time itself.
         until(&folder.0, one, "it asks nobody any more", |s| s.memory.as_ref().is_some_and(|m| m.done)).await;
@@ -115,7 +115,7 @@
             assert!(begun.elapsed() < LONG, "nothing is recalled");
             tokio::time::sleep(Duration::from_millis(20)).await;
         };
-        assert_eq!(fills.iter().map(|f| (f.object, f.made)).collect::<Vec<_>>(), [(7, now)]);
+        assert_eq!(fills.iter().map(|f| (f.object, f.made_at)).collect::<Vec<_>>(), [(7, now)]);
         for running in [first, second] {
             running.stop.send(()).unwrap();
             running.task.await.unwrap();
--- a/crates/front/src/reducer.rs
+++ b/crates/front/src/reducer.rs
@@ -357,7 +357,7 @@
 fn fill(offerings: &[String], r: &Request, made_ms: u64, seen: Ticks) -> Fill {
     let offering = offerings.iter().position(|o| *o == r.offering).unwrap_or(0) as u16;
     let (object, part, group, made) = (r.object, r.part, r.group as u16, made_ms.saturating_mul(10));
-    Fill { offering, object, part, group, made, seen }
+    Fill { offering, object, part, group, made_at: made, requested_at: seen }
 }
 
 impl Work {
--- a/crates/front/src/reducer/told.rs
+++ b/crates/front/src/reducer/told.rs
@@ -59,7 +59,7 @@
             self.purged(p.object, u64::from(p.group), at);
         }
         for f in fills {
-            self.front.restore_fill(now, (f.object, f.part), f.made, f.seen);
+            self.front.restore_fill(now, (f.object, f.part), f.made_at, f.requested_at);
         }
     }
 
--- a/crates/front/tests/feed.rs
+++ b/crates/front/tests/feed.rs
@@ -152,7 +152,8 @@
     let files = Files { settings: Settings { recall, ..Settings::default() }, ..Files::default() };
     let mut w = World::with(1, 128, files);
     let client = w.client();
-    let fill = Fill { offering: 0, object: 5, part: 0, group: 1, made: w.now - 70_000, seen: w.now - 10 };
+    let fill =
+        Fill { offering: 0, object: 5, part: 0, group: 1, made_at: w.now - 70_000, requested_at: w.now - 10 };
     let purge = Purge { object: Some(6), group: 2, at: w.now - 10_000 };
     w.input(Input::Recall(vec![fill], vec![purge]));
     w.ask(client, 1, 1, 0, 5, 1_000);
@@ -163,7 +164,9 @@
     // Nothing older than the purge, a millisecond up: both times were rounded down.
     assert!(w.heads[&2].contains("No-Older-Than: 999"), "{}", w.heads[&2]);
     let made = w.now / 10 * 10;
-    let own = |object, group| Learned::Fill(Fill { offering: 0, object, part: 0, group, made, seen: w.now });
+    let own = |object, group| {
+        Learned::Fill(Fill { offering: 0, object, part: 0, group, made_at: made, requested_at: w.now })
+    };
     let mut learned = w.reducer.learned();
     learned.sort_by_key(|l| match l {
         Learned::Fill(f) => f.object,
@@ -186,7 +189,8 @@
         let files = Files { settings: Settings { recall, ..Settings::default() }, ..Files::default() };
         let mut w = World::with(1, 128, files);
         let client = w.client();
-        let lie = Fill { offering: 0, object: 5, part: 0, group: 1, made: w.now - said, seen: w.now };
+        let lie =
+            Fill { offering: 0, object: 5, part: 0, group: 1, made_at: w.now - said, requested_at: w.now };
         w.input(Input::Recall(vec![lie], vec![]));
         for call in 1..=3 {
             w.made_at = Some(((w.now - age) / 10).to_string());
--- a/crates/lab/src/sizes.rs
+++ b/crates/lab/src/sizes.rs
@@ -10,7 +10,7 @@
 
 use doorgrade::Ticks;
 use doorgrade_members::{Effect, Id, Members, Settings};
-use doorgrade_recall::{Asking, Fill, Gave, Giver, Giving, Memory, Purge, Rules, Source};
+use doorgrade_recall::{Fill, Memory, PageFetcher, PageResponse, PageServer, Provider, Purge, Rules, Source};
 use fastrand::Rng;
 use rayon::prelude::*;
 
@@ -82,8 +82,8 @@
 struct One {
     members: Option<Members>,
     memory: Memory,
-    asking: Option<Asking>,
-    giving: Giving,
+    asking: Option<PageFetcher>,
+    giving: PageServer,
     run: u32,
     words: Count,
     pages: Count,
@@ -109,7 +109,7 @@
 }
 
 fn rules() -> Rules {
-    Rules { fresh: vec![3_600 * S], purge_done: 6 * S, most: 16_384 }
+    Rules { fresh_times: vec![3_600 * S], purge_done: 6 * S, max_fills: 16_384 }
 }
 
 impl World {
@@ -117,10 +117,16 @@
         let now = 1_000 * S;
         let one = |_| {
             let mut memory = Memory::new(rules());
-            let fill =
-                |object| Fill { offering: 0, object, part: 0, group: 0, made: now - object, seen: now };
-            (0..PARTS).for_each(|object| memory.saw(now, fill(object)));
-            let giving = Giving::new(PAGES, now);
+            let fill = |object| Fill {
+                offering: 0,
+                object,
+                part: 0,
+                group: 0,
+                made_at: now - object,
+                requested_at: now,
+            };
+            (0..PARTS).for_each(|object| memory.record_fill(now, fill(object)));
+            let giving = PageServer::new(PAGES, now);
             let (words, pages) = Default::default();
             One { members: None, memory, asking: None, giving, run: 0, words, pages, recalled: None }
         };
@@ -179,9 +185,9 @@
             return;
         };
         let own = &members.own().station;
-        let givers: Vec<Giver> =
-            members.up().map(|id| Giver { at: id.at, near: id.station == *own }).collect();
-        for asked in asking.step(self.now, &givers) {
+        let givers: Vec<Provider> =
+            members.up().map(|id| Provider { address: id.at, same_station: id.station == *own }).collect();
+        for asked in asking.poll(self.now, &givers) {
             self.say(n, number(asked.to), Said::Ask(asked.page));
         }
     }
@@ -196,30 +202,33 @@
                 return self.perform(n);
             }
             Said::Ask(page) => {
-                let asks = one.asking.as_ref().is_some_and(|a| !a.gives(false));
-                let gave =
-                    if asks { Gave::Nothing } else { one.giving.page(now, now, at(from), &one.memory, page) };
+                let asks = one.asking.as_ref().is_some_and(|a| !a.may_serve(false));
+                let gave = if asks {
+                    PageResponse::Nothing
+                } else {
+                    one.giving.serve(now, now, at(from), &one.memory, page)
+                };
                 let answer = match gave {
-                    Gave::Page { pages, fills, purges } => {
+                    PageResponse::Page { pages, fills, purges } => {
                         one.pages.one(now);
                         Said::Page(page, pages, Arc::new((fills, purges)))
                     }
-                    Gave::Busy => Said::Busy(page),
-                    Gave::Nothing => Said::Nothing(page),
+                    PageResponse::Busy => Said::Busy(page),
+                    PageResponse::Nothing => Said::Nothing(page),
                 };
                 return self.say(n, from, answer);
             }
             Said::Page(page, pages, told) => {
-                if one.asking.as_mut().is_some_and(|a| a.given(at(from), page, pages)) {
-                    one.memory.hear(now, Source::Neighbour, &told.0, &told.1);
+                if one.asking.as_mut().is_some_and(|a| a.on_page(at(from), page, pages)) {
+                    one.memory.import(now, Source::Neighbour, &told.0, &told.1);
                     if one.recalled.is_none() && one.memory.count(Source::Neighbour) as u64 >= PARTS * 9 / 10
                     {
                         one.recalled = Some(now);
                     }
                 }
             }
-            Said::Busy(page) => one.asking.iter_mut().for_each(|a| a.busy(now, at(from), page)),
-            Said::Nothing(page) => one.asking.iter_mut().for_each(|a| a.nothing(now, at(from), page)),
+            Said::Busy(page) => one.asking.iter_mut().for_each(|a| a.on_busy(now, at(from), page)),
+            Said::Nothing(page) => one.asking.iter_mut().for_each(|a| a.on_nothing(now, at(from), page)),
         }
         self.step(n);
     }
@@ -282,8 +291,8 @@
     }
     for n in 0..dead {
         world.start(n);
-        world.all[n].asking = Some(Asking::new(&format!("n{n}"), back));
-        world.all[n].giving = Giving::new(PAGES, back);
+        world.all[n].asking = Some(PageFetcher::new(&format!("n{n}"), back));
+        world.all[n].giving = PageServer::new(PAGES, back);
     }
     let mut agreed = None;
     let recalled = |world: &World| {
--- a/crates/lab/tests/front_state_bytes.rs
+++ b/crates/lab/tests/front_state_bytes.rs
@@ -22,14 +22,17 @@
 
 fn memory(fills: u64, purges: u64) -> Memory {
     let now: Ticks = 2 * HOUR;
-    let rules = Rules { fresh: vec![HOUR], purge_done: play::PURGE_DONE, most: fills as usize };
+    let rules = Rules { fresh_times: vec![HOUR], purge_done: play::PURGE_DONE, max_fills: fills as usize };
     let mut memory = Memory::new(rules);
     for n in 0..fills {
         let (made, seen) = (now - n % 1_000, now);
-        memory.saw(now, Fill { offering: 0, object: n, part: 0, group: 0, made, seen });
+        memory.record_fill(
+            now,
+            Fill { offering: 0, object: n, part: 0, group: 0, made_at: made, requested_at: seen },
+        );
     }
     for n in 0..purges {
-        memory.purged(now, Purge { object: Some(u64::MAX - n), group: 0, at: now });
+        memory.record_purge(now, Purge { object: Some(u64::MAX - n), group: 0, at: now });
     }
     memory
 }
--- a/crates/recall/src/lib.rs
+++ b/crates/recall/src/lib.rs
@@ -1,22 +1,24 @@
-//! What a front remembers over its death, and what of it still holds.
+//! What a front remembers over a restart, and what of it is still valid.
 //!
-//! A front that comes back knows nothing: it takes every copy for young. What it knew stands in a snapshot of its own
-//! ([`Snapshot`]), and neighbours that lived know as much ([`Asking`], [`Giving`]). [`Memory`] decides of each thing that is
-//! remembered whether it is worth keeping, for how long it is true, what ends it sooner, and how second-hand word meets
-//! what the front has seen itself: it never overrules that.
+//! A front that has restarted knows nothing and takes every copy for young. What it knew is in its own
+//! snapshot ([`Snapshot`]), and running neighbours know about as much ([`PageFetcher`], [`PageServer`]).
+//! [`Memory`] decides for each entry whether it is worth keeping, for how long it is valid, what ends it
+//! sooner, and how imported entries are combined with those that the front has seen itself: they never
+//! overrule them.
 //!
-//! | kind | true until | ended sooner by | kept | taken from others |
+//! | entry | valid until | ended sooner by | kept in snapshots | taken from neighbours |
 //! | --- | --- | --- | --- | --- |
-//! | when a part's copy was made | its fresh time is over | a purge of it or its group since | yes | yes: a false one moves a renewal, until the first answer |
-//! | that a part or group was purged | purges are done | | yes | yes, as far as it can be so: it only asks for younger copies |
+//! | when the copy of a part was made | its fresh time is over | a later purge of the part or its group | yes | yes: a false one shifts a refresh, until the first answer |
+//! | that a part or group was purged | the purge is done | | yes | yes, as far as its time is possible: it only asks for younger copies |
 //!
-//! What it can't know: what happened while nobody watched. What can't be shown to hold still is dropped and counted
-//! ([`Tally`]). Times are the front's; when a copy was made is the origin's word, the same at all fronts.
+//! What can't be known: what happened while the front was not running. Whatever can't be shown to be valid is
+//! dropped and counted ([`ImportStats`]). Times are those of the front; when a copy was made is the origin's
+//! statement, and the same at all fronts.
 #![forbid(unsafe_code)]
 
-mod asking;
-mod giving;
+mod fetcher;
 mod memory;
+mod server;
 mod snapshot;
 
 use std::fmt;
@@ -24,124 +26,124 @@
 use doorgrade::Ticks;
 use serde::{Deserialize, Serialize};
 
-pub use asking::{Asked, Asking, Giver};
-pub use giving::{Gave, Giving, PAGE};
+pub use fetcher::{PageFetcher, PageRequest, Provider};
 pub use memory::Memory;
-pub use snapshot::{Refused, Snapshot};
+pub use server::{FILLS_PER_PAGE, PageResponse, PageServer};
+pub use snapshot::{Snapshot, SnapshotRejection};
 
-/// When the copy of a part was made, that caches hold now as far as anybody knows.
+/// When the copy of a part was made that caches hold now, as far as is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fill {
     pub offering: u16,
     pub object: u64,
     pub part: u32,
     pub group: u16,
-    pub made: Ticks,
-    /// When it was asked for last.
-    pub seen: Ticks,
+    pub made_at: Ticks,
+    /// When it was last requested.
+    pub requested_at: Ticks,
 }
 
-/// All that was made before is not to be served.
+/// No copy made before `at` may be served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Purge {
-    /// Of the whole group where there is none.
+    /// None: the whole group.
     pub object: Option<u64>,
     pub group: u16,
     pub at: Ticks,
 }
 
-/// What the deployment says of how long things are true.
+/// How long entries are valid, by the deployment's configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rules {
-    /// By offering; 0: until it is purged, and then there is nothing to remember.
-    pub fresh: Vec<Ticks>,
+    /// By offering. 0: fresh until purged, and there is nothing to remember.
+    pub fresh_times: Vec<Ticks>,
     pub purge_done: Ticks,
-    /// Parts remembered at the most; the one asked for longest ago goes first.
-    pub most: usize,
+    /// Maximum number of remembered fills; the one requested longest ago is removed first.
+    pub max_fills: usize,
 }
 
-/// Purges remembered at the most. More within the time in which they act are a flood, of which the feed tells anew.
-pub const MOST_PURGES: usize = 4_096;
+/// Maximum number of remembered purges. A flood with more of them at a time is sent again by the feed.
+pub const MAX_PURGES: usize = 4_096;
 
 impl Rules {
-    /// Of offerings in the same order with the same times. What is remembered under others means nothing here.
-    pub fn deployment(&self) -> u64 {
-        let all = self.fresh.iter().chain([&self.purge_done]);
-        all.fold(1, |hash, &t| doorgrade::hash::text(&format!("{hash:x} {t}")))
+    /// Identifies the offerings' order and times. What was remembered under others has no meaning here.
+    pub fn deployment_hash(&self) -> u64 {
+        let all_times = self.fresh_times.iter().chain([&self.purge_done]);
+        all_times.fold(1, |hash, &t| doorgrade::hash::text(&format!("{hash:x} {t}")))
     }
 
-    /// The longest that anything is true.
-    pub fn longest(&self) -> Ticks {
-        self.fresh.iter().copied().max().unwrap_or(0).max(self.purge_done)
+    /// The longest time for which any entry is valid.
+    pub fn max_lifetime(&self) -> Ticks {
+        self.fresh_times.iter().copied().max().unwrap_or(0).max(self.purge_done)
     }
 }
 
-/// From whom something is known.
+/// Where an entry comes from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Source {
-    /// The front itself, since its start.
+    /// Seen by the front itself since its start.
     Own,
     Snapshot,
     Neighbour,
 }
 
-/// Why something was not taken, or is believed no longer.
+/// Why an entry was not imported, or is no longer valid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Why {
-    /// It is true no more: older than its fresh time, or the purge is done.
-    Ended,
-    /// A purge since.
+pub enum DropReason {
+    /// Older than its fresh time, or the purge is done.
+    Expired,
+    /// Purged since then.
     Purged,
-    /// Of a time that has not come.
+    /// Its time is in the future.
     Future,
-    /// Of no offering of this deployment, or of one for which nothing is remembered.
-    Foreign,
-    /// The front has seen it itself.
-    Known,
-    /// Another told a later time.
-    Older,
-    /// More than may be remembered.
+    /// Not an offering of this deployment, or one for which nothing is remembered.
+    UnknownOffering,
+    /// The front has seen this part itself.
+    SeenLocally,
+    /// Another source has a later time.
+    Outdated,
+    /// More than can be remembered.
     Full,
 }
 
-impl fmt::Display for Why {
+impl fmt::Display for DropReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Why::Ended => "over",
-            Why::Purged => "purged since",
-            Why::Future => "from the future",
-            Why::Foreign => "of no offering here",
-            Why::Known => "seen itself meanwhile",
-            Why::Older => "older than what is known",
-            Why::Full => "too many",
+            DropReason::Expired => "over",
+            DropReason::Purged => "purged since",
+            DropReason::Future => "from the future",
+            DropReason::UnknownOffering => "of no offering here",
+            DropReason::SeenLocally => "seen itself meanwhile",
+            DropReason::Outdated => "older than what is known",
+            DropReason::Full => "too many",
         })
     }
 }
 
-/// How many of a kind were taken, and why the others were not.
+/// How many entries of each kind were imported, and why others were dropped.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Tally {
+pub struct ImportStats {
     pub fills: u64,
     pub purges: u64,
-    pub dropped: std::collections::BTreeMap<Why, u64>,
+    pub dropped: std::collections::BTreeMap<DropReason, u64>,
 }
 
-impl Tally {
-    pub(crate) fn drop(&mut self, why: Why) {
-        *self.dropped.entry(why).or_default() += 1;
+impl ImportStats {
+    pub(crate) fn count_dropped(&mut self, reason: DropReason) {
+        *self.dropped.entry(reason).or_default() += 1;
     }
 
-    pub fn add(&mut self, other: &Tally) {
+    pub fn merge(&mut self, other: &ImportStats) {
         (self.fills, self.purges) = (self.fills + other.fills, self.purges + other.purges);
-        other.dropped.iter().for_each(|(why, count)| *self.dropped.entry(*why).or_default() += count);
+        other.dropped.iter().for_each(|(reason, count)| *self.dropped.entry(*reason).or_default() += count);
     }
 }
 
-impl fmt::Display for Tally {
+impl fmt::Display for ImportStats {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{} parts and {} purges taken", self.fills, self.purges)?;
-        for (n, (why, count)) in self.dropped.iter().enumerate() {
-            write!(f, "{}{count} {why}", if n == 0 { "; dropped: " } else { ", " })?;
+        for (n, (reason, count)) in self.dropped.iter().enumerate() {
+            write!(f, "{}{count} {reason}", if n == 0 { "; dropped: " } else { ", " })?;
         }
         Ok(())
     }
--- a/crates/recall/src/memory.rs
+++ b/crates/recall/src/memory.rs
@@ -1,13 +1,14 @@
-//! What is remembered now, and what may be taken into it.
+//! What is remembered, and what may be imported into it.
 
 use std::collections::{BTreeSet, HashMap};
 
 use doorgrade::Ticks;
 
-use crate::{Fill, MOST_PURGES, Purge, Rules, Source, Tally, Why};
+use crate::{DropReason, Fill, ImportStats, MAX_PURGES, Purge, Rules, Source};
 
-/// Clocks of one site differ by less; a time later than now by more is of a clock that was set back, or a lie.
-const OFF: Ticks = 500;
+/// Clocks of one site differ by less than this. A time further in the future comes from a clock that was set
+/// back, or is a lie.
+const MAX_CLOCK_SKEW: Ticks = 500;
 
 type Key = (u16, u64, u32);
 
@@ -19,167 +20,169 @@
 pub struct Memory {
     rules: Rules,
     fills: HashMap<Key, (Fill, Source)>,
-    /// The same by when they were asked for.
-    order: BTreeSet<(Ticks, Key)>,
+    /// The same fills by the time of the last request.
+    by_request_time: BTreeSet<(Ticks, Key)>,
     purges: HashMap<(Option<u64>, u16), Ticks>,
 }
 
 impl Memory {
     pub fn new(rules: Rules) -> Memory {
-        Memory { rules, fills: HashMap::new(), order: BTreeSet::new(), purges: HashMap::new() }
+        Memory { rules, fills: HashMap::new(), by_request_time: BTreeSet::new(), purges: HashMap::new() }
     }
 
     pub fn rules(&self) -> &Rules {
         &self.rules
     }
 
-    /// Whether a fill is of any use at this time. A purge ends what is older for good: once it is done no such copy is
-    /// left, so whoever tells of one tells what is no longer so.
-    fn holds(&self, now: Ticks, fill: &Fill) -> Result<(), Why> {
-        let fresh = self.rules.fresh.get(usize::from(fill.offering)).copied().unwrap_or(0);
-        let purged = |key| self.purges.get(&key).is_some_and(|&at| fill.made < at);
+    /// Whether a fill is valid at this time. A purge ends older ones for good: once it is done no such copy
+    /// is left, so anyone who reports one is out of date.
+    fn check_fill(&self, now: Ticks, fill: &Fill) -> Result<(), DropReason> {
+        let fresh = self.rules.fresh_times.get(usize::from(fill.offering)).copied().unwrap_or(0);
+        let purged = |key| self.purges.get(&key).is_some_and(|&at| fill.made_at < at);
         if fresh == 0 {
-            Err(Why::Foreign)
-        } else if fill.made > now + OFF || fill.seen > now + OFF {
-            Err(Why::Future)
-        } else if fill.made + fresh <= now {
-            Err(Why::Ended)
+            Err(DropReason::UnknownOffering)
+        } else if fill.made_at > now + MAX_CLOCK_SKEW || fill.requested_at > now + MAX_CLOCK_SKEW {
+            Err(DropReason::Future)
+        } else if fill.made_at + fresh <= now {
+            Err(DropReason::Expired)
         } else if purged((Some(fill.object), fill.group)) || purged((None, fill.group)) {
-            Err(Why::Purged)
+            Err(DropReason::Purged)
         } else {
             Ok(())
         }
     }
 
-    fn purge_holds(&self, now: Ticks, purge: &Purge) -> Result<(), Why> {
-        if purge.at > now + OFF {
-            Err(Why::Future)
+    fn check_purge(&self, now: Ticks, purge: &Purge) -> Result<(), DropReason> {
+        if purge.at > now + MAX_CLOCK_SKEW {
+            Err(DropReason::Future)
         } else if purge.at + self.rules.purge_done <= now {
-            Err(Why::Ended)
+            Err(DropReason::Expired)
         } else {
             Ok(())
         }
     }
 
-    /// The front has seen an answer itself.
-    pub fn saw(&mut self, now: Ticks, fill: Fill) {
-        if self.holds(now, &fill).is_ok() {
-            self.put(fill, Source::Own);
+    /// The front has seen a response itself.
+    pub fn record_fill(&mut self, now: Ticks, fill: Fill) {
+        if self.check_fill(now, &fill).is_ok() {
+            self.insert_fill(fill, Source::Own);
         }
     }
 
-    /// The front was told of a purge, by whoever tells it of them.
-    pub fn purged(&mut self, now: Ticks, purge: Purge) {
-        if self.purge_holds(now, &purge).is_ok() {
-            self.keep(now, purge);
+    /// The front received a purge from its feed.
+    pub fn record_purge(&mut self, now: Ticks, purge: Purge) {
+        if self.check_purge(now, &purge).is_ok() {
+            self.insert_purge(now, purge);
         }
     }
 
-    fn put(&mut self, fill: Fill, source: Source) {
+    fn insert_fill(&mut self, fill: Fill, source: Source) {
         if let Some((old, _)) = self.fills.insert(key(&fill), (fill, source)) {
-            self.order.remove(&(old.seen, key(&old)));
+            self.by_request_time.remove(&(old.requested_at, key(&old)));
         }
-        self.order.insert((fill.seen, key(&fill)));
-        while self.fills.len() > self.rules.most {
-            let Some((_, oldest)) = self.order.pop_first() else { break };
+        self.by_request_time.insert((fill.requested_at, key(&fill)));
+        while self.fills.len() > self.rules.max_fills {
+            let Some((_, oldest)) = self.by_request_time.pop_first() else { break };
             self.fills.remove(&oldest);
         }
     }
 
-    fn keep(&mut self, now: Ticks, purge: Purge) -> bool {
+    fn insert_purge(&mut self, now: Ticks, purge: Purge) -> bool {
         let done = self.rules.purge_done;
-        if self.purges.len() >= MOST_PURGES {
+        if self.purges.len() >= MAX_PURGES {
             self.purges.retain(|_, at| *at + done > now);
         }
-        let room = self.purges.len() < MOST_PURGES;
+        let room = self.purges.len() < MAX_PURGES;
         let known = self.purges.get(&(purge.object, purge.group)).copied();
-        let later = known.is_none_or(|at| at < purge.at);
-        if later && (room || known.is_some()) {
+        let newer = known.is_none_or(|at| at < purge.at);
+        if newer && (room || known.is_some()) {
             self.purges.insert((purge.object, purge.group), purge.at);
         }
-        later && room
+        newer && room
     }
 
-    /// Word of others, or of this front before its start: what of it holds is remembered, and is for the front to hear.
-    /// Purges first: they end what else is told in the same breath.
-    pub fn hear(
+    /// Takes entries of other fronts, or of this one before its restart: those that are valid are remembered,
+    /// and returned for the front to use. Purges come first, since they end fills of the same import.
+    pub fn import(
         &mut self,
         now: Ticks,
         source: Source,
         fills: &[Fill],
         purges: &[Purge],
-    ) -> (Vec<Fill>, Vec<Purge>, Tally) {
-        let mut tally = Tally::default();
-        let mut news = (Vec::new(), Vec::new());
+    ) -> (Vec<Fill>, Vec<Purge>, ImportStats) {
+        let mut stats = ImportStats::default();
+        let mut imported = (Vec::new(), Vec::new());
         for &purge in purges {
-            match self.purge_holds(now, &purge) {
-                Err(why) => tally.drop(why),
-                Ok(()) if self.keep(now, purge) => {
-                    tally.purges += 1;
-                    news.1.push(purge);
+            match self.check_purge(now, &purge) {
+                Err(reason) => stats.count_dropped(reason),
+                Ok(()) if self.insert_purge(now, purge) => {
+                    stats.purges += 1;
+                    imported.1.push(purge);
                 }
-                Ok(()) => tally.drop(Why::Older),
+                Ok(()) => stats.count_dropped(DropReason::Outdated),
             }
         }
         for fill in fills {
-            // Asked for by another at a time of its clock: not later than now.
-            let fill = Fill { seen: fill.seen.min(now), ..*fill };
-            match self.weigh(now, source, &fill) {
-                Err(why) => tally.drop(why),
+            // The request time is by another front's clock: not later than now.
+            let fill = Fill { requested_at: fill.requested_at.min(now), ..*fill };
+            match self.check_import(now, source, &fill) {
+                Err(reason) => stats.count_dropped(reason),
                 Ok(()) => {
-                    self.put(fill, source);
-                    tally.fills += 1;
-                    news.0.push(fill);
+                    self.insert_fill(fill, source);
+                    stats.fills += 1;
+                    imported.0.push(fill);
                 }
             }
         }
-        (news.0, news.1, tally)
+        (imported.0, imported.1, stats)
     }
 
-    /// What the front has seen itself is not overruled, whatever time it is of; of second-hand words the one of who saw
-    /// the part last goes, and of equal ones the younger copy.
-    fn weigh(&self, now: Ticks, source: Source, fill: &Fill) -> Result<(), Why> {
-        self.holds(now, fill)?;
+    /// A fill that the front has seen itself is never overruled, whatever its time. Of imported ones the part
+    /// requested last stays; if these are equal, the younger copy.
+    fn check_import(&self, now: Ticks, source: Source, fill: &Fill) -> Result<(), DropReason> {
+        self.check_fill(now, fill)?;
         match self.fills.get(&key(fill)) {
-            Some((_, Source::Own)) if source != Source::Own => Err(Why::Known),
-            Some((known, _)) if (known.seen, known.made) >= (fill.seen, fill.made) => Err(Why::Older),
+            Some((_, Source::Own)) if source != Source::Own => Err(DropReason::SeenLocally),
+            Some((known, _)) if (known.requested_at, known.made_at) >= (fill.requested_at, fill.made_at) => {
+                Err(DropReason::Outdated)
+            }
             Some(_) => Ok(()),
-            // Only what was asked for later than all that is remembered would stay.
-            None if self.fills.len() >= self.rules.most
-                && self.order.first().is_some_and(|o| o.0 >= fill.seen) =>
+            // Would be removed at once, unless it was requested later than some remembered fill.
+            None if self.fills.len() >= self.rules.max_fills
+                && self.by_request_time.first().is_some_and(|o| o.0 >= fill.requested_at) =>
             {
-                Err(Why::Full)
+                Err(DropReason::Full)
             }
             None => Ok(()),
         }
     }
 
-    /// All that holds now, what was asked for last first.
-    pub fn all(&self, now: Ticks) -> (Vec<Fill>, Vec<Purge>) {
-        let fills = self.order.iter().rev().filter_map(|(_, key)| Some(self.fills.get(key)?.0));
-        let fills = fills.filter(|f| self.holds(now, f).is_ok()).collect();
+    /// All valid entries, with the fills requested last first.
+    pub fn valid(&self, now: Ticks) -> (Vec<Fill>, Vec<Purge>) {
+        let fills = self.by_request_time.iter().rev().filter_map(|(_, key)| Some(self.fills.get(key)?.0));
+        let fills = fills.filter(|f| self.check_fill(now, f).is_ok()).collect();
         let purges = self.purges.iter().map(|(&(object, group), &at)| Purge { object, group, at });
-        let mut purges: Vec<_> = purges.filter(|p| self.purge_holds(now, p).is_ok()).collect();
+        let mut purges: Vec<_> = purges.filter(|p| self.check_purge(now, p).is_ok()).collect();
         purges.sort_by_key(|p| (std::cmp::Reverse(p.at), p.object, p.group));
         (fills, purges)
     }
 
-    /// All parts that are known, over or not, from whom; those asked for last at the end.
-    pub fn known(&self) -> impl Iterator<Item = (Fill, Source)> {
-        self.order.iter().filter_map(|(_, key)| self.fills.get(key).copied())
+    /// All fills and their sources, valid or not; those requested last come last.
+    pub fn entries(&self) -> impl Iterator<Item = (Fill, Source)> {
+        self.by_request_time.iter().filter_map(|(_, key)| self.fills.get(key).copied())
     }
 
-    /// The front was stopped: what it had seen itself is from before, as a snapshot is.
-    pub fn slept(&mut self) {
+    /// After a pause: what the front had seen itself counts as if from a snapshot.
+    pub fn demote_own(&mut self) {
         self.fills.values_mut().for_each(|f| f.1 = f.1.max(Source::Snapshot));
     }
 
-    /// How many parts are known from whom, over or not.
+    /// The number of fills from this source, valid or not.
     pub fn count(&self, source: Source) -> usize {
         self.fills.values().filter(|f| f.1 == source).count()
     }
 
-    pub fn purges(&self) -> usize {
+    pub fn purge_count(&self) -> usize {
         self.purges.len()
     }
 }
--- a/crates/recall/src/snapshot.rs
+++ b/crates/recall/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! What a front writes down while it lives, and whether one that comes back may read it.
+//! What a front stores while it runs, and whether it may read it after a restart.
 
 use std::fmt;
 
@@ -7,46 +7,48 @@
 
 use crate::{Fill, Memory, Purge, Rules};
 
-/// Of what follows. A later one reads earlier ones.
+/// Format of the fields below. Later versions read earlier formats.
 pub const FORMAT: u16 = 1;
-/// Clocks are set right by less than this in an ordinary hour.
-const OFF: Ticks = 10_000;
+/// Usual clock corrections within an hour are smaller than this.
+const MAX_CLOCK_SKEW: Ticks = 10_000;
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
     pub format: u16,
-    /// Whose it is.
+    /// The front's name.
     pub front: Box<str>,
-    /// Of the deployment that it was taken in.
-    pub deployment: u64,
-    pub taken: Ticks,
-    /// The latest life of the front among its neighbours.
-    pub life: u64,
+    /// [`Rules::deployment_hash`] when it was taken.
+    pub deployment_hash: u64,
+    pub taken_at: Ticks,
+    /// The latest incarnation of the front among its neighbours.
+    pub incarnation: u64,
     pub rules: Rules,
     pub fills: Vec<Fill>,
     pub purges: Vec<Purge>,
 }
 
-/// Why nothing of one is read.
+/// Why a snapshot is not read.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Refused {
+pub enum SnapshotRejection {
     Format(u16),
     Front(Box<str>),
     Deployment,
-    /// Taken so much later than now: the clock was set back, or it is another machine's.
+    /// Taken this much later than now: the clock was set back, or the snapshot is from another machine.
     Future(Ticks),
-    /// Taken so long ago that nothing in it can hold.
-    Old(Ticks),
+    /// Taken this long ago: nothing in it can still be valid.
+    Expired(Ticks),
 }
 
-impl fmt::Display for Refused {
+impl fmt::Display for SnapshotRejection {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Refused::Format(format) => write!(f, "its format is {format}: expected {FORMAT}"),
-            Refused::Front(name) => write!(f, "it is {name}'s"),
-            Refused::Deployment => f.write_str("it is of a deployment with other offerings or times"),
-            Refused::Future(by) => write!(f, "it was taken {} ms later than now", by / 10),
-            Refused::Old(ago) => {
+            SnapshotRejection::Format(format) => write!(f, "its format is {format}: expected {FORMAT}"),
+            SnapshotRejection::Front(name) => write!(f, "it is {name}'s"),
+            SnapshotRejection::Deployment => {
+                f.write_str("it is of a deployment with other offerings or times")
+            }
+            SnapshotRejection::Future(by) => write!(f, "it was taken {} ms later than now", by / 10),
+            SnapshotRejection::Expired(ago) => {
                 write!(f, "it was taken {} ms ago, and nothing is true for so long", ago / 10)
             }
         }
@@ -54,25 +56,34 @@
 }
 
 impl Snapshot {
-    pub fn take(memory: &Memory, front: &str, life: u64, now: Ticks) -> Snapshot {
-        let (fills, purges) = memory.all(now);
+    pub fn take(memory: &Memory, front: &str, incarnation: u64, now: Ticks) -> Snapshot {
+        let (fills, purges) = memory.valid(now);
         let rules = memory.rules().clone();
-        let deployment = rules.deployment();
-        Snapshot { format: FORMAT, front: front.into(), deployment, taken: now, life, rules, fills, purges }
+        let deployment_hash = rules.deployment_hash();
+        Snapshot {
+            format: FORMAT,
+            front: front.into(),
+            deployment_hash,
+            taken_at: now,
+            incarnation,
+            rules,
+            fills,
+            purges,
+        }
     }
 
-    /// Whether this front may read it; each thing in it is then weighed by itself.
-    pub fn check(&self, front: &str, rules: &Rules, now: Ticks) -> Result<(), Refused> {
+    /// Whether this front may read it; each entry is checked on import, too.
+    pub fn check(&self, front: &str, rules: &Rules, now: Ticks) -> Result<(), SnapshotRejection> {
         if self.format != FORMAT {
-            Err(Refused::Format(self.format))
+            Err(SnapshotRejection::Format(self.format))
         } else if *self.front != *front {
-            Err(Refused::Front(self.front.clone()))
-        } else if self.deployment != rules.deployment() {
-            Err(Refused::Deployment)
-        } else if self.taken > now + OFF {
-            Err(Refused::Future(self.taken - now))
-        } else if self.taken + rules.longest() <= now {
-            Err(Refused::Old(now - self.taken))
+            Err(SnapshotRejection::Front(self.front.clone()))
+        } else if self.deployment_hash != rules.deployment_hash() {
+            Err(SnapshotRejection::Deployment)
+        } else if self.taken_at > now + MAX_CLOCK_SKEW {
+            Err(SnapshotRejection::Future(self.taken_at - now))
+        } else if self.taken_at + rules.max_lifetime() <= now {
+            Err(SnapshotRejection::Expired(now - self.taken_at))
         } else {
             Ok(())
         }
--- a/crates/recall/tests/return.rs
+++ b/crates/recall/tests/return.rs
@@ -1,37 +1,37 @@
-//! Many that come back ask few that lived, in virtual time: pages are lost, givers are slow, silent, or die while they
-//! give; nobody is asked too much, and all get what there is.
+//! Many restarted fronts fetch from few running ones, in virtual time. Messages are lost; providers are slow,
+//! silent, or crash while they serve. No provider exceeds its rate, and all fronts get what there is.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 use std::net::SocketAddrV4;
 
 use doorgrade::Ticks;
-use doorgrade_recall::{Asking, Fill, Gave, Giver, Giving, Memory, Rules, Source};
+use doorgrade_recall::{Fill, Memory, PageFetcher, PageResponse, PageServer, Provider, Rules, Source};
 use fastrand::Rng;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-const S: Ticks = 10_000;
-const NOW: Ticks = 1_000 * S;
-const PAGES: u32 = 50;
+const SECOND: Ticks = 10_000;
+const START_TIME: Ticks = 1_000 * SECOND;
+const PAGES_PER_SECOND: u32 = 50;
 
-fn at(n: usize) -> SocketAddrV4 {
+fn address(n: usize) -> SocketAddrV4 {
     SocketAddrV4::new([127, 0, 0, 1].into(), 7_000 + n as u16)
 }
 
-struct One {
+struct Node {
     memory: Memory,
-    asking: Option<Asking>,
-    giving: Giving,
-    dead: bool,
+    fetcher: Option<PageFetcher>,
+    server: PageServer,
+    crashed: bool,
     silent: bool,
-    given_at: Vec<Ticks>,
+    served_at: Vec<Ticks>,
     done_at: Option<Ticks>,
 }
 
 #[derive(Clone)]
-enum Word {
-    Ask(u16),
+enum Message {
+    PageRequest(u16),
     Page(u16, u16, Vec<Fill>),
     Busy(u16),
     Nothing(u16),
@@ -40,201 +40,231 @@
 struct World {
     now: Ticks,
     rng: Rng,
-    all: Vec<One>,
+    nodes: Vec<Node>,
     queue: BinaryHeap<Reverse<(Ticks, u64)>>,
-    words: BTreeMap<u64, (usize, usize, Word)>,
+    messages: BTreeMap<u64, (usize, usize, Message)>,
     number: u64,
-    loss: f64,
+    loss_rate: f64,
     delay: Ticks,
 }
 
 fn fill(object: u64) -> Fill {
-    Fill { offering: 0, object, part: 0, group: 0, made: NOW - object, seen: NOW - object }
+    Fill {
+        offering: 0,
+        object,
+        part: 0,
+        group: 0,
+        made_at: START_TIME - object,
+        requested_at: START_TIME - object,
+    }
 }
 
 impl World {
-    /// So many that lived and know so many parts, and so many that come back.
-    fn new(seed: u64, lived: usize, back: usize, parts: u64) -> World {
-        let rules = Rules { fresh: vec![100 * S], purge_done: 6 * S, most: 100_000 };
-        let one = |n: usize| {
+    /// `running` fronts that remember `parts` fills, and `restarted` ones that remember nothing.
+    fn new(seed: u64, running: usize, restarted: usize, parts: u64) -> World {
+        let rules = Rules { fresh_times: vec![100 * SECOND], purge_done: 6 * SECOND, max_fills: 100_000 };
+        let node = |n: usize| {
             let mut memory = Memory::new(rules.clone());
-            (0..if n < lived { parts } else { 0 }).for_each(|o| memory.saw(NOW, fill(o)));
-            let asking = (n >= lived).then(|| Asking::new(&format!("n{n}"), NOW));
-            let giving = Giving::new(PAGES, NOW);
-            One { memory, asking, giving, dead: false, silent: false, given_at: Vec::new(), done_at: None }
+            (0..if n < running { parts } else { 0 }).for_each(|o| memory.record_fill(START_TIME, fill(o)));
+            let fetcher = (n >= running).then(|| PageFetcher::new(&format!("n{n}"), START_TIME));
+            let server = PageServer::new(PAGES_PER_SECOND, START_TIME);
+            Node {
+                memory,
+                fetcher,
+                server,
+                crashed: false,
+                silent: false,
+                served_at: Vec::new(),
+                done_at: None,
+            }
         };
         World {
-            now: NOW,
+            now: START_TIME,
             rng: Rng::with_seed(seed),
-            all: (0..lived + back).map(one).collect(),
+            nodes: (0..running + restarted).map(node).collect(),
             queue: BinaryHeap::new(),
-            words: BTreeMap::new(),
+            messages: BTreeMap::new(),
             number: 0,
-            loss: 0.0,
+            loss_rate: 0.0,
             delay: 10,
         }
     }
 
-    fn say(&mut self, from: usize, to: usize, word: Word) {
-        if self.rng.f64() < self.loss || self.all[from].dead {
+    fn send(&mut self, from: usize, to: usize, message: Message) {
+        if self.rng.f64() < self.loss_rate || self.nodes[from].crashed {
             return;
         }
         self.number += 1;
         self.queue.push(Reverse((self.now + self.delay + self.rng.u64(0..10), self.number)));
-        self.words.insert(self.number, (from, to, word));
+        self.messages.insert(self.number, (from, to, message));
     }
 
-    fn hear(&mut self, from: usize, to: usize, word: Word) {
+    fn handle(&mut self, from: usize, to: usize, message: Message) {
         let now = self.now;
-        let one = &mut self.all[to];
-        if one.dead || one.silent {
+        let node = &mut self.nodes[to];
+        if node.crashed || node.silent {
             return;
         }
-        match word {
-            Word::Ask(page) => {
-                let asks = one.asking.as_ref().is_some_and(|a| !a.done);
-                let gave =
-                    if asks { Gave::Nothing } else { one.giving.page(now, now, at(from), &one.memory, page) };
-                let answer = match gave {
-                    Gave::Page { pages, fills, .. } => {
-                        one.given_at.push(now);
-                        Word::Page(page, pages, fills)
+        match message {
+            Message::PageRequest(page) => {
+                let fetching = node.fetcher.as_ref().is_some_and(|f| !f.done);
+                let page_response = if fetching {
+                    PageResponse::Nothing
+                } else {
+                    node.server.serve(now, now, address(from), &node.memory, page)
+                };
+                let message = match page_response {
+                    PageResponse::Page { pages, fills, .. } => {
+                        node.served_at.push(now);
+                        Message::Page(page, pages, fills)
                     }
-                    Gave::Busy => Word::Busy(page),
-                    Gave::Nothing => Word::Nothing(page),
+                    PageResponse::Busy => Message::Busy(page),
+                    PageResponse::Nothing => Message::Nothing(page),
                 };
-                self.say(to, from, answer);
+                self.send(to, from, message);
             }
-            Word::Page(page, pages, fills) => {
-                if one.asking.as_mut().is_some_and(|a| a.given(at(from), page, pages)) {
-                    one.memory.hear(now, Source::Neighbour, &fills, &[]);
+            Message::Page(page, pages, fills) => {
+                if node.fetcher.as_mut().is_some_and(|f| f.on_page(address(from), page, pages)) {
+                    node.memory.import(now, Source::Neighbour, &fills, &[]);
                 }
             }
-            Word::Nothing(page) => one.asking.iter_mut().for_each(|a| a.nothing(now, at(from), page)),
-            Word::Busy(page) => one.asking.iter_mut().for_each(|a| a.busy(now, at(from), page)),
+            Message::Nothing(page) => {
+                node.fetcher.iter_mut().for_each(|f| f.on_nothing(now, address(from), page))
+            }
+            Message::Busy(page) => node.fetcher.iter_mut().for_each(|f| f.on_busy(now, address(from), page)),
         }
     }
 
     fn step(&mut self, n: usize) {
         let now = self.now;
-        // Membership knows the dead, not the silent.
-        let here = |&m: &usize| m != n && !self.all[m].dead;
-        let givers: Vec<Giver> =
-            (0..self.all.len()).filter(here).map(|m| Giver { at: at(m), near: m % 2 == n % 2 }).collect();
-        let one = &mut self.all[n];
-        let Some(asking) = one.asking.as_mut().filter(|_| !one.dead) else { return };
-        let asks = asking.step(now, &givers);
-        if asking.done && one.done_at.is_none() {
-            one.done_at = Some(now);
+        // Membership detects crashed fronts, but not silent ones.
+        let reachable = |&m: &usize| m != n && !self.nodes[m].crashed;
+        let providers: Vec<Provider> = (0..self.nodes.len())
+            .filter(reachable)
+            .map(|m| Provider { address: address(m), same_station: m % 2 == n % 2 })
+            .collect();
+        let node = &mut self.nodes[n];
+        let Some(fetcher) = node.fetcher.as_mut().filter(|_| !node.crashed) else { return };
+        let requests = fetcher.poll(now, &providers);
+        if fetcher.done && node.done_at.is_none() {
+            node.done_at = Some(now);
         }
-        for asked in asks {
-            self.say(n, usize::from(asked.to.port() - 7_000), Word::Ask(asked.page));
+        for request in requests {
+            self.send(n, usize::from(request.to.port() - 7_000), Message::PageRequest(request.page));
         }
     }
 
-    fn pass(&mut self, time: Ticks) {
+    fn run_for(&mut self, time: Ticks) {
         let end = self.now + time;
         while self.now < end {
-            // Each looks a hundred times a second, as its members' timer has it or a word comes.
+            // Each front polls a hundred times a second, as if driven by its membership timer or by messages.
             self.now += 100;
-            while let Some(&Reverse((due, number))) = self.queue.peek().filter(|q| q.0.0 <= self.now) {
+            while let Some(&Reverse((due_at, number))) = self.queue.peek().filter(|q| q.0.0 <= self.now) {
                 self.queue.pop();
-                let _ = due;
-                if let Some((from, to, word)) = self.words.remove(&number) {
-                    self.hear(from, to, word);
+                let _ = due_at;
+                if let Some((from, to, message)) = self.messages.remove(&number) {
+                    self.handle(from, to, message);
                 }
             }
-            (0..self.all.len()).for_each(|n| self.step(n));
+            (0..self.nodes.len()).for_each(|n| self.step(n));
         }
     }
 
-    fn knows(&self, n: usize) -> usize {
-        self.all[n].memory.count(Source::Neighbour)
+    fn imported_count(&self, n: usize) -> usize {
+        self.nodes[n].memory.count(Source::Neighbour)
     }
 
-    /// No giver gives more in any second than it may, a second's worth at once beside it.
-    fn within_bounds(&self) {
-        for one in &self.all {
-            for i in 0..one.given_at.len() {
-                let second = one.given_at[i..].partition_point(|&t| t < one.given_at[i] + S);
-                assert!(second <= 2 * PAGES as usize, "{second} pages in a second");
+    /// In no second does a provider serve more than its rate plus one second's burst.
+    fn assert_rate_limit(&self) {
+        for node in &self.nodes {
+            for i in 0..node.served_at.len() {
+                let second = node.served_at[i..].partition_point(|&t| t < node.served_at[i] + SECOND);
+                assert!(second <= 2 * PAGES_PER_SECOND as usize, "{second} pages in a second");
             }
         }
     }
 }
 
 #[test]
-fn seven_that_come_back_have_all_from_three_within_a_second() {
+fn seven_restarted_fronts_fetch_everything_from_three_within_a_second() {
     let mut world = World::new(1, 3, 7, 400);
-    world.pass(S);
-    (3..10).for_each(|n| assert_eq!(world.knows(n), 400, "n{n}"));
-    assert!((3..10).all(|n| world.all[n].done_at.is_some()));
-    world.within_bounds();
-    // Spread over all three.
+    world.run_for(SECOND);
+    (3..10).for_each(|n| assert_eq!(world.imported_count(n), 400, "n{n}"));
+    assert!((3..10).all(|n| world.nodes[n].done_at.is_some()));
+    world.assert_rate_limit();
+    // The load is spread over all three.
     assert!(
-        (0..3).all(|n| world.all[n].giving.given > 10),
+        (0..3).all(|n| world.nodes[n].server.pages_served > 10),
         "{:?}",
-        world.all.iter().map(|o| o.giving.given).collect::<Vec<_>>()
+        world.nodes.iter().map(|node| node.server.pages_served).collect::<Vec<_>>()
     );
 }
 
 #[test]
-fn ninety_from_one_who_lived_is_passed_on_by_those_that_are_back() {
+fn ninety_restarted_fronts_pass_on_what_one_running_front_knows() {
     let mut world = World::new(2, 1, 90, 400);
-    world.pass(10 * S);
-    let most = (1..91).map(|n| world.knows(n)).min();
-    assert!(most >= Some(300), "{most:?} of 400");
-    world.within_bounds();
-    let others: u64 = (1..91).map(|n| world.all[n].giving.given).sum();
-    assert!(others > 4 * world.all[0].giving.given, "{others} and {}", world.all[0].giving.given);
+    world.run_for(10 * SECOND);
+    let fewest = (1..91).map(|n| world.imported_count(n)).min();
+    assert!(fewest >= Some(300), "{fewest:?} of 400");
+    world.assert_rate_limit();
+    let others: u64 = (1..91).map(|n| world.nodes[n].server.pages_served).sum();
+    assert!(
+        others > 4 * world.nodes[0].server.pages_served,
+        "{others} and {}",
+        world.nodes[0].server.pages_served
+    );
 }
 
 #[test]
-fn givers_that_are_silent_or_die_while_they_give_cost_time_alone() {
+fn silent_or_crashing_providers_only_cost_time() {
     let mut world = World::new(3, 4, 4, 2_000);
-    world.all[0].silent = true;
-    world.pass(S / 20);
-    world.all[1].dead = true;
-    world.pass(5 * S);
-    (4..8).for_each(|n| assert_eq!(world.knows(n), 2_000, "n{n}"));
-    world.within_bounds();
+    world.nodes[0].silent = true;
+    world.run_for(SECOND / 20);
+    world.nodes[1].crashed = true;
+    world.run_for(5 * SECOND);
+    (4..8).for_each(|n| assert_eq!(world.imported_count(n), 2_000, "n{n}"));
+    world.assert_rate_limit();
 }
 
 #[test]
-fn with_nobody_that_knows_anything_it_ends() {
+fn fetching_ends_if_no_front_remembers_anything() {
     let mut world = World::new(4, 0, 5, 0);
-    world.pass(15 * S);
-    assert!(world.all.iter().all(|o| o.done_at.is_some_and(|at| at <= NOW + 3 * S)), "all began together");
-    // And so it does alone.
+    world.run_for(15 * SECOND);
+    assert!(
+        world.nodes.iter().all(|node| node.done_at.is_some_and(|at| at <= START_TIME + 3 * SECOND)),
+        "all started together"
+    );
+    // The same for a single front.
     let mut world = World::new(5, 0, 1, 0);
-    world.pass(6 * S);
-    assert!(world.all[0].done_at.is_some());
+    world.run_for(6 * SECOND);
+    assert!(world.nodes[0].done_at.is_some());
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 40, rng_seed: RngSeed::Fixed(28), ..ProptestConfig::default() })]
 
-    /// Any loss, delay, silence and death: it ends in its time, within bounds, with nothing but what was given.
+    /// With any loss, delay, silence and crashes, fetching ends in time, within its limits, and yields only
+    /// what was served.
     #[test]
-    fn whatever_happens_it_ends_within_bounds(seed: u64) {
+    fn fetching_always_ends_within_its_limits(seed: u64) {
         let mut rng = Rng::with_seed(seed);
-        let (lived, back) = (rng.usize(1..5), rng.usize(1..12));
-        let mut world = World::new(seed, lived, back, rng.u64(1..1_500));
-        (world.loss, world.delay) = (0.6 * rng.f64(), rng.u64(1..S));
+        let (running, restarted) = (rng.usize(1..5), rng.usize(1..12));
+        let mut world = World::new(seed, running, restarted, rng.u64(1..1_500));
+        (world.loss_rate, world.delay) = (0.6 * rng.f64(), rng.u64(1..SECOND));
         for _ in 0..6 {
-            let n = rng.usize(..lived + back);
+            let n = rng.usize(..running + restarted);
             match rng.u8(..3) {
-                0 => world.all[n].dead = true,
-                1 => world.all[n].silent = !world.all[n].silent,
+                0 => world.nodes[n].crashed = true,
+                1 => world.nodes[n].silent = !world.nodes[n].silent,
                 _ => {}
             }
-            world.pass(rng.u64(0..2 * S));
+            world.run_for(rng.u64(0..2 * SECOND));
         }
-        world.pass(12 * S);
-        world.within_bounds();
-        for one in world.all.iter().filter(|o| !o.dead && o.asking.is_some()) {
-            prop_assert!(one.done_at.is_some());
-            prop_assert!(one.memory.all(world.now).0.iter().all(|f| *f == fill(f.object)));
+        world.run_for(12 * SECOND);
+        world.assert_rate_limit();
+        for node in world.nodes.iter().filter(|node| !node.crashed && node.fetcher.is_some()) {
+            prop_assert!(node.done_at.is_some());
+            prop_assert!(node.memory.valid(world.now).0.iter().all(|f| *f == fill(f.object)));
         }
     }
 }
