--- a/crates/agent/src/ask.rs
+++ b/crates/agent/src/ask.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use doorgrade_fleet::order::Progress;
-use doorgrade_fleet::{Line, Order, Phase, Process, Refused, Ticks, Want};
+use doorgrade_fleet::{DesiredState, LogEvent, Order, OrderRejection, Phase, Process, Ticks};
 use doorgrade_stream::wire::{Reader, Writer};
 use serde::{Deserialize, Serialize};
 use tokio::net::UnixStream;
@@ -26,13 +26,13 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Answer {
     Status(Status),
-    Plan(Vec<(Box<str>, Phase, Want)>),
+    Plan(Vec<(Box<str>, Phase, DesiredState)>),
     Ordered(u64),
-    Refused(Refused),
+    Refused(OrderRejection),
     Progress(Option<Progress>),
     History(Vec<Progress>),
     Watching,
-    Line(Line),
+    Line(LogEvent),
     /// Whoever asks may only look.
     OnlyLooks,
 }
@@ -53,7 +53,7 @@
     pub labels: Vec<Box<str>>,
     pub phase: Phase,
     pub since: Ticks,
-    pub want: Want,
+    pub want: DesiredState,
     pub revision: u64,
     pub by: Box<str>,
     pub order: u64,
@@ -91,7 +91,7 @@
         }
     }
 
-    pub async fn line(&mut self) -> Result<Line, String> {
+    pub async fn line(&mut self) -> Result<LogEvent, String> {
         loop {
             if let Answer::Line(line) =
                 self.reader.read::<Answer>().await.map_err(|e| format!("the agent: {e}"))?
--- a/crates/agent/src/core.rs
+++ b/crates/agent/src/core.rs
@@ -5,8 +5,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use doorgrade_fleet::instance::{Check, Exit, Kept};
-use doorgrade_fleet::{Do, Fleet, Line, Process, Refused, Run};
+use doorgrade_fleet::instance::{Check, Exit, PersistedState};
+use doorgrade_fleet::{Effect, Fleet, LogEvent, OrderRejection, Process, Run};
 use doorgrade_stream::clock::now;
 use rustix::process::Signal;
 use tokio::sync::{mpsc, oneshot};
@@ -22,7 +22,7 @@
     Checked(Box<str>, Run, Check),
     Exited(Box<str>, Process, Exit),
     Asked { ask: Ask, answer: oneshot::Sender<Answer> },
-    Watch(mpsc::Sender<Arc<Line>>),
+    Watch(mpsc::Sender<Arc<LogEvent>>),
     Stop,
 }
 
@@ -40,10 +40,10 @@
     pub journal: Journal,
     pub places: BTreeMap<Box<str>, Place>,
     pub events: mpsc::Sender<Event>,
-    pub watchers: Vec<mpsc::Sender<Arc<Line>>>,
+    pub watchers: Vec<mpsc::Sender<Arc<LogEvent>>>,
     pub wake: Option<u64>,
     /// What the journal did not take, by instance: it is owed, and tried again.
-    pub unkept: BTreeMap<Box<str>, Kept>,
+    pub unkept: BTreeMap<Box<str>, PersistedState>,
     /// Not children of this agent: their ends are looked for.
     pub adopted: BTreeMap<Process, Box<str>>,
 }
@@ -60,12 +60,12 @@
     match (status.code(), status.signal()) {
         (Some(code), _) => Exit::Code(code),
         (_, Some(signal)) => Exit::Signal(signal),
-        _ => Exit::Unseen,
+        _ => Exit::Unobserved,
     }
 }
 
 impl Core {
-    pub async fn run(mut self, first: Vec<Do>, mut events: mpsc::Receiver<Event>) {
+    pub async fn run(mut self, first: Vec<Effect>, mut events: mpsc::Receiver<Event>) {
         self.perform(first);
         let mut look = tokio::time::interval(LOOK_EACH);
         look.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
@@ -85,7 +85,7 @@
                     let gone: Vec<Process> = self.adopted.keys().copied().filter(|p| !process::lives(*p)).collect();
                     for process in gone {
                         if let Some(name) = self.adopted.remove(&process) {
-                            self.fleet.exited(now(), &name, process, Exit::Unseen, &mut out);
+                            self.fleet.on_exited(now(), &name, process, Exit::Unobserved, &mut out);
                         }
                     }
                 }
@@ -93,7 +93,7 @@
                 () = sleep(wait) => {
                     if self.wake.is_some_and(|at| now() >= at) {
                         self.wake = None;
-                        self.fleet.due(now(), &mut out);
+                        self.fleet.on_timer(now(), &mut out);
                     }
                 }
             }
@@ -101,18 +101,18 @@
         }
     }
 
-    fn take(&mut self, event: Event, out: &mut Vec<Do>) {
+    fn take(&mut self, event: Event, out: &mut Vec<Effect>) {
         match event {
             Event::Found(name, processes) => {
                 for (_, process) in &processes {
                     self.adopted.insert(*process, name.clone());
                 }
-                self.fleet.found(now(), &name, &processes, out);
+                self.fleet.on_processes_found(now(), &name, &processes, out);
             }
-            Event::Checked(name, run, check) => self.fleet.checked(now(), &name, run, check, out),
+            Event::Checked(name, run, check) => self.fleet.on_checked(now(), &name, run, check, out),
             Event::Exited(name, process, exit) => {
                 self.adopted.remove(&process);
-                self.fleet.exited(now(), &name, process, exit, out);
+                self.fleet.on_exited(now(), &name, process, exit, out);
             }
             Event::Asked { ask, answer } => {
                 let _ = answer.send(self.answer(ask, out));
@@ -127,19 +127,21 @@
         }
     }
 
-    fn answer(&mut self, ask: Ask, out: &mut Vec<Do>) -> Answer {
+    fn answer(&mut self, ask: Ask, out: &mut Vec<Effect>) -> Answer {
         match ask {
             Ask::Status => Answer::Status(self.status()),
             Ask::Plan(order) => self.fleet.plan(&order).map_or_else(Answer::Refused, Answer::Plan),
             Ask::Order(order) => match tokio::task::block_in_place(|| self.journal.check()) {
                 Ok(()) => {
                     if self.unkept.is_empty() {
-                        self.fleet.kept();
+                        self.fleet.on_journal_ok();
                     }
                     self.fleet.order(now(), &order, out).map_or_else(Answer::Refused, Answer::Ordered)
                 }
                 // Taken on, it would be lost with this agent.
-                Err(trouble) => Answer::Refused(Refused::NotKept(trouble.to_string().into())),
+                Err(trouble) => {
+                    Answer::Refused(OrderRejection::JournalUnavailable(trouble.to_string().into()))
+                }
             },
             Ask::Progress(number) => Answer::Progress(self.fleet.progress(number)),
             Ask::History => {
@@ -156,60 +158,60 @@
             station: station.into(),
             labels: self.places.get(&i.name).map(|p| p.labels.clone()).unwrap_or_default(),
             phase: i.phase,
-            since: i.since,
-            want: i.kept.want,
-            revision: i.kept.revision,
-            by: i.kept.by.clone(),
-            order: i.kept.order,
-            run: i.kept.run,
-            process: i.kept.process,
-            failures: i.kept.failures,
-            set_aside: i.kept.set_aside,
+            since: i.phase_since,
+            want: i.persisted.desired,
+            revision: i.persisted.revision,
+            by: i.persisted.changed_by.clone(),
+            order: i.persisted.order,
+            run: i.persisted.run,
+            process: i.persisted.process,
+            failures: i.persisted.failures,
+            set_aside: i.persisted.quarantined,
         };
         let rows = self.fleet.instances().map(row).collect();
         Status { agent: self.agent.clone(), term: self.journal.term, at: now(), rows }
     }
 
     /// Does what the machine asks for, in its order, and what that leads to.
-    fn perform(&mut self, mut todo: Vec<Do>) {
+    fn perform(&mut self, mut todo: Vec<Effect>) {
         while !todo.is_empty() {
             let mut out = Vec::new();
             for each in todo {
                 match each {
-                    Do::Keep(name, kept) => self.keep(name, kept, &mut out),
-                    Do::Start { name, run } => {
+                    Effect::Persist(name, kept) => self.keep(name, kept, &mut out),
+                    Effect::Start { name, run } => {
                         let made = self.start(&name, run);
-                        self.fleet.started(now(), &name, run, made, &mut out);
+                        self.fleet.on_started(now(), &name, run, made, &mut out);
                     }
-                    Do::Look { name } => self.look(name),
-                    Do::Check { name, run } => self.check(name, run),
-                    Do::Drain { process, on, .. } => {
+                    Effect::FindProcesses { name } => self.look(name),
+                    Effect::Check { name, run } => self.check(name, run),
+                    Effect::Drain { process, on, .. } => {
                         let signal = if on { Signal::USR1 } else { Signal::USR2 };
                         let _ = process::signal(process, signal);
                     }
-                    Do::Signal { process, kill, .. } => {
+                    Effect::Signal { process, kill, .. } => {
                         // One that is gone is told of as an end.
                         let _ = process::signal(process, if kill { Signal::KILL } else { Signal::TERM });
                     }
-                    Do::Wake(at) => self.wake = Some(at),
-                    Do::Tell(line) => self.tell(line),
+                    Effect::SetTimer(at) => self.wake = Some(at),
+                    Effect::Log(line) => self.tell(line),
                 }
             }
             todo = out;
         }
     }
 
-    fn keep(&mut self, name: Box<str>, kept: Kept, out: &mut Vec<Do>) {
+    fn keep(&mut self, name: Box<str>, kept: PersistedState, out: &mut Vec<Effect>) {
         match tokio::task::block_in_place(|| self.journal.keep(&name, &kept)) {
             Ok(()) => {
                 self.unkept.remove(&name);
                 if self.unkept.is_empty() {
-                    self.fleet.kept();
+                    self.fleet.on_journal_ok();
                 }
             }
             Err(trouble) => {
                 tracing::error!("journal: {trouble}");
-                self.fleet.not_kept(now(), &name, &trouble.to_string(), out);
+                self.fleet.on_journal_error(now(), &name, &trouble.to_string(), out);
                 self.unkept.insert(name, kept);
             }
         }
@@ -217,11 +219,12 @@
 
     fn keep_again(&mut self) {
         let journal = &self.journal;
-        let keep = |name: &str, kept: &Kept| tokio::task::block_in_place(|| journal.keep(name, kept));
+        let keep =
+            |name: &str, kept: &PersistedState| tokio::task::block_in_place(|| journal.keep(name, kept));
         self.unkept.retain(|name, kept| keep(name, kept).is_err());
         if self.unkept.is_empty() {
             tracing::info!("journal: all that was owed is kept");
-            self.fleet.kept();
+            self.fleet.on_journal_ok();
         }
     }
 
@@ -232,9 +235,9 @@
         let id = child.id();
         let (events, name) = (self.events.clone(), Box::<str>::from(name));
         // Read before it can be waited for: until then its id is its own.
-        let process = Process { id, born: process::born(id).unwrap_or(0) };
+        let process = Process { id, start_time: process::born(id).unwrap_or(0) };
         tokio::task::spawn_blocking(move || {
-            let exit = child.wait().map_or(Exit::Unseen, exit_of);
+            let exit = child.wait().map_or(Exit::Unobserved, exit_of);
             let _ = events.blocking_send(Event::Exited(name, process, exit));
         });
         Ok(process)
@@ -263,12 +266,15 @@
         });
     }
 
-    fn tell(&mut self, line: Line) {
+    fn tell(&mut self, line: LogEvent) {
         match &line {
-            Line::SetAside { .. } | Line::Halted { .. } | Line::NoBudget { .. } | Line::Stray { .. } => {
+            LogEvent::Quarantined { .. }
+            | LogEvent::Halted { .. }
+            | LogEvent::BudgetExhausted { .. }
+            | LogEvent::UnexpectedProcess { .. } => {
                 tracing::warn!("{line}")
             }
-            Line::NotKept { .. } | Line::NotStarted { .. } => tracing::error!("{line}"),
+            LogEvent::JournalFailed { .. } | LogEvent::NotStarted { .. } => tracing::error!("{line}"),
             _ => tracing::info!("{line}"),
         }
         let line = Arc::new(line);
--- a/crates/agent/src/door.rs
+++ b/crates/agent/src/door.rs
@@ -71,7 +71,7 @@
         tokio::select! {
             line = lines.recv() => {
                 let Some(line) = line else { return };
-                let line: Arc<doorgrade_fleet::Line> = line;
+                let line: Arc<doorgrade_fleet::LogEvent> = line;
                 if writer.write(&Answer::Line((*line).clone())).await.is_err() {
                     return;
                 }
--- a/crates/agent/src/journal.rs
+++ b/crates/agent/src/journal.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 
-use doorgrade_fleet::instance::Kept;
+use doorgrade_fleet::instance::PersistedState;
 use doorgrade_store::{Records, Trouble};
 
 pub struct Journal {
@@ -13,7 +13,7 @@
 }
 
 /// What an earlier agent left of its instances, by name.
-pub type Found = BTreeMap<Box<str>, Kept>;
+pub type Found = BTreeMap<Box<str>, PersistedState>;
 
 fn key(name: &str) -> String {
     format!("instance/{name}")
@@ -28,7 +28,10 @@
         let mut kept = BTreeMap::new();
         for key in records.keys("instance/")? {
             let name = key.trim_start_matches("instance/");
-            match records.read(&key).map(|payload| payload.map(|p| postcard::from_bytes::<Kept>(&p))) {
+            match records
+                .read(&key)
+                .map(|payload| payload.map(|p| postcard::from_bytes::<PersistedState>(&p)))
+            {
                 Ok(Some(Ok(of))) => drop(kept.insert(name.into(), of)),
                 Ok(None) => {}
                 Ok(Some(Err(_))) => troubles.push(Trouble::Damaged(key.into())),
@@ -54,7 +57,7 @@
         self.put("term", &self.term)
     }
 
-    pub fn keep(&self, name: &str, kept: &Kept) -> Result<(), Trouble> {
+    pub fn keep(&self, name: &str, kept: &PersistedState) -> Result<(), Trouble> {
         self.put(&key(name), kept)
     }
 }
--- a/crates/agent/src/probe.rs
+++ b/crates/agent/src/probe.rs
@@ -77,5 +77,5 @@
 
 pub async fn check(at: SocketAddr) -> Check {
     let looked = timeout(WITHIN, look(at)).await;
-    looked.ok().and_then(Result::ok).unwrap_or(Check::Silent)
+    looked.ok().and_then(Result::ok).unwrap_or(Check::Unresponsive)
 }
--- a/crates/agent/src/process.rs
+++ b/crates/agent/src/process.rs
@@ -78,7 +78,7 @@
 }
 
 pub fn lives(process: Process) -> bool {
-    born(process.id) == Some(process.born)
+    born(process.id) == Some(process.start_time)
 }
 
 /// All processes of this user that carry a mark of this agent's, by instance.
@@ -92,7 +92,7 @@
         let told =
             environment.split(|&b| b == 0).find_map(|v| std::str::from_utf8(v).ok()?.strip_prefix(&begin))?;
         let (name, run) = read_mark(agent, told)?;
-        Some((name.into(), run, Process { id, born: born(id)? }))
+        Some((name.into(), run, Process { id, start_time: born(id)? }))
     };
     ids.filter_map(one).collect()
 }
--- a/crates/agent/src/serve.rs
+++ b/crates/agent/src/serve.rs
@@ -76,7 +76,7 @@
         settings.agent.instances.iter().map(|i| (i.name.clone(), i.station.clone())).collect();
     let mut out = Vec::new();
     let rules = settings.agent.rules.clone();
-    let fleet = Fleet::start(now(), rules, journal.term ^ now(), &stations, kept, &mut out);
+    let fleet = Fleet::new(now(), rules, journal.term ^ now(), &stations, kept, &mut out);
     tracing::info!(
         "{}: term {}, {} instances, commands at {}",
         settings.agent.name,
--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -8,7 +8,7 @@
 use doorgrade_agent::ask::{Answer, Ask, Asker, Row, Status};
 use doorgrade_agent::serve::Settings;
 use doorgrade_fleet::order::Progress;
-use doorgrade_fleet::{Order, Phase, What};
+use doorgrade_fleet::{Operation, Order, Phase};
 use doorgrade_stream::clock::now;
 use indicatif::{ProgressBar, ProgressStyle};
 use serde_json::{Value, json};
@@ -198,11 +198,11 @@
             }
             Ok(if off.is_empty() { End::Done } else { End::Wrong })
         }
-        Command::Start(way) => order(asker, What::Start, way).await,
-        Command::Drain(way) => order(asker, What::Drain, way).await,
-        Command::Stop(way) => order(asker, What::Stop, way).await,
-        Command::Restart(way) => order(asker, What::Restart, way).await,
-        Command::Restore(way) => order(asker, What::Restore, way).await,
+        Command::Start(way) => order(asker, Operation::Start, way).await,
+        Command::Drain(way) => order(asker, Operation::Drain, way).await,
+        Command::Stop(way) => order(asker, Operation::Stop, way).await,
+        Command::Restart(way) => order(asker, Operation::Restart, way).await,
+        Command::Restore(way) => order(asker, Operation::Restore, way).await,
         Command::Watch { json } => {
             match asker.ask(&Ask::Watch).await? {
                 Answer::Watching => {}
@@ -224,7 +224,12 @@
                 let mut rows =
                     vec![["order", "by", "what", "of", "done", "state"].map(str::to_owned).to_vec()];
                 for p in &all {
-                    let what = [p.number.to_string(), p.by.to_string(), p.what.to_string(), p.of.to_string()];
+                    let what = [
+                        p.number.to_string(),
+                        p.by.to_string(),
+                        p.operation.to_string(),
+                        p.target_count.to_string(),
+                    ];
                     let mut row = what.to_vec();
                     row.extend([p.done.to_string(), state(p)]);
                     rows.push(row);
@@ -237,11 +242,11 @@
 }
 
 fn as_wanted(r: &Row) -> bool {
-    use doorgrade_fleet::Want;
+    use doorgrade_fleet::DesiredState;
     match r.want {
-        Want::Running => r.phase == Phase::Ready,
-        Want::Drained => r.phase == Phase::Draining || !r.phase.lives(),
-        Want::Stopped => !r.phase.lives(),
+        DesiredState::Running => r.phase == Phase::Ready,
+        DesiredState::Drained => r.phase == Phase::Draining || !r.phase.has_process(),
+        DesiredState::Stopped => !r.phase.has_process(),
     }
 }
 
@@ -286,21 +291,21 @@
     if !p.failed.is_empty() {
         told.push(format!("failed: {}", p.failed.join(", ")));
     }
-    if !p.waits_for.is_empty() && !p.halted {
-        told.push(format!("waits for {}", p.waits_for.join(", ")));
+    if !p.pending.is_empty() && !p.halted {
+        told.push(format!("waits for {}", p.pending.join(", ")));
     }
-    if p.overtaken > 0 {
-        told.push(format!("{} ordered otherwise since", p.overtaken));
+    if p.superseded > 0 {
+        told.push(format!("{} ordered otherwise since", p.superseded));
     }
     if told.is_empty() { "done".into() } else { told.join("; ") }
 }
 
 fn progress_json(p: &Progress) -> Value {
-    json!({"order": p.number, "by": p.by, "what": p.what.to_string(), "of": p.of, "done": p.done,
-        "overtaken": p.overtaken, "failed": p.failed, "waits_for": p.waits_for, "stopped": p.halted})
+    json!({"order": p.number, "by": p.by, "what": p.operation.to_string(), "of": p.target_count, "done": p.done,
+        "overtaken": p.superseded, "failed": p.failed, "waits_for": p.pending, "stopped": p.halted})
 }
 
-async fn order(asker: &mut Asker, what: What, way: Way) -> Result<End, String> {
+async fn order(asker: &mut Asker, operation: Operation, way: Way) -> Result<End, String> {
     if !way.which.says_something() {
         return Err("no instance is named: expected names, --station, --state, --label or --all".into());
     }
@@ -308,7 +313,7 @@
     // The revisions that were just seen: if somebody else is quicker, nothing is done.
     let targets = rows.iter().map(|r| (r.name.clone(), Some(r.revision))).collect();
     let force: BTreeSet<Box<str>> = way.force.iter().map(|s| s.as_str().into()).collect();
-    let order = Order { by: way.by.as_str().into(), what, targets, force };
+    let order = Order { by: way.by.as_str().into(), operation, targets, force };
     if way.dry_run {
         return match asker.ask(&Ask::Plan(order)).await? {
             Answer::Plan(plan) if way.json => {
@@ -358,22 +363,22 @@
             }
             other => return Err(refusal(other)),
         };
-        bar.set_length(progress.of as u64);
+        bar.set_length(progress.target_count as u64);
         bar.set_position(progress.done as u64);
-        let some: Vec<&str> = progress.waits_for.iter().take(3).map(|n| &**n).collect();
+        let some: Vec<&str> = progress.pending.iter().take(3).map(|n| &**n).collect();
         bar.set_message(format!("{number}, waits for {}", some.join(", ")));
         let late = begun.elapsed() > Duration::from_secs(way.within);
-        if progress.over() || late {
+        if progress.is_finished() || late {
             bar.finish_and_clear();
             let text = if way.json {
                 progress_json(&progress).to_string()
-            } else if late && !progress.over() {
+            } else if late && !progress.is_finished() {
                 format!("order {number}: {} after {} s; it goes on", state(&progress), way.within)
             } else {
                 format!("order {number}: {}", state(&progress))
             };
             say(&format!("{text}\n"))?;
-            let well = progress.over() && !progress.halted && progress.failed.is_empty();
+            let well = progress.is_finished() && !progress.halted && progress.failed.is_empty();
             return Ok(if well { End::Done } else { End::Wrong });
         }
         tokio::time::sleep(LOOK_EACH).await;
--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -1,6 +1,6 @@
-//! The instances of one agent: what is wanted against what is seen, and the next step for each.
+//! The instances of one agent: the desired against the observed state, and the next step of each.
 
-mod line;
+mod log_event;
 mod orders;
 mod reports;
 mod steps;
@@ -9,107 +9,110 @@
 
 use fastrand::Rng;
 
-use crate::instance::{Instance, Kept, Want};
-use crate::order::{Refused, What};
-use crate::pace::{Budget, Rules};
+use crate::instance::{DesiredState, Instance, PersistedState};
+use crate::order::{Operation, OrderRejection};
+use crate::pace::{PaceRules, RestartBudget};
 use crate::{Process, Run, Ticks};
 
-pub use line::Line;
+pub use log_event::LogEvent;
 
-/// What the shell is to do, in this order.
+/// What the shell has to do, in this order.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Do {
-    /// Put this by before anything that follows. If that fails: [`Fleet::not_kept`].
-    Keep(Box<str>, Kept),
-    /// Answered by [`Fleet::started`]. The process carries a mark of the name and the run, by which it is found.
+pub enum Effect {
+    /// Persist this before anything that follows. On failure: [`Fleet::on_journal_error`].
+    Persist(Box<str>, PersistedState),
+    /// Answered by [`Fleet::on_started`]. The process is marked with the name and the run, by which it can be
+    /// found.
     Start {
         name: Box<str>,
         run: Run,
     },
-    /// Look for all processes that carry the instance's mark; answered by [`Fleet::found`].
-    Look {
+    /// Find all processes with the instance's mark; answered by [`Fleet::on_processes_found`].
+    FindProcesses {
         name: Box<str>,
     },
-    /// Look at its door; answered by [`Fleet::checked`].
+    /// Check its health; answered by [`Fleet::on_checked`].
     Check {
         name: Box<str>,
         run: Run,
     },
-    /// It is to tell its clients to go elsewhere, or not to any more. Safe to repeat; unanswered.
+    /// Tell it to send its clients elsewhere, or to stop doing so. Idempotent; not answered.
     Drain {
         name: Box<str>,
         process: Process,
         on: bool,
     },
-    /// Safe to repeat: a process that is gone is not another's. Its end is told by [`Fleet::exited`].
+    /// Idempotent, since the start time distinguishes the process from another with the same id. Its exit is
+    /// reported by [`Fleet::on_exited`].
     Signal {
         name: Box<str>,
         process: Process,
         kill: bool,
     },
-    /// Call [`Fleet::due`] then; what was asked for before is not needed any more.
-    Wake(Ticks),
-    Tell(Line),
+    /// Call [`Fleet::on_timer`] at this time; replaces any earlier request.
+    SetTimer(Ticks),
+    Log(LogEvent),
 }
 
 #[derive(Clone, Debug)]
 struct Station {
     name: Box<str>,
     members: Vec<usize>,
-    budget: Budget,
-    told_budget: bool,
-    /// As of its last change: how many are cold, and who may start first, with how much of it serves.
-    cold: usize,
-    first: Option<(f64, u32, usize)>,
+    budget: RestartBudget,
+    budget_reported: bool,
+    /// As of the station's last change: the number of cold instances, and the next instance to start,
+    /// preceded by the share of instances that serve and its failures.
+    cold_count: usize,
+    next_start: Option<(f64, u32, usize)>,
 }
 
-/// An order, also for a while after it is over.
+/// An order; kept for a while after it has finished.
 #[derive(Clone, Debug)]
-struct Open {
+struct OpenOrder {
     by: Box<str>,
-    what: What,
-    at: Ticks,
+    operation: Operation,
+    ordered_at: Ticks,
     targets: Vec<usize>,
-    halted: Option<Box<str>>,
-    /// All of it is done, and that was told.
-    over: bool,
+    halted_by: Option<Box<str>>,
+    /// All of it is done, and that was logged.
+    finished: bool,
 }
 
-/// All instances of one agent, the orders for them, and what is due.
+/// All instances of one agent, the orders for them, and their timers.
 #[derive(Clone, Debug)]
 pub struct Fleet {
-    rules: Rules,
+    rules: PaceRules,
     rng: Rng,
     now: Ticks,
     stations: Vec<Station>,
     instances: Vec<Instance>,
     by_name: BTreeMap<Box<str>, usize>,
-    orders: BTreeMap<u64, Open>,
+    orders: BTreeMap<u64, OpenOrder>,
     next_order: u64,
-    wakes: BTreeSet<(Ticks, usize)>,
-    told_wake: Option<Ticks>,
-    /// Stations in which somebody waits for its start.
-    waiting: BTreeSet<usize>,
-    /// Why the journal could not be written last.
-    not_kept: Option<Box<str>>,
+    timers: BTreeSet<(Ticks, usize)>,
+    requested_timer: Option<Ticks>,
+    /// Stations in which an instance waits to be started.
+    stations_waiting: BTreeSet<usize>,
+    /// Why the last write to the journal failed.
+    journal_error: Option<Box<str>>,
 }
 
-/// Orders remembered once they are over, for whoever asks how they went.
-const MOST_ORDERS: usize = 256;
-/// A look that was not answered is asked for again.
-const LOOK_AGAIN: Ticks = 10 * crate::TICKS_PER_SECOND;
+/// Maximum number of remembered orders, finished ones included, so that their progress can still be queried.
+const MAX_ORDERS: usize = 256;
+/// After this time without an answer, a search for processes is requested again.
+const FIND_RETRY_INTERVAL: Ticks = 10 * crate::TICKS_PER_SECOND;
 
 impl Fleet {
-    /// `places`: each instance with its station; `kept`: what an earlier agent left of them.
-    pub fn start(
+    /// `assignments`: the name and station of each instance; `persisted`: what an earlier agent stored.
+    pub fn new(
         now: Ticks,
-        rules: Rules,
+        rules: PaceRules,
         seed: u64,
-        places: &[(Box<str>, Box<str>)],
-        mut kept: BTreeMap<Box<str>, Kept>,
-        out: &mut Vec<Do>,
+        assignments: &[(Box<str>, Box<str>)],
+        mut persisted: BTreeMap<Box<str>, PersistedState>,
+        effects: &mut Vec<Effect>,
     ) -> Fleet {
-        let next_order = kept.values().map(|k| k.order).max().unwrap_or(0) + 1;
+        let next_order = persisted.values().map(|s| s.order).max().unwrap_or(0) + 1;
         let mut fleet = Fleet {
             rng: Rng::with_seed(seed),
             now,
@@ -118,105 +121,108 @@
             by_name: BTreeMap::new(),
             orders: BTreeMap::new(),
             next_order,
-            wakes: BTreeSet::new(),
-            told_wake: None,
-            waiting: BTreeSet::new(),
-            not_kept: None,
+            timers: BTreeSet::new(),
+            requested_timer: None,
+            stations_waiting: BTreeSet::new(),
+            journal_error: None,
             rules,
         };
-        for (name, station) in places {
+        for (name, station) in assignments {
             if fleet.by_name.contains_key(name) {
                 continue;
             }
             let at = fleet.stations.iter().position(|s| s.name == *station).unwrap_or_else(|| {
-                let budget = Budget::full(now, &fleet.rules);
+                let budget = RestartBudget::full(now, &fleet.rules);
                 fleet.stations.push(Station {
                     name: station.clone(),
                     members: Vec::new(),
                     budget,
-                    told_budget: false,
-                    cold: 0,
-                    first: None,
+                    budget_reported: false,
+                    cold_count: 0,
+                    next_start: None,
                 });
                 fleet.stations.len() - 1
             });
-            let own = kept.remove(name).unwrap_or_default();
-            let mut instance = Instance::new(name, at, now, own);
-            // Whatever an earlier agent began is looked at before anything is done, also where it left nothing.
-            instance.looking = true;
-            out.push(Do::Look { name: name.clone() });
-            let place = fleet.instances.len();
-            fleet.stations[at].members.push(place);
-            fleet.by_name.insert(name.clone(), place);
+            let state = persisted.remove(name).unwrap_or_default();
+            let mut instance = Instance::new(name, at, now, state);
+            // Processes are looked up first, also where nothing was stored: an earlier agent may have started
+            // some.
+            instance.finding_processes = true;
+            effects.push(Effect::FindProcesses { name: name.clone() });
+            let index = fleet.instances.len();
+            fleet.stations[at].members.push(index);
+            fleet.by_name.insert(name.clone(), index);
             fleet.instances.push(instance);
-            fleet.wake(place, now + LOOK_AGAIN);
+            fleet.set_timer(index, now + FIND_RETRY_INTERVAL);
         }
-        fleet.tell_wake(out);
+        fleet.request_timer(effects);
         fleet
     }
 
-    fn clock(&mut self, now: Ticks) {
-        // A clock that was set back does not move what is due into the far future: time stands still until it is reached.
+    fn advance_clock(&mut self, now: Ticks) {
+        // If the clock was set back, time stands still until it catches up; otherwise timers would be far in
+        // the future.
         self.now = self.now.max(now);
     }
 
-    fn wake(&mut self, place: usize, at: Ticks) {
-        let own = &mut self.instances[place];
-        if own.wakes > 0 {
-            self.wakes.remove(&(own.wakes, place));
+    fn set_timer(&mut self, index: usize, at: Ticks) {
+        let instance = &mut self.instances[index];
+        if instance.timer_at > 0 {
+            self.timers.remove(&(instance.timer_at, index));
         }
-        own.wakes = at.max(1);
-        self.wakes.insert((own.wakes, place));
+        instance.timer_at = at.max(1);
+        self.timers.insert((instance.timer_at, index));
     }
 
-    fn tell_wake(&mut self, out: &mut Vec<Do>) {
-        let first = self.wakes.first().map(|w| w.0);
-        if let Some(at) = first.filter(|at| self.told_wake.is_none_or(|told| *at < told || told <= self.now))
-        {
-            self.told_wake = Some(at);
-            out.push(Do::Wake(at));
+    fn request_timer(&mut self, effects: &mut Vec<Effect>) {
+        let first = self.timers.first().map(|t| t.0);
+        if let Some(at) = first.filter(|at| {
+            self.requested_timer.is_none_or(|requested| *at < requested || requested <= self.now)
+        }) {
+            self.requested_timer = Some(at);
+            effects.push(Effect::SetTimer(at));
         }
     }
 
-    fn place(&self, name: &str) -> Option<usize> {
+    fn index_of(&self, name: &str) -> Option<usize> {
         self.by_name.get(name).copied()
     }
 
-    /// An instance, if it is this run of it that is spoken of.
-    fn of_run(&self, name: &str, run: Run) -> Option<usize> {
-        self.place(name)
-            .filter(|&p| self.instances[p].kept.run == run && self.instances[p].kept.ended.is_none())
+    /// The index of an instance, if this is its current run.
+    fn index_of_run(&self, name: &str, run: Run) -> Option<usize> {
+        self.index_of(name)
+            .filter(|&i| self.instances[i].persisted.run == run && self.instances[i].persisted.exit.is_none())
     }
 
-    fn keep(&self, place: usize, out: &mut Vec<Do>) {
-        let own = &self.instances[place];
-        out.push(Do::Keep(own.name.clone(), own.kept.clone()));
+    fn persist(&self, index: usize, effects: &mut Vec<Effect>) {
+        let instance = &self.instances[index];
+        effects.push(Effect::Persist(instance.name.clone(), instance.persisted.clone()));
     }
 
-    /// All of them, each with its station.
+    /// All instances with their stations.
     pub fn instances(&self) -> impl Iterator<Item = (&str, &Instance)> {
         self.instances.iter().map(|i| (&*self.stations[i.station].name, i))
     }
 
-    /// One of them.
+    /// One instance by name.
     pub fn instance(&self, name: &str) -> Option<&Instance> {
-        self.place(name).map(|p| &self.instances[p])
+        self.index_of(name).map(|i| &self.instances[i])
     }
 
-    /// Restarts that a station has left.
+    /// The restarts that a station has left.
     pub fn budget(&self, station: &str) -> Option<f64> {
-        let of = self.stations.iter().find(|s| &*s.name == station)?;
-        Some(of.budget.left(self.now, &self.rules))
+        let station_state = self.stations.iter().find(|s| &*s.name == station)?;
+        Some(station_state.budget.remaining(self.now, &self.rules))
     }
 
-    fn refuse_unkept(&self) -> Result<(), Refused> {
-        self.not_kept.clone().map_or(Ok(()), |why| Err(Refused::NotKept(why)))
+    fn check_journal(&self) -> Result<(), OrderRejection> {
+        self.journal_error.clone().map_or(Ok(()), |reason| Err(OrderRejection::JournalUnavailable(reason)))
     }
 
-    /// Of a station: those wanted running, and of these, those that serve.
-    fn wanted(&self, station: usize) -> (usize, usize) {
-        let own = || self.stations[station].members.iter().map(|&m| &self.instances[m]);
-        let wanted = own().filter(|i| i.kept.want == Want::Running).count();
-        (wanted, own().filter(|i| i.kept.want == Want::Running && i.serves()).count())
+    /// The number of a station's instances that should run, and how many of these serve.
+    fn count_desired(&self, station: usize) -> (usize, usize) {
+        let members = || self.stations[station].members.iter().map(|&m| &self.instances[m]);
+        let wanted = members().filter(|i| i.persisted.desired == DesiredState::Running).count();
+        (wanted, members().filter(|i| i.persisted.desired == DesiredState::Running && i.is_serving()).count())
     }
 }
--- a/crates/fleet/src/fleet/line.rs
+++ b/crates/fleet/src/fleet/log_event.rs
@@ -1,38 +1,38 @@
-//! What is told to the log, and to whoever watches.
+//! Events for the log and for watchers.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
 use crate::instance::{Exit, Phase};
-use crate::order::What;
+use crate::order::Operation;
 use crate::{Process, Run, Ticks};
 
-/// A line for the log, and for whoever watches.
+/// An event for the log, and for clients that watch the agent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Line {
+pub enum LogEvent {
     Ordered {
         number: u64,
         by: Box<str>,
-        what: What,
-        of: usize,
+        operation: Operation,
+        target_count: usize,
     },
-    Done {
+    Completed {
         number: u64,
-        what: What,
+        operation: Operation,
     },
-    /// The first that did not come back.
+    /// An instance did not come back, so the restart goes no further.
     Halted {
         number: u64,
-        what: What,
+        operation: Operation,
         name: Box<str>,
     },
-    Phase {
+    PhaseChanged {
         name: Box<str>,
         run: Run,
         phase: Phase,
     },
-    Ended {
+    Exited {
         name: Box<str>,
         run: Run,
         exit: Exit,
@@ -41,77 +41,79 @@
     NotStarted {
         name: Box<str>,
         run: Run,
-        why: Box<str>,
+        reason: Box<str>,
     },
-    SetAside {
+    Quarantined {
         name: Box<str>,
         failures: u32,
     },
-    /// A process of an earlier run, or of a second start, that nobody wants.
-    Stray {
+    /// A process of an earlier run, or of a duplicate start.
+    UnexpectedProcess {
         name: Box<str>,
         run: Run,
         process: Process,
     },
-    /// Taken over from an agent before this one.
+    /// Taken over from an earlier agent.
     Adopted {
         name: Box<str>,
         run: Run,
         process: Process,
     },
-    NoBudget {
+    BudgetExhausted {
         station: Box<str>,
         until: Ticks,
     },
-    NotKept {
+    JournalFailed {
         name: Box<str>,
     },
 }
 
-impl fmt::Display for Line {
+impl fmt::Display for LogEvent {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Line::Ordered { number, by, what, of } => {
-                write!(f, "order {number} by {by}: {what} of {of} instances")
+            LogEvent::Ordered { number, by, operation, target_count } => {
+                write!(f, "order {number} by {by}: {operation} of {target_count} instances")
             }
-            Line::Done { number, what } => write!(f, "order {number}: {what} is done"),
-            Line::Halted { number, what, name } => {
+            LogEvent::Completed { number, operation } => write!(f, "order {number}: {operation} is done"),
+            LogEvent::Halted { number, operation, name } => {
                 write!(
                     f,
-                    "order {number}: {what} stops, {name} does not come back; what was not begun stays as it is"
+                    "order {number}: {operation} stops, {name} does not come back; what was not begun stays as it is"
                 )
             }
-            Line::Phase { name, run, phase } => write!(f, "{name}, run {run}: {phase}"),
-            Line::Ended { name, run, exit, failures: 0 } => write!(f, "{name}, run {run}: ended ({exit})"),
-            Line::Ended { name, run, exit, failures } => {
+            LogEvent::PhaseChanged { name, run, phase } => write!(f, "{name}, run {run}: {phase}"),
+            LogEvent::Exited { name, run, exit, failures: 0 } => {
+                write!(f, "{name}, run {run}: ended ({exit})")
+            }
+            LogEvent::Exited { name, run, exit, failures } => {
                 write!(f, "{name}, run {run}: died ({exit}), {failures} in a row came to nothing")
             }
-            Line::NotStarted { name, run, why } => {
-                write!(f, "{name}, run {run}: could not be started: {why}")
+            LogEvent::NotStarted { name, run, reason } => {
+                write!(f, "{name}, run {run}: could not be started: {reason}")
             }
-            Line::SetAside { name, failures } => {
+            LogEvent::Quarantined { name, failures } => {
                 write!(
                     f,
                     "{name}: set aside after {failures} starts in a row that came to nothing: look at its log, then order its start"
                 )
             }
-            Line::Stray { name, run, process } => {
+            LogEvent::UnexpectedProcess { name, run, process } => {
                 write!(
                     f,
                     "{name}, run {run}: process {} is nobody's any more, and is told to end",
                     process.id
                 )
             }
-            Line::Adopted { name, run, process } => {
+            LogEvent::Adopted { name, run, process } => {
                 write!(f, "{name}, run {run}: process {} was running already and is taken over", process.id)
             }
-            Line::NoBudget { station, .. } => {
+            LogEvent::BudgetExhausted { station, .. } => {
                 write!(
                     f,
                     "{station}: its restarts are spent; the next one waits. `fleet restore` gives it new ones"
                 )
             }
-            Line::NotKept { name } => write!(f, "{name}: what was begun could not be kept"),
+            LogEvent::JournalFailed { name } => write!(f, "{name}: what was begun could not be kept"),
         }
     }
 }
--- a/crates/fleet/src/fleet/orders.rs
+++ b/crates/fleet/src/fleet/orders.rs
@@ -1,187 +1,217 @@
-//! Orders: taken whole or not at all, and followed until they are over.
+//! Orders: accepted as a whole or not at all, and followed until they have finished.
 
-use super::{Do, Fleet, Line, MOST_ORDERS, Open};
+use super::{Effect, Fleet, LogEvent, MAX_ORDERS, OpenOrder};
 use crate::Ticks;
-use crate::instance::{Phase, Want};
-use crate::order::{MOST_TARGETS, Order, Progress, Refused, What};
-use crate::pace::Budget;
+use crate::instance::{DesiredState, Phase};
+use crate::order::{MAX_TARGETS, Operation, Order, OrderRejection, Progress};
+use crate::pace::RestartBudget;
 
 impl Fleet {
-    /// The order's number; or why it is not taken, and then nothing of it is begun.
-    pub fn order(&mut self, now: Ticks, order: &Order, out: &mut Vec<Do>) -> Result<u64, Refused> {
-        self.clock(now);
-        self.refuse_unkept()?;
-        let places = self.may(order)?;
+    /// Returns the order's number, or why it is rejected; then nothing of it is done.
+    pub fn order(
+        &mut self,
+        now: Ticks,
+        order: &Order,
+        effects: &mut Vec<Effect>,
+    ) -> Result<u64, OrderRejection> {
+        self.advance_clock(now);
+        self.check_journal()?;
+        let indexes = self.validate(order)?;
         let number = self.next_order;
         self.next_order += 1;
-        for &place in &places {
-            let own = &mut self.instances[place];
-            let want = order.what.want().unwrap_or(own.kept.want);
-            let changes = order.what != What::Restore;
-            own.kept.revision += u64::from(changes);
-            (own.kept.by, own.kept.order) = (order.by.clone(), number);
-            own.kept.want = want;
-            own.kept.renew = order.what == What::Restart && own.phase.lives() && own.phase != Phase::Stopping;
-            if want == Want::Running {
-                // A person has said so: patience begins anew.
-                (own.kept.failures, own.kept.set_aside, own.start_at) = (0, false, self.now);
+        for &index in &indexes {
+            let instance = &mut self.instances[index];
+            let desired = order.operation.desired_state().unwrap_or(instance.persisted.desired);
+            let changes_state = order.operation != Operation::Restore;
+            instance.persisted.revision += u64::from(changes_state);
+            (instance.persisted.changed_by, instance.persisted.order) = (order.by.clone(), number);
+            instance.persisted.desired = desired;
+            instance.persisted.restart_pending = order.operation == Operation::Restart
+                && instance.phase.has_process()
+                && instance.phase != Phase::Stopping;
+            if desired == DesiredState::Running {
+                // Ordered by a person: failures are counted anew.
+                (instance.persisted.failures, instance.persisted.quarantined, instance.earliest_start) =
+                    (0, false, self.now);
             }
-            self.keep(place, out);
+            self.persist(index, effects);
         }
-        if order.what == What::Restore {
-            let stations: Vec<usize> = places.iter().map(|&p| self.instances[p].station).collect();
+        if order.operation == Operation::Restore {
+            let stations: Vec<usize> = indexes.iter().map(|&index| self.instances[index].station).collect();
             for station in stations {
-                self.stations[station].budget = Budget::full(self.now, &self.rules);
+                self.stations[station].budget = RestartBudget::full(self.now, &self.rules);
             }
         }
-        let (by, of) = (order.by.clone(), places.len());
-        out.push(Do::Tell(Line::Ordered { number, by: by.clone(), what: order.what, of }));
-        let open =
-            Open { by, what: order.what, at: self.now, targets: places.clone(), halted: None, over: false };
-        self.orders.insert(number, open);
-        while self.orders.len() > MOST_ORDERS {
+        let (by, target_count) = (order.by.clone(), indexes.len());
+        effects.push(Effect::Log(LogEvent::Ordered {
+            number,
+            by: by.clone(),
+            operation: order.operation,
+            target_count,
+        }));
+        let open_order = OpenOrder {
+            by,
+            operation: order.operation,
+            ordered_at: self.now,
+            targets: indexes.clone(),
+            halted_by: None,
+            finished: false,
+        };
+        self.orders.insert(number, open_order);
+        while self.orders.len() > MAX_ORDERS {
             self.orders.pop_first();
         }
-        for place in places {
-            self.settle(place, out);
+        for index in indexes {
+            self.advance(index, effects);
         }
-        self.tell_wake(out);
+        self.request_timer(effects);
         Ok(number)
     }
 
-    /// What an order would do, without doing it: the instances that it changes.
-    pub fn plan(&self, order: &Order) -> Result<Vec<(Box<str>, Phase, Want)>, Refused> {
-        let places = self.may(order)?;
-        let changed = places.into_iter().map(|p| &self.instances[p]).filter(|i| match order.what {
-            What::Restart => true,
-            What::Restore => i.kept.want == Want::Running && !i.serves(),
-            what => what.want() != Some(i.kept.want) || !i.settled(),
-        });
-        let want = |now: Want| order.what.want().unwrap_or(now);
-        Ok(changed.map(|i| (i.name.clone(), i.phase, want(i.kept.want))).collect())
+    /// The instances that an order would change, without changing them.
+    pub fn plan(&self, order: &Order) -> Result<Vec<(Box<str>, Phase, DesiredState)>, OrderRejection> {
+        let indexes = self.validate(order)?;
+        let changed =
+            indexes.into_iter().map(|index| &self.instances[index]).filter(|i| match order.operation {
+                Operation::Restart => true,
+                Operation::Restore => i.persisted.desired == DesiredState::Running && !i.is_serving(),
+                operation => operation.desired_state() != Some(i.persisted.desired) || !i.is_as_desired(),
+            });
+        let desired = |now: DesiredState| order.operation.desired_state().unwrap_or(now);
+        Ok(changed.map(|i| (i.name.clone(), i.phase, desired(i.persisted.desired))).collect())
     }
 
-    fn may(&self, order: &Order) -> Result<Vec<usize>, Refused> {
+    fn validate(&self, order: &Order) -> Result<Vec<usize>, OrderRejection> {
         if order.targets.is_empty() {
-            return Err(Refused::NoTargets);
+            return Err(OrderRejection::NoTargets);
         }
-        if order.targets.len() > MOST_TARGETS {
-            return Err(Refused::TooMany(order.targets.len()));
+        if order.targets.len() > MAX_TARGETS {
+            return Err(OrderRejection::TooManyTargets(order.targets.len()));
         }
-        let mut places = Vec::with_capacity(order.targets.len());
+        let mut indexes = Vec::with_capacity(order.targets.len());
         for (name, seen) in &order.targets {
-            let place = self.place(name).ok_or_else(|| Refused::NoSuch(name.clone()))?;
-            let own = &self.instances[place];
-            if seen.is_some_and(|seen| seen != own.kept.revision) {
-                return Err(Refused::Changed {
+            let index = self.index_of(name).ok_or_else(|| OrderRejection::UnknownInstance(name.clone()))?;
+            let instance = &self.instances[index];
+            if seen.is_some_and(|seen| seen != instance.persisted.revision) {
+                return Err(OrderRejection::Changed {
                     name: name.clone(),
-                    by: own.kept.by.clone(),
-                    order: own.kept.order,
-                    want: own.kept.want,
-                    revision: own.kept.revision,
+                    by: instance.persisted.changed_by.clone(),
+                    order: instance.persisted.order,
+                    desired: instance.persisted.desired,
+                    revision: instance.persisted.revision,
                 });
             }
-            // It may be started after its end, but not be kept from it.
-            if own.phase == Phase::Stopping && own.kept.want == Want::Stopped && order.what == What::Drain {
-                return Err(Refused::Ends(name.clone()));
+            // It may be started after its exit, but the exit can't be prevented.
+            if instance.phase == Phase::Stopping
+                && instance.persisted.desired == DesiredState::Stopped
+                && order.operation == Operation::Drain
+            {
+                return Err(OrderRejection::AlreadyStopping(name.clone()));
             }
-            if !places.contains(&place) {
-                places.push(place);
+            if !indexes.contains(&index) {
+                indexes.push(index);
             }
         }
-        if order.what.takes_away() {
-            self.leaves_some(order, &places)?;
+        if order.operation.reduces_capacity() {
+            self.check_last_serving(order, &indexes)?;
         }
-        Ok(places)
+        Ok(indexes)
     }
 
-    /// A station that serves is not left without a serving instance, unless it is forced by its name.
-    fn leaves_some(&self, order: &Order, places: &[usize]) -> Result<(), Refused> {
+    /// A station that serves keeps at least one serving instance, unless the order forces it by the station's
+    /// name.
+    fn check_last_serving(&self, order: &Order, indexes: &[usize]) -> Result<(), OrderRejection> {
         for station in &self.stations {
             if order.force.contains(&station.name) {
                 continue;
             }
             let serving: Vec<usize> =
-                station.members.iter().copied().filter(|&m| self.instances[m].serves()).collect();
-            let left = serving
-                .iter()
-                .filter(|m| !places.contains(m) && self.instances[**m].kept.want == Want::Running);
-            let last = match order.what {
-                // They go one after the other.
-                What::Restart => serving.len() == 1,
+                station.members.iter().copied().filter(|&m| self.instances[m].is_serving()).collect();
+            let left = serving.iter().filter(|m| {
+                !indexes.contains(m) && self.instances[**m].persisted.desired == DesiredState::Running
+            });
+            let is_last = match order.operation {
+                // They are restarted one after the other.
+                Operation::Restart => serving.len() == 1,
                 _ => left.count() == 0,
             };
-            if last && serving.iter().any(|m| places.contains(m)) {
-                return Err(Refused::LastOf { station: station.name.clone() });
+            if is_last && serving.iter().any(|m| indexes.contains(m)) {
+                return Err(OrderRejection::LastServing { station: station.name.clone() });
             }
         }
         Ok(())
     }
 
-    /// An instance of an order has died: a restart goes no further.
-    pub(super) fn halt(&mut self, place: usize, out: &mut Vec<Do>) {
-        let own = &self.instances[place];
-        let (number, name) = (own.kept.order, own.name.clone());
-        let Some(open) =
-            self.orders.get_mut(&number).filter(|o| o.what == What::Restart && o.halted.is_none() && !o.over)
+    /// An instance of an order has died: a restart halts.
+    pub(super) fn halt_restart(&mut self, index: usize, effects: &mut Vec<Effect>) {
+        let instance = &self.instances[index];
+        let (number, name) = (instance.persisted.order, instance.name.clone());
+        let Some(open_order) = self
+            .orders
+            .get_mut(&number)
+            .filter(|o| o.operation == Operation::Restart && o.halted_by.is_none() && !o.finished)
         else {
             return;
         };
-        open.halted = Some(name.clone());
-        out.push(Do::Tell(Line::Halted { number, what: What::Restart, name }));
-        for target in open.targets.clone() {
+        open_order.halted_by = Some(name.clone());
+        effects.push(Effect::Log(LogEvent::Halted { number, operation: Operation::Restart, name }));
+        for target in open_order.targets.clone() {
             let other = &mut self.instances[target];
-            // What has not been told to drain yet stays as it is.
-            if other.kept.order == number && matches!(other.phase, Phase::Ready | Phase::Starting) {
-                other.kept.renew = false;
-                self.keep(target, out);
+            // Instances that were not told to drain yet stay as they are.
+            if other.persisted.order == number && matches!(other.phase, Phase::Ready | Phase::Starting) {
+                other.persisted.restart_pending = false;
+                self.persist(target, effects);
             }
         }
     }
 
-    /// Tells the order that an instance's last step has brought to its end. Called after each input: it looks no further
-    /// than the first that is not done.
-    pub(super) fn tell_done(&mut self, place: usize, out: &mut Vec<Do>) {
-        let number = self.instances[place].kept.order;
-        let Some(open) = self.orders.get(&number).filter(|o| !o.over && o.halted.is_none()) else { return };
-        let done = |&t: &usize| {
-            let own = &self.instances[t];
-            own.kept.order == number && !own.kept.set_aside && own.settled()
+    /// Logs that an order is done, if this instance was the last. Called after each input; it stops at the
+    /// first instance that is not done.
+    pub(super) fn report_completion(&mut self, index: usize, effects: &mut Vec<Effect>) {
+        let number = self.instances[index].persisted.order;
+        let Some(open_order) = self.orders.get(&number).filter(|o| !o.finished && o.halted_by.is_none())
+        else {
+            return;
+        };
+        let is_done = |&t: &usize| {
+            let instance = &self.instances[t];
+            instance.persisted.order == number && !instance.persisted.quarantined && instance.is_as_desired()
         };
-        let what = open.what;
-        if open.targets.iter().all(done) {
-            self.orders.entry(number).and_modify(|o| o.over = true);
-            out.push(Do::Tell(Line::Done { number, what }));
+        let operation = open_order.operation;
+        if open_order.targets.iter().all(is_done) {
+            self.orders.entry(number).and_modify(|o| o.finished = true);
+            effects.push(Effect::Log(LogEvent::Completed { number, operation }));
         }
     }
 
-    /// How an order is doing; none of one that is forgotten, or was of an earlier agent.
+    /// The progress of an order; none if it was dropped, or given to an earlier agent.
     pub fn progress(&self, number: u64) -> Option<Progress> {
-        let open = self.orders.get(&number)?;
-        let mut p = Progress {
+        let open_order = self.orders.get(&number)?;
+        let mut progress = Progress {
             number,
-            by: open.by.clone(),
-            what: open.what,
-            at: open.at,
-            of: open.targets.len(),
+            by: open_order.by.clone(),
+            operation: open_order.operation,
+            ordered_at: open_order.ordered_at,
+            target_count: open_order.targets.len(),
             done: 0,
-            overtaken: 0,
+            superseded: 0,
             failed: Vec::new(),
-            waits_for: Vec::new(),
-            halted: open.halted.is_some(),
+            pending: Vec::new(),
+            halted: open_order.halted_by.is_some(),
         };
-        for own in open.targets.iter().map(|&t| &self.instances[t]) {
-            if own.kept.order != number {
-                p.overtaken += 1;
-            } else if own.kept.set_aside || open.halted.as_ref() == Some(&own.name) {
-                p.failed.push(own.name.clone());
-            } else if own.settled() {
-                p.done += 1;
+        for instance in open_order.targets.iter().map(|&t| &self.instances[t]) {
+            if instance.persisted.order != number {
+                progress.superseded += 1;
+            } else if instance.persisted.quarantined || open_order.halted_by.as_ref() == Some(&instance.name)
+            {
+                progress.failed.push(instance.name.clone());
+            } else if instance.is_as_desired() {
+                progress.done += 1;
             } else {
-                p.waits_for.push(own.name.clone());
+                progress.pending.push(instance.name.clone());
             }
         }
-        Some(p)
+        Some(progress)
     }
 
     pub fn orders(&self) -> impl DoubleEndedIterator<Item = u64> {
--- a/crates/fleet/src/fleet/reports.rs
+++ b/crates/fleet/src/fleet/reports.rs
@@ -1,144 +1,166 @@
-//! What the shell reports: processes found, started and ended, checks, the journal, and the time.
+//! Reports from the shell: processes found, started and exited, health checks, the journal, and timers.
 
-use super::{Do, Fleet, Line};
-use crate::instance::{Check, Exit, KILL_AFTER, Kept, Phase, Step, Want};
+use super::{Effect, Fleet, LogEvent};
+use crate::instance::{Check, DesiredState, Exit, KILL_TIMEOUT, PersistedState, Phase, Step};
 use crate::{Process, Run, Ticks};
 
 impl Fleet {
-    /// What the journal said when it could not be written.
-    pub fn not_kept(&mut self, now: Ticks, name: &str, why: &str, out: &mut Vec<Do>) {
-        self.clock(now);
-        if self.not_kept.replace(why.into()).is_none() {
-            out.push(Do::Tell(Line::NotKept { name: name.into() }));
+    /// The journal could not be written.
+    pub fn on_journal_error(&mut self, now: Ticks, name: &str, reason: &str, effects: &mut Vec<Effect>) {
+        self.advance_clock(now);
+        if self.journal_error.replace(reason.into()).is_none() {
+            effects.push(Effect::Log(LogEvent::JournalFailed { name: name.into() }));
         }
     }
 
     /// The journal can be written again.
-    pub fn kept(&mut self) {
-        self.not_kept = None;
+    pub fn on_journal_ok(&mut self) {
+        self.journal_error = None;
     }
 
-    /// All processes that carry the instance's mark.
-    pub fn found(&mut self, now: Ticks, name: &str, processes: &[(Run, Process)], out: &mut Vec<Do>) {
-        self.clock(now);
-        let Some(place) = self.place(name) else { return };
-        let own = &mut self.instances[place];
-        if !std::mem::take(&mut own.looking) {
+    /// All processes with the instance's mark.
+    pub fn on_processes_found(
+        &mut self,
+        now: Ticks,
+        name: &str,
+        processes: &[(Run, Process)],
+        effects: &mut Vec<Effect>,
+    ) {
+        self.advance_clock(now);
+        let Some(index) = self.index_of(name) else { return };
+        let instance = &mut self.instances[index];
+        if !std::mem::take(&mut instance.finding_processes) {
             return;
         }
-        let known = own.kept.process;
-        let run = own.kept.run;
-        if own.kept == Kept::default() && !processes.is_empty() {
-            // The journal was lost. What runs was wanted by somebody; to stop it would be to act on knowing nothing.
-            (own.kept.want, own.kept.revision, own.inherited) = (Want::Running, 1, true);
-            own.kept.by = "found running".into();
+        let known = instance.persisted.process;
+        let run = instance.persisted.run;
+        if instance.persisted == PersistedState::default() && !processes.is_empty() {
+            // The journal was lost. Somebody wanted what is running, so it must not be stopped without
+            // knowing more.
+            (instance.persisted.desired, instance.persisted.revision, instance.desired_unknown) =
+                (DesiredState::Running, 1, true);
+            instance.persisted.changed_by = "found running".into();
         }
-        // Of this run there should be one; of two the one that is known, or else the one that began first.
-        let mut ours: Vec<Process> = processes.iter().filter(|p| p.0 == run).map(|p| p.1).collect();
-        ours.sort_by_key(|p| (Some(*p) != known, p.born, p.id));
-        // The journal may be older than what was begun from it: then the latest run is the one.
-        let later = processes.iter().filter(|p| p.0 > run).max_by_key(|p| (p.0, std::cmp::Reverse(p.1)));
-        let chosen = later.copied().or(ours.first().map(|p| (run, *p)));
+        // One process of this run is expected; of several, the known one is kept, or else the oldest.
+        let mut of_this_run: Vec<Process> = processes.iter().filter(|p| p.0 == run).map(|p| p.1).collect();
+        of_this_run.sort_by_key(|p| (Some(*p) != known, p.start_time, p.id));
+        // The journal may be older than a later start: then the process of the latest run is kept.
+        let of_later_run =
+            processes.iter().filter(|p| p.0 > run).max_by_key(|p| (p.0, std::cmp::Reverse(p.1)));
+        let chosen = of_later_run.copied().or(of_this_run.first().map(|p| (run, *p)));
         if let Some((run, process)) = chosen {
-            let new = known != Some(process);
-            if own.kept.run != run || own.kept.ended.is_some() {
-                (own.kept.run, own.kept.ended, own.kept.step) = (run, None, None);
-                own.to(self.now, Phase::Starting);
+            let is_new = known != Some(process);
+            if instance.persisted.run != run || instance.persisted.exit.is_some() {
+                (instance.persisted.run, instance.persisted.exit, instance.persisted.pending_step) =
+                    (run, None, None);
+                instance.enter_phase(self.now, Phase::Starting);
             }
-            own.kept.process = Some(process);
-            (own.next_check, own.answered_at) = (self.now, self.now);
-            let ends = own.phase == Phase::Stopping;
-            if ends {
-                // Its signal may not have been sent.
-                own.kill_at = self.now + KILL_AFTER;
-                out.push(Do::Signal { name: name.into(), process, kill: false });
+            instance.persisted.process = Some(process);
+            (instance.next_check, instance.last_answer_at) = (self.now, self.now);
+            let is_stopping = instance.phase == Phase::Stopping;
+            if is_stopping {
+                // The signal may not have been sent.
+                instance.kill_at = self.now + KILL_TIMEOUT;
+                effects.push(Effect::Signal { name: name.into(), process, kill: false });
             }
-            if new {
-                self.keep(place, out);
-                out.push(Do::Tell(Line::Adopted { name: name.into(), run, process }));
+            if is_new {
+                self.persist(index, effects);
+                effects.push(Effect::Log(LogEvent::Adopted { name: name.into(), run, process }));
             }
-        } else if own.kept.run > 0 && own.kept.ended.is_none() {
-            match (own.kept.step, known) {
-                // Its start was about to be, and never was: that is nobody's failure.
+        } else if instance.persisted.run > 0 && instance.persisted.exit.is_none() {
+            match (instance.persisted.pending_step, known) {
+                // The start was persisted but not made, which is no failure.
                 (Some(Step::Start), None) => {
-                    (own.kept.ended, own.kept.step) = (Some(Exit::Unseen), None);
-                    own.to(self.now, Phase::Failed);
+                    (instance.persisted.exit, instance.persisted.pending_step) =
+                        (Some(Exit::Unobserved), None);
+                    instance.enter_phase(self.now, Phase::Failed);
                 }
                 _ => {
-                    self.end(place, Exit::Unseen, out);
+                    self.record_exit(index, Exit::Unobserved, effects);
                 }
             }
-            self.keep(place, out);
+            self.persist(index, effects);
         }
         for (run, process) in processes.iter().filter(|p| Some(**p) != chosen) {
-            out.push(Do::Tell(Line::Stray { name: name.into(), run: *run, process: *process }));
-            out.push(Do::Signal { name: name.into(), process: *process, kill: false });
+            effects.push(Effect::Log(LogEvent::UnexpectedProcess {
+                name: name.into(),
+                run: *run,
+                process: *process,
+            }));
+            effects.push(Effect::Signal { name: name.into(), process: *process, kill: false });
         }
-        self.settle(place, out);
+        self.advance(index, effects);
     }
 
-    /// A start that was asked for has made a process, or has not: why.
-    pub fn started(
+    /// The outcome of a requested start: its process, or why there is none.
+    pub fn on_started(
         &mut self,
         now: Ticks,
         name: &str,
         run: Run,
-        made: Result<Process, Box<str>>,
-        out: &mut Vec<Do>,
+        result: Result<Process, Box<str>>,
+        effects: &mut Vec<Effect>,
     ) {
-        self.clock(now);
-        let Some(place) = self.of_run(name, run) else { return };
-        match made {
+        self.advance_clock(now);
+        let Some(index) = self.index_of_run(name, run) else { return };
+        match result {
             Ok(process) => {
-                let own = &mut self.instances[place];
-                (own.kept.process, own.kept.step) = (Some(process), None);
-                (own.next_check, own.answered_at) = (self.now, self.now);
-                self.keep(place, out);
+                let instance = &mut self.instances[index];
+                (instance.persisted.process, instance.persisted.pending_step) = (Some(process), None);
+                (instance.next_check, instance.last_answer_at) = (self.now, self.now);
+                self.persist(index, effects);
             }
-            Err(why) => {
-                out.push(Do::Tell(Line::NotStarted { name: name.into(), run, why }));
-                self.end(place, Exit::Unseen, out);
-                self.keep(place, out);
+            Err(reason) => {
+                effects.push(Effect::Log(LogEvent::NotStarted { name: name.into(), run, reason }));
+                self.record_exit(index, Exit::Unobserved, effects);
+                self.persist(index, effects);
             }
         }
-        self.settle(place, out);
+        self.advance(index, effects);
     }
 
-    /// A process has ended. Of one that is not the instance's it says nothing.
-    pub fn exited(&mut self, now: Ticks, name: &str, process: Process, exit: Exit, out: &mut Vec<Do>) {
-        self.clock(now);
-        let Some(place) = self.place(name) else { return };
-        if self.instances[place].kept.process != Some(process) {
+    /// A process has exited. Ignored if it is not the instance's current one.
+    pub fn on_exited(
+        &mut self,
+        now: Ticks,
+        name: &str,
+        process: Process,
+        exit: Exit,
+        effects: &mut Vec<Effect>,
+    ) {
+        self.advance_clock(now);
+        let Some(index) = self.index_of(name) else { return };
+        if self.instances[index].persisted.process != Some(process) {
             return;
         }
-        self.end(place, exit, out);
-        self.keep(place, out);
-        self.settle(place, out);
+        self.record_exit(index, exit, effects);
+        self.persist(index, effects);
+        self.advance(index, effects);
     }
 
-    /// What a check of a run has shown.
-    pub fn checked(&mut self, now: Ticks, name: &str, run: Run, check: Check, out: &mut Vec<Do>) {
-        self.clock(now);
-        let Some(place) = self.of_run(name, run) else { return };
-        let own = &mut self.instances[place];
-        let (before, inherited) = (own.phase, own.inherited);
-        own.checked(self.now, check);
-        let phase = own.phase;
-        if own.inherited != inherited {
-            self.keep(place, out);
+    /// The result of a health check of a run.
+    pub fn on_checked(&mut self, now: Ticks, name: &str, run: Run, check: Check, effects: &mut Vec<Effect>) {
+        self.advance_clock(now);
+        let Some(index) = self.index_of_run(name, run) else { return };
+        let instance = &mut self.instances[index];
+        let (previous_phase, desired_unknown) = (instance.phase, instance.desired_unknown);
+        instance.on_check(self.now, check);
+        let phase = instance.phase;
+        if instance.desired_unknown != desired_unknown {
+            self.persist(index, effects);
         }
-        if phase != before {
-            out.push(Do::Tell(Line::Phase { name: name.into(), run, phase }));
+        if phase != previous_phase {
+            effects.push(Effect::Log(LogEvent::PhaseChanged { name: name.into(), run, phase }));
         }
-        self.settle(place, out);
+        self.advance(index, effects);
     }
 
-    fn end(&mut self, place: usize, exit: Exit, out: &mut Vec<Do>) {
-        let own = &mut self.instances[place];
-        let (name, run) = (own.name.clone(), own.kept.run);
-        let failed = own.ended(self.now, exit);
-        let failures = own.kept.failures;
-        out.push(Do::Tell(Line::Ended {
+    fn record_exit(&mut self, index: usize, exit: Exit, effects: &mut Vec<Effect>) {
+        let instance = &mut self.instances[index];
+        let (name, run) = (instance.name.clone(), instance.persisted.run);
+        let failed = instance.on_exit(self.now, exit);
+        let failures = instance.persisted.failures;
+        effects.push(Effect::Log(LogEvent::Exited {
             name: name.clone(),
             run,
             exit,
@@ -147,26 +169,28 @@
         if !failed {
             return;
         }
-        own.start_at = self.now + crate::pace::pause(failures, &mut self.rng);
-        if failures >= self.rules.most_failures && !std::mem::replace(&mut own.kept.set_aside, true) {
-            out.push(Do::Tell(Line::SetAside { name, failures }));
+        instance.earliest_start = self.now + crate::pace::backoff(failures, &mut self.rng);
+        if failures >= self.rules.max_failures
+            && !std::mem::replace(&mut instance.persisted.quarantined, true)
+        {
+            effects.push(Effect::Log(LogEvent::Quarantined { name, failures }));
         }
-        self.halt(place, out);
+        self.halt_restart(index, effects);
     }
 
-    /// To be called when [`Do::Wake`] says.
-    pub fn due(&mut self, now: Ticks, out: &mut Vec<Do>) {
-        self.clock(now);
-        // One timer counts, the earliest; each that was asked for before it would otherwise ask for one more.
-        if self.told_wake.is_some_and(|at| at > self.now) {
+    /// To be called at the time of [`Effect::SetTimer`].
+    pub fn on_timer(&mut self, now: Ticks, effects: &mut Vec<Effect>) {
+        self.advance_clock(now);
+        // Only the earliest timer counts; otherwise each earlier request would cause one more.
+        if self.requested_timer.is_some_and(|at| at > self.now) {
             return;
         }
-        self.told_wake = None;
-        while let Some((at, place)) = self.wakes.first().copied().filter(|w| w.0 <= self.now) {
-            self.wakes.remove(&(at, place));
-            self.instances[place].wakes = 0;
-            self.settle(place, out);
+        self.requested_timer = None;
+        while let Some((at, index)) = self.timers.first().copied().filter(|w| w.0 <= self.now) {
+            self.timers.remove(&(at, index));
+            self.instances[index].timer_at = 0;
+            self.advance(index, effects);
         }
-        self.tell_wake(out);
+        self.request_timer(effects);
     }
 }
--- a/crates/fleet/src/fleet/steps.rs
+++ b/crates/fleet/src/fleet/steps.rs
@@ -1,230 +1,263 @@
-//! The next step of each instance, and who may start now.
+//! The next step of each instance, and which may start now.
 
-use super::{Do, Fleet, LOOK_AGAIN, Line};
+use super::{Effect, FIND_RETRY_INTERVAL, Fleet, LogEvent};
 use crate::Ticks;
-use crate::instance::{CHECK_EACH, CHECK_START_EACH, KILL_AFTER, Phase, START_WITHIN, Step, Want};
-use crate::pace::most_down;
+use crate::instance::{
+    CHECK_INTERVAL, DesiredState, KILL_TIMEOUT, Phase, START_TIMEOUT, STARTUP_CHECK_INTERVAL, Step,
+};
+use crate::pace::max_down;
 
 impl Fleet {
-    /// Takes an instance's next step, and whatever others may do now that it has changed.
-    pub(super) fn settle(&mut self, place: usize, out: &mut Vec<Do>) {
-        self.step(place, out);
-        let station = self.instances[place].station;
-        // Room for one to go down, or to start, may have come up.
+    /// Takes the instance's next step, and those that others may take now that it has changed.
+    pub(super) fn advance(&mut self, index: usize, effects: &mut Vec<Effect>) {
+        self.step(index, effects);
+        let station = self.instances[index].station;
+        // Another instance may now be allowed to go down, or to start.
         for n in 0..self.stations[station].members.len() {
             let other = self.stations[station].members[n];
-            if other != place && self.waits_to_go(other) {
-                self.step(other, out);
+            if other != index && self.waits_for_drain(other) {
+                self.step(other, effects);
             }
         }
-        self.starts(station, out);
-        self.tell_done(place, out);
-        self.tell_wake(out);
+        self.start_waiting(station, effects);
+        self.report_completion(index, effects);
+        self.request_timer(effects);
     }
 
-    /// It is to be taken away from its clients, and has not begun.
-    fn waits_to_go(&self, place: usize) -> bool {
-        let own = &self.instances[place];
-        own.phase == Phase::Ready && (own.kept.renew || own.kept.want != Want::Running)
+    /// It is to be taken away from its clients, and this has not begun.
+    fn waits_for_drain(&self, index: usize) -> bool {
+        let instance = &self.instances[index];
+        instance.phase == Phase::Ready
+            && (instance.persisted.restart_pending || instance.persisted.desired != DesiredState::Running)
     }
 
-    /// So many of its station are on their way down or back by orders.
-    fn room_to_go(&self, station: usize) -> bool {
+    /// Whether fewer of the station's instances than allowed are on their way down, or back up, by orders.
+    fn may_go_down(&self, station: usize) -> bool {
         let members = || self.stations[station].members.iter().map(|&m| &self.instances[m]);
-        let going = members().filter(|i| match i.phase {
-            Phase::Draining => !(i.kept.want == Want::Drained && i.drained),
+        let going_down = members().filter(|i| match i.phase {
+            Phase::Draining => !(i.persisted.desired == DesiredState::Drained && i.drained),
             Phase::Stopping => true,
-            // Those that come back after an order, or died meanwhile, are missed as much.
-            Phase::Starting | Phase::Lost => i.kept.want == Want::Running,
-            Phase::Failed | Phase::Stopped => i.kept.want == Want::Running && !i.kept.set_aside,
+            // Those that come back after an order, or died meanwhile, are missing just as well.
+            Phase::Starting | Phase::Lost => i.persisted.desired == DesiredState::Running,
+            Phase::Failed | Phase::Stopped => {
+                i.persisted.desired == DesiredState::Running && !i.persisted.quarantined
+            }
             Phase::Absent | Phase::Ready => false,
         });
-        going.count() < most_down(&self.rules, self.stations[station].members.len())
+        going_down.count() < max_down(&self.rules, self.stations[station].members.len())
     }
 
-    fn to(&mut self, place: usize, phase: Phase, out: &mut Vec<Do>) {
-        let own = &mut self.instances[place];
-        if own.phase != phase {
-            own.to(self.now, phase);
-            out.push(Do::Tell(Line::Phase { name: own.name.clone(), run: own.kept.run, phase }));
+    fn enter_phase(&mut self, index: usize, phase: Phase, effects: &mut Vec<Effect>) {
+        let instance = &mut self.instances[index];
+        if instance.phase != phase {
+            instance.enter_phase(self.now, phase);
+            effects.push(Effect::Log(LogEvent::PhaseChanged {
+                name: instance.name.clone(),
+                run: instance.persisted.run,
+                phase,
+            }));
         }
     }
 
-    fn step(&mut self, place: usize, out: &mut Vec<Do>) {
+    fn step(&mut self, index: usize, effects: &mut Vec<Effect>) {
         let now = self.now;
-        let own = &self.instances[place];
-        let (name, run, since) = (own.name.clone(), own.kept.run, own.since);
-        if own.looking {
-            if own.wakes <= now {
-                out.push(Do::Look { name });
-                self.wake(place, now + LOOK_AGAIN);
+        let instance = &self.instances[index];
+        let (name, run, phase_since) = (instance.name.clone(), instance.persisted.run, instance.phase_since);
+        if instance.finding_processes {
+            if instance.timer_at <= now {
+                effects.push(Effect::FindProcesses { name });
+                self.set_timer(index, now + FIND_RETRY_INTERVAL);
             }
             return;
         }
-        if !own.phase.lives() {
-            // Starts are given out in their turn; until then there is nothing to do here.
-            if own.kept.want == Want::Running && !own.kept.set_aside && own.start_at > now {
-                let at = own.start_at;
-                self.wake(place, at);
+        if !instance.phase.has_process() {
+            // `start_waiting` chooses what to start; until then there is nothing to do.
+            if instance.persisted.desired == DesiredState::Running
+                && !instance.persisted.quarantined
+                && instance.earliest_start > now
+            {
+                let at = instance.earliest_start;
+                self.set_timer(index, at);
             }
             return;
         }
-        let Some(process) = own.kept.process else {
-            // Its start was asked for, and what came of it was not told.
-            if now >= since + LOOK_AGAIN {
-                self.instances[place].looking = true;
-                out.push(Do::Look { name });
+        let Some(process) = instance.persisted.process else {
+            // Its start was requested, but the outcome was not reported.
+            if now >= phase_since + FIND_RETRY_INTERVAL {
+                self.instances[index].finding_processes = true;
+                effects.push(Effect::FindProcesses { name });
             }
-            return self.wake(place, now + LOOK_AGAIN);
+            return self.set_timer(index, now + FIND_RETRY_INTERVAL);
         };
-        let goes = own.kept.renew || own.kept.want == Want::Stopped;
-        match own.phase {
-            Phase::Starting if own.kept.want == Want::Stopped || now >= since + START_WITHIN => {
-                self.term(place, out)
+        let stops = instance.persisted.restart_pending || instance.persisted.desired == DesiredState::Stopped;
+        match instance.phase {
+            Phase::Starting
+                if instance.persisted.desired == DesiredState::Stopped
+                    || now >= phase_since + START_TIMEOUT =>
+            {
+                self.terminate(index, effects)
             }
-            Phase::Lost => self.term(place, out),
-            // It still tells its clients to go elsewhere, by the word of an agent before this one.
-            Phase::Starting if own.drained && !own.inherited => {
-                out.push(Do::Drain { name: name.clone(), process, on: false });
-                self.instances[place].drained = false;
+            Phase::Lost => self.terminate(index, effects),
+            // Still draining by order of an earlier agent.
+            Phase::Starting if instance.drained && !instance.desired_unknown => {
+                effects.push(Effect::Drain { name: name.clone(), process, on: false });
+                self.instances[index].drained = false;
             }
-            Phase::Ready if (goes || own.kept.want == Want::Drained) && self.room_to_go(own.station) => {
-                out.push(Do::Drain { name: name.clone(), process, on: true });
-                self.instances[place].drained = false;
-                self.to(place, Phase::Draining, out);
+            Phase::Ready
+                if (stops || instance.persisted.desired == DesiredState::Drained)
+                    && self.may_go_down(instance.station) =>
+            {
+                effects.push(Effect::Drain { name: name.clone(), process, on: true });
+                self.instances[index].drained = false;
+                self.enter_phase(index, Phase::Draining, effects);
             }
-            Phase::Draining if goes => {
-                // It says so, and its clients have had time to see it; or it does not heed it, and goes all the same.
-                let waited = now >= since + self.rules.drain_for;
-                if waited && own.drained || now >= since + 2 * self.rules.drain_for {
-                    self.term(place, out);
-                } else if !own.drained {
-                    out.push(Do::Drain { name: name.clone(), process, on: true });
+            Phase::Draining if stops => {
+                // It reports that it drains, and its clients have had time to notice; or it ignores the
+                // request, and is stopped all the same.
+                let waited = now >= phase_since + self.rules.drain_time;
+                if waited && instance.drained || now >= phase_since + 2 * self.rules.drain_time {
+                    self.terminate(index, effects);
+                } else if !instance.drained {
+                    effects.push(Effect::Drain { name: name.clone(), process, on: true });
                 }
             }
-            Phase::Draining if own.kept.want == Want::Running => {
-                out.push(Do::Drain { name: name.clone(), process, on: false });
-                self.to(place, Phase::Starting, out);
+            Phase::Draining if instance.persisted.desired == DesiredState::Running => {
+                effects.push(Effect::Drain { name: name.clone(), process, on: false });
+                self.enter_phase(index, Phase::Starting, effects);
+            }
+            Phase::Draining if !instance.drained => {
+                effects.push(Effect::Drain { name: name.clone(), process, on: true })
             }
-            Phase::Draining if !own.drained => out.push(Do::Drain { name: name.clone(), process, on: true }),
-            Phase::Stopping if now >= own.kill_at => {
-                self.instances[place].kept.step = Some(Step::Kill);
-                self.instances[place].kill_at = now + KILL_AFTER;
-                self.keep(place, out);
-                out.push(Do::Signal { name: name.clone(), process, kill: true });
+            Phase::Stopping if now >= instance.kill_at => {
+                self.instances[index].persisted.pending_step = Some(Step::Kill);
+                self.instances[index].kill_at = now + KILL_TIMEOUT;
+                self.persist(index, effects);
+                effects.push(Effect::Signal { name: name.clone(), process, kill: true });
             }
             _ => {}
         }
-        self.look_on(place, out, run, &name);
+        self.schedule_check(index, effects, run, &name);
     }
 
-    /// Checks, and the next time that something is due.
-    fn look_on(&mut self, place: usize, out: &mut Vec<Do>, run: u64, name: &str) {
-        let (now, drain_for) = (self.now, self.rules.drain_for);
-        let own = &mut self.instances[place];
-        let looks = matches!(own.phase, Phase::Starting | Phase::Ready | Phase::Draining | Phase::Lost);
-        if looks && now >= own.next_check {
-            own.next_check = now + if own.phase == Phase::Starting { CHECK_START_EACH } else { CHECK_EACH };
-            out.push(Do::Check { name: name.into(), run });
+    /// Requests health checks, and sets the timer for the next step.
+    fn schedule_check(&mut self, index: usize, effects: &mut Vec<Effect>, run: u64, name: &str) {
+        let (now, drain_time) = (self.now, self.rules.drain_time);
+        let instance = &mut self.instances[index];
+        let is_checked =
+            matches!(instance.phase, Phase::Starting | Phase::Ready | Phase::Draining | Phase::Lost);
+        if is_checked && now >= instance.next_check {
+            instance.next_check =
+                now + if instance.phase == Phase::Starting { STARTUP_CHECK_INTERVAL } else { CHECK_INTERVAL };
+            effects.push(Effect::Check { name: name.into(), run });
         }
-        let at: Ticks = match own.phase {
-            Phase::Stopping => own.kill_at,
-            Phase::Draining => own.next_check.min(own.since + drain_for).max(now + 1),
-            _ => own.next_check,
+        let at: Ticks = match instance.phase {
+            Phase::Stopping => instance.kill_at,
+            Phase::Draining => instance.next_check.min(instance.phase_since + drain_time).max(now + 1),
+            _ => instance.next_check,
         };
-        self.wake(place, at.max(now + 1));
+        self.set_timer(index, at.max(now + 1));
     }
 
-    fn term(&mut self, place: usize, out: &mut Vec<Do>) {
-        let own = &mut self.instances[place];
-        let Some(process) = own.kept.process else { return };
-        own.at_fault = own.kept.want != Want::Stopped && !own.kept.renew;
-        own.kept.step = Some(Step::Term);
-        own.kill_at = self.now + KILL_AFTER;
-        self.keep(place, out);
-        let name = self.instances[place].name.clone();
-        out.push(Do::Signal { name, process, kill: false });
-        self.to(place, Phase::Stopping, out);
+    fn terminate(&mut self, index: usize, effects: &mut Vec<Effect>) {
+        let instance = &mut self.instances[index];
+        let Some(process) = instance.persisted.process else { return };
+        instance.stopped_as_faulty =
+            instance.persisted.desired != DesiredState::Stopped && !instance.persisted.restart_pending;
+        instance.persisted.pending_step = Some(Step::Term);
+        instance.kill_at = self.now + KILL_TIMEOUT;
+        self.persist(index, effects);
+        let name = self.instances[index].name.clone();
+        effects.push(Effect::Signal { name, process, kill: false });
+        self.enter_phase(index, Phase::Stopping, effects);
     }
 
-    /// Cold: on its way to ready, or ready for less than its cold time.
-    fn cold(&self, place: usize) -> bool {
-        let own = &self.instances[place];
-        match own.phase {
+    /// Starting, or ready for less than its cold time.
+    fn is_cold(&self, index: usize) -> bool {
+        let instance = &self.instances[index];
+        match instance.phase {
             Phase::Starting => true,
-            Phase::Ready => own.kept.run > 0 && self.now < own.since + self.rules.cold_for,
+            Phase::Ready => {
+                instance.persisted.run > 0 && self.now < instance.phase_since + self.rules.cold_time
+            }
             _ => false,
         }
     }
 
-    /// Looks anew at who of a station may start.
-    fn refresh(&mut self, station: usize) {
+    /// Updates which instance of a station may start next.
+    fn refresh_start_queue(&mut self, station: usize) {
         let members = &self.stations[station].members;
-        let cold = members.iter().filter(|&&m| self.cold(m)).count();
-        let may = |m: &&usize| {
-            let own = &self.instances[**m];
-            !own.phase.lives()
-                && !own.looking
-                && own.kept.want == Want::Running
-                && !own.kept.set_aside
-                && own.start_at <= self.now
+        let cold = members.iter().filter(|&&m| self.is_cold(m)).count();
+        let may_start = |m: &&usize| {
+            let instance = &self.instances[**m];
+            !instance.phase.has_process()
+                && !instance.finding_processes
+                && instance.persisted.desired == DesiredState::Running
+                && !instance.persisted.quarantined
+                && instance.earliest_start <= self.now
         };
-        let failures = |m: usize| self.instances[m].kept.failures;
-        let first = members.iter().copied().filter(|m| may(&m)).min_by_key(|&m| (failures(m), m));
+        let failures = |m: usize| self.instances[m].persisted.failures;
+        let first = members.iter().copied().filter(|m| may_start(&m)).min_by_key(|&m| (failures(m), m));
         let first = first.map(|m| {
-            let (wanted, serving) = self.wanted(station);
+            let (wanted, serving) = self.count_desired(station);
             (serving as f64 / wanted.max(1) as f64, failures(m), m)
         });
         if first.is_some() {
-            self.waiting.insert(station);
+            self.stations_waiting.insert(station);
         } else {
-            self.waiting.remove(&station);
+            self.stations_waiting.remove(&station);
         }
-        (self.stations[station].cold, self.stations[station].first) = (cold, first);
+        (self.stations[station].cold_count, self.stations[station].next_start) = (cold, first);
     }
 
-    /// Starts whoever may start now, the neediest stations first, and within one those that failed least.
-    fn starts(&mut self, station: usize, out: &mut Vec<Do>) {
-        self.refresh(station);
+    /// Starts all instances that may start now: those of the stations with the smallest serving share first,
+    /// and within a station those with the fewest failures.
+    fn start_waiting(&mut self, station: usize, effects: &mut Vec<Effect>) {
+        self.refresh_start_queue(station);
         loop {
-            let room = |s: &&usize| self.stations[**s].cold < self.rules.cold.max(1);
-            let waiting = self.waiting.iter().filter(room).filter_map(|&s| self.stations[s].first);
+            let room = |s: &&usize| self.stations[**s].cold_count < self.rules.max_cold.max(1);
+            let waiting =
+                self.stations_waiting.iter().filter(room).filter_map(|&s| self.stations[s].next_start);
             let need = |a: &(f64, u32, usize), b: &(f64, u32, usize)| {
                 a.0.total_cmp(&b.0).then((a.1, a.2).cmp(&(b.1, b.2)))
             };
-            let Some((.., place)) = waiting.min_by(need) else { return };
-            self.begin(place, out);
-            self.refresh(self.instances[place].station);
+            let Some((.., index)) = waiting.min_by(need) else { return };
+            self.begin_start(index, effects);
+            self.refresh_start_queue(self.instances[index].station);
         }
     }
 
-    /// Begins a start, if the station can pay for it.
-    fn begin(&mut self, place: usize, out: &mut Vec<Do>) {
+    /// Starts an instance, if the station's budget allows it.
+    fn begin_start(&mut self, index: usize, effects: &mut Vec<Effect>) {
         let now = self.now;
-        let (station, failures) = (self.instances[place].station, self.instances[place].kept.failures);
-        let of = &mut self.stations[station];
-        // A first start, and one that a person has asked for, costs nothing; one after a death does.
+        let (station, failures) = (self.instances[index].station, self.instances[index].persisted.failures);
+        let station_state = &mut self.stations[station];
+        // A first start, and one that was ordered, costs nothing; one after a failure does.
         if failures > 0
-            && let Err(until) = of.budget.take(now, &self.rules)
+            && let Err(until) = station_state.budget.take(now, &self.rules)
         {
-            let told = std::mem::replace(&mut of.told_budget, true);
-            if !told {
-                out.push(Do::Tell(Line::NoBudget { station: of.name.clone(), until }));
+            let reported = std::mem::replace(&mut station_state.budget_reported, true);
+            if !reported {
+                effects.push(Effect::Log(LogEvent::BudgetExhausted {
+                    station: station_state.name.clone(),
+                    until,
+                }));
             }
-            self.instances[place].start_at = until;
-            self.wake(place, until);
+            self.instances[index].earliest_start = until;
+            self.set_timer(index, until);
             return;
         }
-        of.told_budget = false;
-        let own = &mut self.instances[place];
-        own.kept.run += 1;
-        (own.kept.process, own.kept.step, own.kept.ended) = (None, Some(Step::Start), None);
-        (own.was_ready, own.kept.renew, own.drained, own.ready_at) = (false, false, false, None);
-        (own.answered_at, own.next_check) = (now, now);
-        own.to(now, Phase::Starting);
-        let (name, run) = (own.name.clone(), own.kept.run);
-        self.keep(place, out);
-        out.push(Do::Start { name, run });
-        self.wake(place, now + LOOK_AGAIN);
+        station_state.budget_reported = false;
+        let instance = &mut self.instances[index];
+        instance.persisted.run += 1;
+        (instance.persisted.process, instance.persisted.pending_step, instance.persisted.exit) =
+            (None, Some(Step::Start), None);
+        (instance.was_ready, instance.persisted.restart_pending, instance.drained, instance.last_ready_at) =
+            (false, false, false, None);
+        (instance.last_answer_at, instance.next_check) = (now, now);
+        instance.enter_phase(now, Phase::Starting);
+        let (name, run) = (instance.name.clone(), instance.persisted.run);
+        self.persist(index, effects);
+        effects.push(Effect::Start { name, run });
+        self.set_timer(index, now + FIND_RETRY_INTERVAL);
     }
 }
--- a/crates/fleet/src/instance.rs
+++ b/crates/fleet/src/instance.rs
@@ -1,4 +1,4 @@
-//! One instance: what is wanted of it, what was seen, and where that leaves it.
+//! One instance: its desired state, what was observed, and the phase that results.
 
 use std::fmt;
 
@@ -7,41 +7,41 @@
 use crate::{Process, Run, TICKS_PER_SECOND, Ticks};
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Want {
+pub enum DesiredState {
     #[default]
     Stopped,
     Running,
-    /// It runs, and tells its clients to go elsewhere. May be taken back.
+    /// It runs, but tells its clients to go elsewhere. Can be undone.
     Drained,
 }
 
-/// Where an instance stands, as far as can be told.
+/// The state of an instance, as far as is known.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Phase {
     /// It was never started.
     #[default]
     Absent,
-    /// Its start was asked for, or it runs and was not ready yet.
+    /// Its start was requested, or it runs and was not ready yet.
     Starting,
     Ready,
     /// It was told to send its clients elsewhere.
     Draining,
-    /// It has had its SIGTERM: there is no way back.
+    /// It has received SIGTERM, which can't be undone.
     Stopping,
-    /// It has ended, as was wanted.
+    /// It has exited as desired.
     Stopped,
-    /// It has ended by itself, or could not be started.
+    /// It exited on its own, or could not be started.
     Failed,
-    /// Its process is there, but it has not answered for too long.
+    /// Its process exists, but has not answered for too long.
     Lost,
 }
 
-impl fmt::Display for Want {
+impl fmt::Display for DesiredState {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Want::Stopped => "stopped",
-            Want::Running => "running",
-            Want::Drained => "drained",
+            DesiredState::Stopped => "stopped",
+            DesiredState::Running => "running",
+            DesiredState::Drained => "drained",
         })
     }
 }
@@ -58,8 +58,8 @@
         Phase::Lost,
     ];
 
-    /// There is a process, or may be one.
-    pub fn lives(self) -> bool {
+    /// It has a process, or may have one.
+    pub fn has_process(self) -> bool {
         matches!(self, Phase::Starting | Phase::Ready | Phase::Draining | Phase::Stopping | Phase::Lost)
     }
 }
@@ -79,15 +79,15 @@
     }
 }
 
-/// What a look at an instance's door came to.
+/// The result of a health check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Check {
-    /// It says that it is ready, and answers more than that.
+    /// It reports that it is ready, and answers another request, too.
     Ready,
-    /// It says that it is not.
+    /// It reports that it is not ready.
     NotReady,
-    /// Nobody is there, or nothing comes, or only the one answer that says ready.
-    Silent,
+    /// No connection, no answer, or no answer other than that it is ready.
+    Unresponsive,
 }
 
 /// How a process ended.
@@ -95,8 +95,8 @@
 pub enum Exit {
     Code(i32),
     Signal(i32),
-    /// It is gone; nobody was there to see how.
-    Unseen,
+    /// It is gone, but its exit was not observed.
+    Unobserved,
 }
 
 impl fmt::Display for Exit {
@@ -104,12 +104,12 @@
         match self {
             Exit::Code(code) => write!(f, "exit code {code}"),
             Exit::Signal(signal) => write!(f, "signal {signal}"),
-            Exit::Unseen => f.write_str("gone unseen"),
+            Exit::Unobserved => f.write_str("gone unseen"),
         }
     }
 }
 
-/// What is about to be done to an instance, kept before it is done.
+/// The next action on an instance, persisted before it is taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Step {
     Start,
@@ -117,174 +117,188 @@
     Kill,
 }
 
-/// What of an instance survives its agent.
+/// The state of an instance that outlives the agent.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Kept {
-    pub want: Want,
-    /// Grows with each change of what is wanted; an order names the one that its giver has seen.
+pub struct PersistedState {
+    pub desired: DesiredState,
+    /// Increases with each change of the desired state; an order names the one that its sender has seen.
     pub revision: u64,
-    /// By whom, and by which order, it was changed last.
-    pub by: Box<str>,
+    /// Who changed it last, and with which order.
+    pub changed_by: Box<str>,
     pub order: u64,
-    /// The last start, or the one that is about to be.
+    /// The number of the last start, or of the one that is about to be made.
     pub run: Run,
     pub process: Option<Process>,
-    pub step: Option<Step>,
-    /// The last run has ended, and how.
-    pub ended: Option<Exit>,
-    /// Starts in a row that came to nothing.
+    pub pending_step: Option<Step>,
+    /// The exit of the last run, if it has ended.
+    pub exit: Option<Exit>,
+    /// Number of consecutive failed starts.
     pub failures: u32,
-    pub set_aside: bool,
-    /// It is to be started anew once it has ended, though it is wanted running all the time.
-    pub renew: bool,
+    pub quarantined: bool,
+    /// To be started again once it has exited, although the desired state is running throughout.
+    pub restart_pending: bool,
 }
 
-/// An instance, kept and seen.
+/// The persisted and the observed state of an instance.
 #[derive(Clone, Debug)]
 pub struct Instance {
     pub name: Box<str>,
     pub station: usize,
-    pub kept: Kept,
+    pub persisted: PersistedState,
     pub phase: Phase,
-    /// Since when it is in this phase.
-    pub since: Ticks,
-    /// When it was last seen ready, and when it last answered at all.
-    pub ready_at: Option<Ticks>,
-    pub answered_at: Ticks,
-    /// It has said that it takes no more clients since it was told to drain.
+    /// When it entered this phase.
+    pub phase_since: Ticks,
+    /// When it last was ready, and when it last answered at all.
+    pub last_ready_at: Option<Ticks>,
+    pub last_answer_at: Ticks,
+    /// Since it was told to drain, it has reported that it takes no more clients.
     pub drained: bool,
     /// When it may be started again.
-    pub start_at: Ticks,
-    /// When SIGKILL follows.
+    pub earliest_start: Ticks,
+    /// When SIGKILL is sent.
     pub kill_at: Ticks,
-    /// A look at its processes has been asked for and not answered; until then nothing is done to it.
-    pub looking: bool,
+    /// Its processes are being looked up; until that is answered, nothing is done to it.
+    pub finding_processes: bool,
     pub next_check: Ticks,
-    /// It was ready in this run.
+    /// It has been ready in this run.
     pub was_ready: bool,
-    /// It is being stopped since it did not do what it should.
-    pub at_fault: bool,
-    /// Found running where the journal knew nothing of it: how it is wanted is taken from how it is.
-    pub inherited: bool,
-    /// When to ask about it next.
-    pub wakes: Ticks,
+    /// It is being stopped because of a fault, not as ordered.
+    pub stopped_as_faulty: bool,
+    /// Found running without an entry in the journal: its desired state is derived from its behaviour.
+    pub desired_unknown: bool,
+    /// When to look at it next; 0: no timer is set.
+    pub timer_at: Ticks,
 }
 
-/// A start that has not come to ready in this time has failed; reading a large shape takes seconds.
-pub const START_WITHIN: Ticks = 30 * TICKS_PER_SECOND;
-/// An instance that answers nothing for so long while its process lives is lost: twice what its clients wait.
-pub const SILENT_FOR: Ticks = 6 * TICKS_PER_SECOND;
-/// From SIGTERM to SIGKILL: the front's own end takes its clients' longest wait and a second.
-pub const KILL_AFTER: Ticks = 15 * TICKS_PER_SECOND;
-/// One found running that says for so long that it takes no clients was told so.
-pub const INHERITED: Ticks = 2 * TICKS_PER_SECOND;
-/// Ready for so long, a start has come to something.
-pub const PROVEN: Ticks = 30 * TICKS_PER_SECOND;
-/// How often the door is looked at; and of one that starts, since whoever waits for it waits for that.
-pub const CHECK_EACH: Ticks = TICKS_PER_SECOND;
-pub const CHECK_START_EACH: Ticks = TICKS_PER_SECOND / 5;
+/// A start that is not ready after this time has failed; reading a large topology takes seconds.
+pub const START_TIMEOUT: Ticks = 30 * TICKS_PER_SECOND;
+/// An instance whose process exists but that has not answered for this long is lost: twice the time that its
+/// clients wait.
+pub const UNRESPONSIVE_TIMEOUT: Ticks = 6 * TICKS_PER_SECOND;
+/// From SIGTERM to SIGKILL: an orderly exit takes its clients' longest wait plus a second.
+pub const KILL_TIMEOUT: Ticks = 15 * TICKS_PER_SECOND;
+/// An instance found running that reports not ready for this long was told to drain.
+pub const DRAIN_DETECTION_TIME: Ticks = 2 * TICKS_PER_SECOND;
+/// A start has succeeded once the instance has been ready for this long.
+pub const STABLE_AFTER: Ticks = 30 * TICKS_PER_SECOND;
+/// The interval of health checks, and while an instance starts: others wait for it to be ready.
+pub const CHECK_INTERVAL: Ticks = TICKS_PER_SECOND;
+pub const STARTUP_CHECK_INTERVAL: Ticks = TICKS_PER_SECOND / 5;
 
 impl Instance {
-    pub fn new(name: &str, station: usize, now: Ticks, kept: Kept) -> Instance {
-        let phase = match (kept.run, kept.ended, kept.want) {
+    pub fn new(name: &str, station: usize, now: Ticks, persisted: PersistedState) -> Instance {
+        let phase = match (persisted.run, persisted.exit, persisted.desired) {
             (0, ..) => Phase::Absent,
-            (_, Some(_), Want::Stopped) => Phase::Stopped,
+            (_, Some(_), DesiredState::Stopped) => Phase::Stopped,
             (_, Some(_), _) => Phase::Failed,
-            (_, None, _) if matches!(kept.step, Some(Step::Term | Step::Kill)) => Phase::Stopping,
+            (_, None, _) if matches!(persisted.pending_step, Some(Step::Term | Step::Kill)) => {
+                Phase::Stopping
+            }
             (_, None, _) => Phase::Starting,
         };
         Instance {
             name: name.into(),
             station,
-            kept,
+            persisted,
             phase,
-            since: now,
-            ready_at: None,
-            answered_at: now,
+            phase_since: now,
+            last_ready_at: None,
+            last_answer_at: now,
             drained: false,
-            start_at: now,
-            kill_at: now + KILL_AFTER,
-            looking: false,
+            earliest_start: now,
+            kill_at: now + KILL_TIMEOUT,
+            finding_processes: false,
             next_check: now,
             was_ready: false,
-            at_fault: false,
-            inherited: false,
-            wakes: 0,
+            stopped_as_faulty: false,
+            desired_unknown: false,
+            timer_at: 0,
         }
     }
 
-    pub fn to(&mut self, now: Ticks, phase: Phase) {
+    pub fn enter_phase(&mut self, now: Ticks, phase: Phase) {
         if self.phase != phase {
-            (self.phase, self.since) = (phase, now);
+            (self.phase, self.phase_since) = (phase, now);
         }
     }
 
-    /// It serves its clients, as far as can be told.
-    pub fn serves(&self) -> bool {
+    /// It serves its clients, as far as is known.
+    pub fn is_serving(&self) -> bool {
         self.phase == Phase::Ready
     }
 
-    /// It is as wanted, and has been for long enough.
-    pub fn settled(&self) -> bool {
-        match self.kept.want {
-            Want::Stopped => !self.phase.lives(),
-            Want::Running => self.phase == Phase::Ready && !self.kept.renew,
-            Want::Drained => !self.phase.lives() || self.phase == Phase::Draining && self.drained,
+    /// It has reached its desired state.
+    pub fn is_as_desired(&self) -> bool {
+        match self.persisted.desired {
+            DesiredState::Stopped => !self.phase.has_process(),
+            DesiredState::Running => self.phase == Phase::Ready && !self.persisted.restart_pending,
+            DesiredState::Drained => {
+                !self.phase.has_process() || self.phase == Phase::Draining && self.drained
+            }
         }
     }
 
-    /// What a check of this run's door tells.
-    pub fn checked(&mut self, now: Ticks, check: Check) {
-        if check != Check::Silent {
-            self.answered_at = now;
+    /// Applies the result of a health check of the current run.
+    pub fn on_check(&mut self, now: Ticks, check: Check) {
+        if check != Check::Unresponsive {
+            self.last_answer_at = now;
         }
-        if self.inherited
-            && (check == Check::Ready || check == Check::NotReady && now >= self.since + INHERITED)
+        if self.desired_unknown
+            && (check == Check::Ready
+                || check == Check::NotReady && now >= self.phase_since + DRAIN_DETECTION_TIME)
         {
-            // A person told it to drain, and is not to find it serving; one that only starts is ready sooner.
-            self.inherited = false;
-            self.kept.want = if check == Check::Ready { Want::Running } else { Want::Drained };
+            // Somebody told it to drain, and it must not serve again on its own; an instance that is starting
+            // is ready sooner.
+            self.desired_unknown = false;
+            self.persisted.desired =
+                if check == Check::Ready { DesiredState::Running } else { DesiredState::Drained };
         }
         match (self.phase, check) {
             (Phase::Starting | Phase::Lost, Check::Ready) => {
-                (self.was_ready, self.ready_at, self.drained) = (true, Some(now), false);
-                self.to(now, Phase::Ready);
+                (self.was_ready, self.last_ready_at, self.drained) = (true, Some(now), false);
+                self.enter_phase(now, Phase::Ready);
             }
-            (Phase::Ready, Check::Ready) => self.ready_at = Some(now),
+            (Phase::Ready, Check::Ready) => self.last_ready_at = Some(now),
             (Phase::Draining, Check::NotReady) => self.drained = true,
-            // Told to drain, and not heeding it yet.
+            // Told to drain, but it has not reacted yet.
             (Phase::Draining, Check::Ready) => self.drained = false,
-            // Found so by an agent that came after the one that told it; if it is not wanted so, it is told otherwise.
-            (Phase::Starting, Check::NotReady) if self.kept.renew || self.kept.want != Want::Running => {
+            // Found draining by an agent that replaced the one that ordered it; if it should not drain, it is
+            // told so.
+            (Phase::Starting, Check::NotReady)
+                if self.persisted.restart_pending || self.persisted.desired != DesiredState::Running =>
+            {
                 self.drained = true;
-                self.to(now, Phase::Draining);
+                self.enter_phase(now, Phase::Draining);
             }
             (Phase::Starting, Check::NotReady) => self.drained = true,
-            // It says so by itself: somebody else has told it to stop, or it is not ready yet.
-            (Phase::Ready, Check::NotReady) => self.to(now, Phase::Starting),
-            (Phase::Ready | Phase::Draining, Check::Silent) if now >= self.answered_at + SILENT_FOR => {
-                self.to(now, Phase::Lost);
+            // Not ready on its own: somebody else told it to stop, or it has just started.
+            (Phase::Ready, Check::NotReady) => self.enter_phase(now, Phase::Starting),
+            (Phase::Ready | Phase::Draining, Check::Unresponsive)
+                if now >= self.last_answer_at + UNRESPONSIVE_TIMEOUT =>
+            {
+                self.enter_phase(now, Phase::Lost);
             }
             _ => {}
         }
     }
 
-    /// The run has ended; whether it counts as a failure.
-    pub fn ended(&mut self, now: Ticks, exit: Exit) -> bool {
-        let wanted = self.phase == Phase::Stopping && !std::mem::take(&mut self.at_fault);
-        let proven = self.was_ready && self.ready_at.is_some_and(|at| at >= self.since + PROVEN);
-        self.kept.ended = Some(exit);
-        (self.kept.process, self.kept.step) = (None, None);
-        (self.looking, self.drained) = (false, false);
-        if proven || wanted {
-            self.kept.failures = 0;
+    /// The run has ended. Returns whether that counts as a failure.
+    pub fn on_exit(&mut self, now: Ticks, exit: Exit) -> bool {
+        let was_requested = self.phase == Phase::Stopping && !std::mem::take(&mut self.stopped_as_faulty);
+        let was_stable =
+            self.was_ready && self.last_ready_at.is_some_and(|at| at >= self.phase_since + STABLE_AFTER);
+        self.persisted.exit = Some(exit);
+        (self.persisted.process, self.persisted.pending_step) = (None, None);
+        (self.finding_processes, self.drained) = (false, false);
+        if was_stable || was_requested {
+            self.persisted.failures = 0;
         }
-        if wanted {
-            self.to(now, Phase::Stopped);
+        if was_requested {
+            self.enter_phase(now, Phase::Stopped);
             return false;
         }
-        self.kept.failures += 1;
-        self.to(now, Phase::Failed);
+        self.persisted.failures += 1;
+        self.enter_phase(now, Phase::Failed);
         true
     }
 }
--- a/crates/fleet/tests/world.rs
+++ b/crates/fleet/tests/world.rs
@@ -1,42 +1,43 @@
-//! Instances that die, lie, hang and take their time, and agents that die at any point; what must hold is checked after
-//! each step.
+//! Instances that die, hang, start slowly or report falsely, and agents that crash at any point; the
+//! invariants are checked after each step.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
-use doorgrade_fleet::instance::{Check, Exit, Kept};
+use doorgrade_fleet::instance::{Check, Exit, PersistedState};
 use doorgrade_fleet::order::Progress;
 use doorgrade_fleet::{
-    Do, Fleet, Line, Order, Phase, Process, Refused, Rules, Run, TICKS_PER_SECOND, Want, What,
+    DesiredState, Effect, Fleet, LogEvent, Operation, Order, OrderRejection, PaceRules, Phase, Process, Run,
+    TICKS_PER_SECOND,
 };
 use fastrand::Rng;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-const START: u64 = 17_000_000_000_000;
+const START_TIME: u64 = 17_000_000_000_000;
 
 /// How an instance behaves from its next start on.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Kind {
+enum Behaviour {
     Good,
-    /// Ends soon after each start: its port is taken, say.
-    Dies,
-    /// Says that it is ready, and answers nothing else.
-    Hollow,
-    /// Does not heed SIGTERM.
-    Deaf,
+    /// Exits soon after each start, as if its port were in use.
+    ExitsAfterStart,
+    /// Reports that it is ready, but answers nothing else.
+    OnlyClaimsReady,
+    /// Ignores SIGTERM.
+    IgnoresSigterm,
 }
 
 #[derive(Clone, Debug)]
-struct Proc {
+struct SimulatedProcess {
     name: Box<str>,
     run: Run,
     process: Process,
-    kind: Kind,
+    behaviour: Behaviour,
     ready_at: u64,
-    drains: bool,
-    /// It has had its SIGTERM, and when it ends.
-    ends_at: Option<u64>,
+    draining: bool,
+    /// It has received SIGTERM; when it exits.
+    terminates_at: Option<u64>,
 }
 
 #[derive(Clone, Debug)]
@@ -45,239 +46,245 @@
     Found(Box<str>),
     Checked(Box<str>, Run),
     Exited(Box<str>, Process, Exit),
-    Due(u32),
-    Ends(Process),
+    Timer(u32),
+    ProcessEnds(Process),
 }
 
 struct World {
     now: u64,
     rng: Rng,
     events: BinaryHeap<Reverse<(u64, u64)>>,
-    what: BTreeMap<u64, (u32, Event)>,
-    count: u64,
+    event_data: BTreeMap<u64, (u32, Event)>,
+    event_count: u64,
     fleet: Option<Fleet>,
-    /// Which agent's life it is: what an earlier one asked for is answered to nobody.
-    life: u32,
-    places: Vec<(Box<str>, Box<str>)>,
-    rules: Rules,
-    journal: BTreeMap<Box<str>, Kept>,
-    procs: Vec<Proc>,
-    kinds: BTreeMap<Box<str>, Kind>,
+    /// Increases with each agent: answers to requests of an earlier agent are dropped.
+    agent_number: u32,
+    assignments: Vec<(Box<str>, Box<str>)>,
+    rules: PaceRules,
+    journal: BTreeMap<Box<str>, PersistedState>,
+    processes: Vec<SimulatedProcess>,
+    behaviours: BTreeMap<Box<str>, Behaviour>,
     next_pid: u32,
-    /// The agent dies before it does this effect, counted from its first.
-    dies_at: Option<u32>,
-    done: u32,
-    wake: u32,
-    full: bool,
-    lines: Vec<Line>,
-    terms: BTreeMap<Process, u32>,
-    most_cold: usize,
-    most_down: usize,
+    /// The agent crashes before this effect, counted from its first.
+    crash_at: Option<u32>,
+    effect_count: u32,
+    timer_number: u32,
+    journal_full: bool,
+    log: Vec<LogEvent>,
+    termination_counts: BTreeMap<Process, u32>,
+    max_cold: usize,
+    max_down: usize,
 }
 
 impl World {
-    fn new(seed: u64, stations: usize, each: usize, rules: Rules) -> World {
+    fn new(seed: u64, stations: usize, per_station: usize, rules: PaceRules) -> World {
         let place = |n: usize| (format!("i{n}").into(), format!("s{}", n % stations).into());
         let mut w = World {
-            now: START,
+            now: START_TIME,
             rng: Rng::with_seed(seed),
             events: BinaryHeap::new(),
-            what: BTreeMap::new(),
-            count: 0,
+            event_data: BTreeMap::new(),
+            event_count: 0,
             fleet: None,
-            life: 0,
-            places: (0..stations * each).map(place).collect(),
+            agent_number: 0,
+            assignments: (0..stations * per_station).map(place).collect(),
             rules,
             journal: BTreeMap::new(),
-            procs: Vec::new(),
-            kinds: BTreeMap::new(),
+            processes: Vec::new(),
+            behaviours: BTreeMap::new(),
             next_pid: 100,
-            dies_at: None,
-            done: 0,
-            wake: 0,
-            full: false,
-            lines: Vec::new(),
-            terms: BTreeMap::new(),
-            most_cold: 0,
-            most_down: 0,
+            crash_at: None,
+            effect_count: 0,
+            timer_number: 0,
+            journal_full: false,
+            log: Vec::new(),
+            termination_counts: BTreeMap::new(),
+            max_cold: 0,
+            max_down: 0,
         };
-        w.agent();
+        w.start_agent();
         w
     }
 
-    /// A new agent, from what the journal has.
-    fn agent(&mut self) {
-        self.life += 1;
-        let mut out = Vec::new();
-        let (seed, kept) = (u64::from(self.life), self.journal.clone());
-        let fleet = Fleet::start(self.now, self.rules.clone(), seed, &self.places, kept, &mut out);
+    /// Starts a new agent from the journal.
+    fn start_agent(&mut self) {
+        self.agent_number += 1;
+        let mut effects = Vec::new();
+        let (seed, persisted) = (u64::from(self.agent_number), self.journal.clone());
+        let fleet =
+            Fleet::new(self.now, self.rules.clone(), seed, &self.assignments, persisted, &mut effects);
         self.fleet = Some(fleet);
-        self.perform(out);
+        self.perform(effects);
     }
 
-    fn at(&mut self, after: u64, event: Event) {
-        self.count += 1;
-        self.events.push(Reverse((self.now + after, self.count)));
-        self.what.insert(self.count, (self.life, event));
+    fn schedule(&mut self, after: u64, event: Event) {
+        self.event_count += 1;
+        self.events.push(Reverse((self.now + after, self.event_count)));
+        self.event_data.insert(self.event_count, (self.agent_number, event));
     }
 
-    fn perform(&mut self, out: Vec<Do>) {
-        for each in out {
+    fn perform(&mut self, effects: Vec<Effect>) {
+        for effect in effects {
             if self.fleet.is_none() {
                 return;
             }
-            let outward = !matches!(each, Do::Wake(_) | Do::Tell(_));
-            self.done += u32::from(outward);
-            if outward && self.dies_at == Some(self.done) {
+            let outward = !matches!(effect, Effect::SetTimer(_) | Effect::Log(_));
+            self.effect_count += u32::from(outward);
+            if outward && self.crash_at == Some(self.effect_count) {
                 self.fleet = None;
                 return;
             }
-            let lag = 1 + self.rng.u64(0..300);
-            match each {
-                Do::Keep(name, kept) => {
-                    if self.full {
-                        let mut more = Vec::new();
+            let delay = 1 + self.rng.u64(0..300);
+            match effect {
+                Effect::Persist(name, persisted) => {
+                    if self.journal_full {
+                        let mut new_effects = Vec::new();
                         let now = self.now;
-                        self.fleet.iter_mut().for_each(|f| f.not_kept(now, &name, "no space", &mut more));
-                        self.perform(more);
+                        self.fleet
+                            .iter_mut()
+                            .for_each(|f| f.on_journal_error(now, &name, "no space", &mut new_effects));
+                        self.perform(new_effects);
                     } else {
-                        self.journal.insert(name, kept);
+                        self.journal.insert(name, persisted);
                     }
                 }
-                Do::Start { name, run } => self.start(&name, run, lag),
-                Do::Look { name } => self.at(lag, Event::Found(name)),
-                Do::Check { name, run } => self.at(lag, Event::Checked(name, run)),
-                Do::Drain { process, on, .. } => {
-                    for p in self.procs.iter_mut().filter(|p| p.process == process) {
-                        assert!(on || p.ends_at.is_none(), "after its SIGTERM nothing is taken back");
-                        p.drains = on;
+                Effect::Start { name, run } => self.start_process(&name, run, delay),
+                Effect::FindProcesses { name } => self.schedule(delay, Event::Found(name)),
+                Effect::Check { name, run } => self.schedule(delay, Event::Checked(name, run)),
+                Effect::Drain { process, on, .. } => {
+                    for p in self.processes.iter_mut().filter(|p| p.process == process) {
+                        assert!(on || p.terminates_at.is_none(), "a drain is undone after SIGTERM");
+                        p.draining = on;
                     }
                 }
-                Do::Signal { name, process, kill } => self.signal(&name, process, kill, lag),
-                Do::Wake(at) => {
-                    // As in the shell: the last one counts.
-                    self.wake += 1;
-                    self.at(at.saturating_sub(self.now), Event::Due(self.wake));
+                Effect::Signal { name, process, kill } => self.signal(&name, process, kill, delay),
+                Effect::SetTimer(at) => {
+                    // As in the shell: only the latest timer counts.
+                    self.timer_number += 1;
+                    self.schedule(at.saturating_sub(self.now), Event::Timer(self.timer_number));
                 }
-                Do::Tell(line) => self.lines.push(line),
+                Effect::Log(line) => self.log.push(line),
             }
         }
     }
 
-    fn start(&mut self, name: &str, run: Run, lag: u64) {
-        let living = self.procs.iter().filter(|p| &*p.name == name).count();
-        assert_eq!(living, 0, "{name} is started twice");
-        let kind = self.kinds.get(name).copied().unwrap_or(Kind::Good);
+    fn start_process(&mut self, name: &str, run: Run, delay: u64) {
+        let running = self.processes.iter().filter(|p| &*p.name == name).count();
+        assert_eq!(running, 0, "{name} is started twice");
+        let behaviour = self.behaviours.get(name).copied().unwrap_or(Behaviour::Good);
         self.next_pid += 1;
-        // Ids are used again; the moment of birth tells them apart.
-        let process = Process { id: 100 + self.next_pid % 7, born: self.now + u64::from(self.next_pid) };
+        // Process ids are reused; the start time distinguishes them.
+        let process =
+            Process { id: 100 + self.next_pid % 7, start_time: self.now + u64::from(self.next_pid) };
         let ready_at = self.now + 2_000 + self.rng.u64(0..8_000);
-        self.procs.push(Proc {
+        self.processes.push(SimulatedProcess {
             name: name.into(),
             run,
             process,
-            kind,
+            behaviour,
             ready_at,
-            drains: false,
-            ends_at: None,
+            draining: false,
+            terminates_at: None,
         });
-        self.at(lag, Event::Started(name.into(), run, process));
-        if kind == Kind::Dies {
-            let after = lag + 500 + self.rng.u64(0..3_000);
-            self.at(after, Event::Ends(process));
+        self.schedule(delay, Event::Started(name.into(), run, process));
+        if behaviour == Behaviour::ExitsAfterStart {
+            let after = delay + 500 + self.rng.u64(0..3_000);
+            self.schedule(after, Event::ProcessEnds(process));
         }
     }
 
-    fn signal(&mut self, name: &str, process: Process, kill: bool, lag: u64) {
+    fn signal(&mut self, name: &str, process: Process, kill: bool, delay: u64) {
         let now = self.now;
-        let Some(p) = self.procs.iter_mut().find(|p| p.process == process) else { return };
-        assert_eq!(&*p.name, name, "somebody else's process");
-        if kill || p.kind != Kind::Deaf && p.ends_at.is_none() {
-            p.ends_at = Some(now + lag);
-            *self.terms.entry(process).or_default() += 1;
-            self.at(lag, Event::Ends(process));
+        let Some(p) = self.processes.iter_mut().find(|p| p.process == process) else { return };
+        assert_eq!(&*p.name, name, "the process belongs to another instance");
+        if kill || p.behaviour != Behaviour::IgnoresSigterm && p.terminates_at.is_none() {
+            p.terminates_at = Some(now + delay);
+            *self.termination_counts.entry(process).or_default() += 1;
+            self.schedule(delay, Event::ProcessEnds(process));
         }
     }
 
-    /// A process ends: whoever is there to see it is told.
-    fn ends(&mut self, process: Process, exit: Exit) {
-        if let Some(at) = self.procs.iter().position(|p| p.process == process) {
-            let name = self.procs.remove(at).name;
-            self.at(10, Event::Exited(name, process, exit));
+    /// A process exits; the current agent is notified.
+    fn end_process(&mut self, process: Process, exit: Exit) {
+        if let Some(at) = self.processes.iter().position(|p| p.process == process) {
+            let name = self.processes.remove(at).name;
+            self.schedule(10, Event::Exited(name, process, exit));
         }
     }
 
     fn kill(&mut self, name: &str) {
-        let process = self.procs.iter().find(|p| &*p.name == name).map(|p| p.process);
-        process.into_iter().for_each(|process| self.ends(process, Exit::Signal(9)));
+        let process = self.processes.iter().find(|p| &*p.name == name).map(|p| p.process);
+        process.into_iter().for_each(|process| self.end_process(process, Exit::Signal(9)));
     }
 
-    fn on(&mut self, act: impl FnOnce(&mut Fleet, u64, &mut Vec<Do>)) {
-        let (now, mut out) = (self.now, Vec::new());
+    fn drive(&mut self, input: impl FnOnce(&mut Fleet, u64, &mut Vec<Effect>)) {
+        let (now, mut effects) = (self.now, Vec::new());
         if let Some(fleet) = &mut self.fleet {
-            act(fleet, now, &mut out);
+            input(fleet, now, &mut effects);
         }
-        self.perform(out);
+        self.perform(effects);
     }
 
     fn step(&mut self) -> bool {
         let Some(Reverse((at, number))) = self.events.pop() else { return false };
-        let Some((life, event)) = self.what.remove(&number) else { return true };
+        let Some((agent_number, event)) = self.event_data.remove(&number) else { return true };
         self.now = self.now.max(at);
-        if let Event::Ends(process) = event {
-            let killed = self.procs.iter().any(|p| p.process == process && p.ends_at.is_some());
-            self.ends(process, if killed { Exit::Signal(15) } else { Exit::Code(1) });
+        if let Event::ProcessEnds(process) = event {
+            let killed = self.processes.iter().any(|p| p.process == process && p.terminates_at.is_some());
+            self.end_process(process, if killed { Exit::Signal(15) } else { Exit::Code(1) });
             return true;
         }
-        // Exits are seen by whoever is there: a later agent looks at the table and finds it gone.
-        if life != self.life && !matches!(event, Event::Exited(..)) {
+        // Exits are reported to the current agent; a later agent finds the process gone.
+        if agent_number != self.agent_number && !matches!(event, Event::Exited(..)) {
             return true;
         }
         match event {
             Event::Started(name, run, process) => {
-                self.on(|f, now, out| f.started(now, &name, run, Ok(process), out))
+                self.drive(|f, now, effects| f.on_started(now, &name, run, Ok(process), effects))
             }
             Event::Found(name) => {
                 let all: Vec<_> =
-                    self.procs.iter().filter(|p| p.name == name).map(|p| (p.run, p.process)).collect();
-                self.on(|f, now, out| f.found(now, &name, &all, out));
+                    self.processes.iter().filter(|p| p.name == name).map(|p| (p.run, p.process)).collect();
+                self.drive(|f, now, effects| f.on_processes_found(now, &name, &all, effects));
             }
             Event::Checked(name, run) => {
                 let now = self.now;
-                let check = match self.procs.iter().find(|p| p.name == name && p.run == run) {
-                    None => Check::Silent,
-                    Some(p) if p.kind == Kind::Hollow => Check::Silent,
-                    Some(p) if now < p.ready_at => Check::Silent,
-                    Some(p) if p.drains || p.ends_at.is_some() => Check::NotReady,
+                let check = match self.processes.iter().find(|p| p.name == name && p.run == run) {
+                    None => Check::Unresponsive,
+                    Some(p) if p.behaviour == Behaviour::OnlyClaimsReady => Check::Unresponsive,
+                    Some(p) if now < p.ready_at => Check::Unresponsive,
+                    Some(p) if p.draining || p.terminates_at.is_some() => Check::NotReady,
                     Some(_) => Check::Ready,
                 };
-                self.on(|f, now, out| f.checked(now, &name, run, check, out));
+                self.drive(|f, now, effects| f.on_checked(now, &name, run, check, effects));
             }
             Event::Exited(name, process, exit) => {
-                self.on(|f, now, out| f.exited(now, &name, process, exit, out))
+                self.drive(|f, now, effects| f.on_exited(now, &name, process, exit, effects))
             }
-            Event::Due(wake) if wake == self.wake => self.on(|f, now, out| f.due(now, out)),
-            Event::Due(_) => {}
-            Event::Ends(_) => {}
+            Event::Timer(timer_number) if timer_number == self.timer_number => {
+                self.drive(|f, now, effects| f.on_timer(now, effects))
+            }
+            Event::Timer(_) => {}
+            Event::ProcessEnds(_) => {}
         }
-        self.look();
+        self.record_peaks();
         true
     }
 
-    fn look(&mut self) {
+    fn record_peaks(&mut self) {
         let Some(fleet) = &self.fleet else { return };
         let mut cold: BTreeMap<&str, usize> = BTreeMap::new();
         let mut down: BTreeMap<&str, usize> = BTreeMap::new();
         for (station, i) in fleet.instances() {
             *cold.entry(station).or_default() += usize::from(i.phase == Phase::Starting);
-            let going = i.phase == Phase::Stopping || i.phase == Phase::Draining && !i.drained;
-            *down.entry(station).or_default() += usize::from(going);
+            let going_down = i.phase == Phase::Stopping || i.phase == Phase::Draining && !i.drained;
+            *down.entry(station).or_default() += usize::from(going_down);
         }
-        self.most_cold = self.most_cold.max(cold.into_values().max().unwrap_or(0));
-        self.most_down = self.most_down.max(down.into_values().max().unwrap_or(0));
+        self.max_cold = self.max_cold.max(cold.into_values().max().unwrap_or(0));
+        self.max_down = self.max_down.max(down.into_values().max().unwrap_or(0));
     }
 
-    fn pass(&mut self, time: u64) {
+    fn run_for(&mut self, time: u64) {
         let end = self.now + time;
         while self.events.peek().is_some_and(|Reverse((at, _))| *at <= end) {
             self.step();
@@ -285,26 +292,32 @@
         self.now = end;
     }
 
-    fn order(&mut self, what: What, names: &[&str]) -> Result<u64, Refused> {
-        self.order_as("anna", what, names, None)
+    fn order(&mut self, operation: Operation, names: &[&str]) -> Result<u64, OrderRejection> {
+        self.order_as("anna", operation, names, None)
     }
 
-    fn order_as(&mut self, by: &str, what: What, names: &[&str], seen: Option<u64>) -> Result<u64, Refused> {
+    fn order_as(
+        &mut self,
+        by: &str,
+        operation: Operation,
+        names: &[&str],
+        seen: Option<u64>,
+    ) -> Result<u64, OrderRejection> {
         let targets = names.iter().map(|&n| (n.into(), seen)).collect();
-        let order = Order { by: by.into(), what, targets, force: BTreeSet::new() };
-        let mut result = Err(Refused::NoTargets);
-        self.on(|f, now, out| result = f.order(now, &order, out));
+        let order = Order { by: by.into(), operation, targets, force: BTreeSet::new() };
+        let mut result = Err(OrderRejection::NoTargets);
+        self.drive(|f, now, effects| result = f.order(now, &order, effects));
         result
     }
 
     fn all(&self) -> Vec<String> {
-        self.places.iter().map(|p| p.0.to_string()).collect()
+        self.assignments.iter().map(|p| p.0.to_string()).collect()
     }
 
-    fn order_all(&mut self, what: What) -> u64 {
+    fn order_all(&mut self, operation: Operation) -> u64 {
         let all = self.all();
         let names: Vec<&str> = all.iter().map(String::as_str).collect();
-        self.order(what, &names).unwrap()
+        self.order(operation, &names).unwrap()
     }
 
     fn phases(&self, phase: Phase) -> usize {
@@ -315,325 +328,344 @@
         self.fleet.as_ref().unwrap().progress(number).unwrap()
     }
 
-    fn until(&mut self, what: &str, most: u64, holds: impl Fn(&World) -> bool) -> u64 {
-        let begun = self.now;
+    fn wait_until(&mut self, what: &str, timeout: u64, holds: impl Fn(&World) -> bool) -> u64 {
+        let started_at = self.now;
         while !holds(self) {
             assert!(
-                self.now < begun + most,
+                self.now < started_at + timeout,
                 "{what}: {:?}",
-                self.lines.iter().rev().take(12).collect::<Vec<_>>()
+                self.log.iter().rev().take(12).collect::<Vec<_>>()
             );
-            self.pass(TICKS_PER_SECOND / 10);
+            self.run_for(TICKS_PER_SECOND / 10);
         }
-        self.now - begun
+        self.now - started_at
     }
 }
 
-fn up(stations: usize, each: usize) -> World {
-    let mut w = World::new(1, stations, each, Rules::default());
-    w.pass(TICKS_PER_SECOND);
-    w.order_all(What::Start);
-    let all = stations * each;
-    w.until("all run", 120 * TICKS_PER_SECOND, |w| w.phases(Phase::Ready) == all);
+fn running_world(stations: usize, per_station: usize) -> World {
+    let mut w = World::new(1, stations, per_station, PaceRules::default());
+    w.run_for(TICKS_PER_SECOND);
+    w.order_all(Operation::Start);
+    let all = stations * per_station;
+    w.wait_until("all run", 120 * TICKS_PER_SECOND, |w| w.phases(Phase::Ready) == all);
     w
 }
 
 #[test]
-fn a_start_a_drain_taken_back_a_stop_and_a_rolling_restart() {
-    let mut w = up(2, 10);
-    assert!(w.most_cold <= 4);
-    let drain = w.order(What::Drain, &["i0", "i2", "i4"]).unwrap();
-    w.until("they drain", 60 * TICKS_PER_SECOND, |w| w.progress(drain).done == 3);
-    assert_eq!((w.phases(Phase::Draining), w.most_down), (3, 1), "one of ten at a time is on its way");
-    // Taken back for one of them.
-    let back = w.order(What::Start, &["i2"]).unwrap();
-    w.until("it serves again", 20 * TICKS_PER_SECOND, |w| w.progress(back).done == 1);
-    assert_eq!(w.progress(drain).overtaken, 1);
-    w.order(What::Stop, &["i0", "i4"]).unwrap();
-    w.until("they have ended", 60 * TICKS_PER_SECOND, |w| w.phases(Phase::Stopped) == 2);
-    let before: BTreeSet<Process> = w.procs.iter().map(|p| p.process).collect();
-    let renew = w.order_all(What::Restart);
-    w.until("all were restarted", 600 * TICKS_PER_SECOND, |w| w.progress(renew).over());
-    assert_eq!(w.progress(renew).done, 20);
-    assert!(w.procs.iter().all(|p| !before.contains(&p.process)));
-    assert!(w.terms.values().all(|&times| times == 1), "nothing is stopped twice");
-    assert!(w.lines.contains(&Line::Done { number: renew, what: What::Restart }));
+fn starts_drains_undoes_a_drain_stops_and_restarts_one_by_one() {
+    let mut w = running_world(2, 10);
+    assert!(w.max_cold <= 4);
+    let drain = w.order(Operation::Drain, &["i0", "i2", "i4"]).unwrap();
+    w.wait_until("all three drain", 60 * TICKS_PER_SECOND, |w| w.progress(drain).done == 3);
+    assert_eq!((w.phases(Phase::Draining), w.max_down), (3, 1), "one of ten at a time goes down");
+    // Undone for one of them.
+    let undo = w.order(Operation::Start, &["i2"]).unwrap();
+    w.wait_until("i2 serves again", 20 * TICKS_PER_SECOND, |w| w.progress(undo).done == 1);
+    assert_eq!(w.progress(drain).superseded, 1);
+    w.order(Operation::Stop, &["i0", "i4"]).unwrap();
+    w.wait_until("both have ended", 60 * TICKS_PER_SECOND, |w| w.phases(Phase::Stopped) == 2);
+    let before: BTreeSet<Process> = w.processes.iter().map(|p| p.process).collect();
+    let restart = w.order_all(Operation::Restart);
+    w.wait_until("all were restarted", 600 * TICKS_PER_SECOND, |w| w.progress(restart).is_finished());
+    assert_eq!(w.progress(restart).done, 20);
+    assert!(w.processes.iter().all(|p| !before.contains(&p.process)));
+    assert!(w.termination_counts.values().all(|&times| times == 1), "no process is stopped twice");
+    assert!(w.log.contains(&LogEvent::Completed { number: restart, operation: Operation::Restart }));
 }
 
 #[test]
-fn nearly_half_die_at_once_some_again_and_one_always_and_the_restore_is_ordered_twice() {
-    let mut w = up(4, 5);
-    w.kinds.insert("i3".into(), Kind::Dies);
+fn a_restore_ordered_twice_brings_back_all_but_the_instance_that_always_dies() {
+    let mut w = running_world(4, 5);
+    w.behaviours.insert("i3".into(), Behaviour::ExitsAfterStart);
     for n in 0..9 {
         w.kill(&format!("i{n}"));
     }
-    w.pass(TICKS_PER_SECOND / 10);
-    let first = w.order_all(What::Restore);
-    let second = w.order_all(What::Restore);
+    w.run_for(TICKS_PER_SECOND / 10);
+    let first = w.order_all(Operation::Restore);
+    let second = w.order_all(Operation::Restore);
     assert_eq!(second, first + 1);
-    // Some die again while they start.
-    w.pass(TICKS_PER_SECOND);
+    // Some die again during their start.
+    w.run_for(TICKS_PER_SECOND);
     w.kill("i1");
     w.kill("i5");
-    w.most_cold = 0;
-    let took = w.until("all but one are back", 60 * TICKS_PER_SECOND, |w| w.phases(Phase::Ready) == 19);
-    assert!(took < 20 * TICKS_PER_SECOND, "{took}");
-    assert!(w.most_cold <= 4, "{} cold at once in a station", w.most_cold);
-    w.until("that one is set aside", 300 * TICKS_PER_SECOND, |w| {
-        w.lines.iter().any(|l| matches!(l, Line::SetAside { name, failures: 5 } if &**name == "i3"))
+    w.max_cold = 0;
+    let elapsed =
+        w.wait_until("all but one are back", 60 * TICKS_PER_SECOND, |w| w.phases(Phase::Ready) == 19);
+    assert!(elapsed < 20 * TICKS_PER_SECOND, "{elapsed}");
+    assert!(w.max_cold <= 4, "{} cold at once in a station", w.max_cold);
+    w.wait_until("i3 is quarantined", 300 * TICKS_PER_SECOND, |w| {
+        w.log.iter().any(|l| matches!(l, LogEvent::Quarantined { name, failures: 5 } if &**name == "i3"))
     });
-    let runs = w.fleet.as_ref().unwrap().instance("i3").unwrap().kept.run;
-    w.pass(600 * TICKS_PER_SECOND);
-    assert_eq!(w.fleet.as_ref().unwrap().instance("i3").unwrap().kept.run, runs, "nobody tries it any more");
+    let runs = w.fleet.as_ref().unwrap().instance("i3").unwrap().persisted.run;
+    w.run_for(600 * TICKS_PER_SECOND);
+    assert_eq!(
+        w.fleet.as_ref().unwrap().instance("i3").unwrap().persisted.run,
+        runs,
+        "it is not started again"
+    );
     assert_eq!(w.progress(second).failed, ["i3".into()]);
-    // Mended, and ordered.
-    w.kinds.remove("i3");
-    w.order(What::Start, &["i3"]).unwrap();
-    w.until("it is back, too", 30 * TICKS_PER_SECOND, |w| w.phases(Phase::Ready) == 20);
+    // Repaired, and ordered to start.
+    w.behaviours.remove("i3");
+    w.order(Operation::Start, &["i3"]).unwrap();
+    w.wait_until("i3 is back", 30 * TICKS_PER_SECOND, |w| w.phases(Phase::Ready) == 20);
 }
 
 #[test]
-fn of_two_orders_that_conflict_one_wins_and_the_other_is_told() {
-    let mut w = up(1, 4);
-    let seen = w.fleet.as_ref().unwrap().instance("i1").unwrap().kept.revision;
-    let won = w.order_as("anna", What::Drain, &["i1"], Some(seen)).unwrap();
-    let lost = w.order_as("ben", What::Stop, &["i1", "i2"], Some(seen));
-    let Err(Refused::Changed { name, by, order, want, revision }) = lost else { panic!("{lost:?}") };
-    assert_eq!((&*name, &*by, order, want, revision), ("i1", "anna", won, Want::Drained, seen + 1));
+fn of_two_conflicting_orders_the_second_is_rejected() {
+    let mut w = running_world(1, 4);
+    let seen = w.fleet.as_ref().unwrap().instance("i1").unwrap().persisted.revision;
+    let accepted = w.order_as("anna", Operation::Drain, &["i1"], Some(seen)).unwrap();
+    let rejected = w.order_as("ben", Operation::Stop, &["i1", "i2"], Some(seen));
+    let Err(OrderRejection::Changed { name, by, order, desired, revision }) = rejected else {
+        panic!("{rejected:?}")
+    };
+    assert_eq!(
+        (&*name, &*by, order, desired, revision),
+        ("i1", "anna", accepted, DesiredState::Drained, seen + 1)
+    );
+    assert_eq!(
+        w.fleet.as_ref().unwrap().instance("i2").unwrap().persisted.desired,
+        DesiredState::Running,
+        "an order is accepted as a whole or not at all"
+    );
+    // The last serving instance of a station stays, unless the station is forced by name.
     assert_eq!(
-        w.fleet.as_ref().unwrap().instance("i2").unwrap().kept.want,
-        Want::Running,
-        "all of it or nothing"
+        w.order(Operation::Stop, &["i0", "i2", "i3"]),
+        Err(OrderRejection::LastServing { station: "s0".into() })
     );
-    // The last of a station stays, unless it is forced by the station's name.
-    assert_eq!(w.order(What::Stop, &["i0", "i2", "i3"]), Err(Refused::LastOf { station: "s0".into() }));
     let targets = ["i0", "i2", "i3"].map(|n| (n.into(), None)).into();
-    let order = Order { by: "anna".into(), what: What::Stop, targets, force: ["s0".into()].into() };
-    w.on(|f, now, out| assert!(f.order(now, &order, out).is_ok()));
-    w.until("all have gone", 200 * TICKS_PER_SECOND, |w| w.phases(Phase::Stopped) == 3);
-    // A stop after its SIGTERM is not taken back: it ends, and then it is started.
-    w.order(What::Start, &["i0"]).unwrap();
-    w.until("it is back", 60 * TICKS_PER_SECOND, |w| w.phases(Phase::Ready) == 1);
-    w.kinds.insert("i0".into(), Kind::Good);
-    w.order(What::Start, &["i2"]).unwrap();
-    w.until("two", 60 * TICKS_PER_SECOND, |w| w.phases(Phase::Ready) == 2);
-    w.order(What::Stop, &["i0"]).unwrap();
-    w.until("it has had its signal", 60 * TICKS_PER_SECOND, |w| w.phases(Phase::Stopping) == 1);
-    assert_eq!(w.order(What::Drain, &["i0"]), Err(Refused::Ends("i0".into())));
+    let order = Order { by: "anna".into(), operation: Operation::Stop, targets, force: ["s0".into()].into() };
+    w.drive(|f, now, effects| assert!(f.order(now, &order, effects).is_ok()));
+    w.wait_until("all three have ended", 200 * TICKS_PER_SECOND, |w| w.phases(Phase::Stopped) == 3);
+    // SIGTERM can't be undone: the instance exits, and is then started.
+    w.order(Operation::Start, &["i0"]).unwrap();
+    w.wait_until("i0 is back", 60 * TICKS_PER_SECOND, |w| w.phases(Phase::Ready) == 1);
+    w.behaviours.insert("i0".into(), Behaviour::Good);
+    w.order(Operation::Start, &["i2"]).unwrap();
+    w.wait_until("i2 is back", 60 * TICKS_PER_SECOND, |w| w.phases(Phase::Ready) == 2);
+    w.order(Operation::Stop, &["i0"]).unwrap();
+    w.wait_until("i0 got its SIGTERM", 60 * TICKS_PER_SECOND, |w| w.phases(Phase::Stopping) == 1);
+    assert_eq!(w.order(Operation::Drain, &["i0"]), Err(OrderRejection::AlreadyStopping("i0".into())));
 }
 
 #[test]
-fn one_that_ignores_sigterm_is_killed_and_one_that_only_says_ready_is_replaced() {
-    let mut w = up(1, 3);
-    // Their next start is of another kind.
-    w.kinds.insert("i0".into(), Kind::Deaf);
-    w.kinds.insert("i1".into(), Kind::Hollow);
+fn an_instance_that_ignores_sigterm_is_killed_and_one_that_only_claims_ready_is_quarantined() {
+    let mut w = running_world(1, 3);
+    // Their next starts behave differently.
+    w.behaviours.insert("i0".into(), Behaviour::IgnoresSigterm);
+    w.behaviours.insert("i1".into(), Behaviour::OnlyClaimsReady);
     w.kill("i0");
     w.kill("i1");
-    w.until("the deaf one runs", 60 * TICKS_PER_SECOND, |w| w.phases(Phase::Ready) == 2);
-    w.until("the hollow one is given up", 400 * TICKS_PER_SECOND, |w| {
-        w.lines.iter().any(|l| matches!(l, Line::SetAside { name, .. } if &**name == "i1"))
+    w.wait_until("the one that ignores SIGTERM runs", 60 * TICKS_PER_SECOND, |w| w.phases(Phase::Ready) == 2);
+    w.wait_until("the one that only claims to be ready is quarantined", 400 * TICKS_PER_SECOND, |w| {
+        w.log.iter().any(|l| matches!(l, LogEvent::Quarantined { name, .. } if &**name == "i1"))
     });
-    w.order(What::Stop, &["i0"]).unwrap();
-    let took = w.until("it is gone", 60 * TICKS_PER_SECOND, |w| w.phases(Phase::Stopped) == 1);
-    assert!(took >= 15 * TICKS_PER_SECOND, "it had its time");
+    w.order(Operation::Stop, &["i0"]).unwrap();
+    let elapsed = w.wait_until("i0 has ended", 60 * TICKS_PER_SECOND, |w| w.phases(Phase::Stopped) == 1);
+    assert!(elapsed >= 15 * TICKS_PER_SECOND, "SIGKILL follows after the kill timeout");
 }
 
 #[test]
-fn a_rolling_restart_stops_at_the_first_that_does_not_come_back() {
-    let mut w = up(1, 6);
-    w.kinds.insert("i2".into(), Kind::Dies);
-    let renew = w.order_all(What::Restart);
-    w.until("it stops", 300 * TICKS_PER_SECOND, |w| w.progress(renew).halted);
-    w.pass(120 * TICKS_PER_SECOND);
-    let progress = w.progress(renew);
+fn a_rolling_restart_halts_at_the_first_instance_that_does_not_come_back() {
+    let mut w = running_world(1, 6);
+    w.behaviours.insert("i2".into(), Behaviour::ExitsAfterStart);
+    let restart = w.order_all(Operation::Restart);
+    w.wait_until("the restart halts", 300 * TICKS_PER_SECOND, |w| w.progress(restart).halted);
+    w.run_for(120 * TICKS_PER_SECOND);
+    let progress = w.progress(restart);
     assert_eq!(progress.failed, ["i2".into()]);
-    assert_eq!(w.phases(Phase::Ready), 5, "what was not begun stays as it is");
-    let untouched = w.fleet.as_ref().unwrap().instances().filter(|i| i.1.kept.run == 1).count();
+    assert_eq!(w.phases(Phase::Ready), 5, "instances not yet restarted keep running");
+    let untouched = w.fleet.as_ref().unwrap().instances().filter(|i| i.1.persisted.run == 1).count();
     assert!(untouched >= 2, "{untouched}");
 }
 
 #[test]
-fn an_agent_killed_at_each_step_of_a_drain_and_a_stop_leaves_nothing_twice_and_nothing_forgotten() {
-    for dies_at in 1..40 {
-        let mut w = up(1, 3);
-        w.done = 0;
-        w.dies_at = Some(dies_at);
-        let _ = w.order(What::Drain, &["i0"]);
-        w.pass(8 * TICKS_PER_SECOND);
-        let _ = w.order(What::Stop, &["i0"]);
-        w.pass(10 * TICKS_PER_SECOND);
-        let _ = w.order(What::Restart, &["i1"]);
-        w.pass(10 * TICKS_PER_SECOND);
-        // Another takes its place, if it died; what was ordered of it goes on, what was not is ordered again.
-        w.dies_at = None;
+fn an_agent_that_crashes_at_any_step_starts_nothing_twice_and_forgets_nothing() {
+    for crash_at in 1..40 {
+        let mut w = running_world(1, 3);
+        w.effect_count = 0;
+        w.crash_at = Some(crash_at);
+        let _ = w.order(Operation::Drain, &["i0"]);
+        w.run_for(8 * TICKS_PER_SECOND);
+        let _ = w.order(Operation::Stop, &["i0"]);
+        w.run_for(10 * TICKS_PER_SECOND);
+        let _ = w.order(Operation::Restart, &["i1"]);
+        w.run_for(10 * TICKS_PER_SECOND);
+        // If the agent crashed, another replaces it: accepted orders continue, others are given again.
+        w.crash_at = None;
         if w.fleet.is_none() {
-            w.pass(TICKS_PER_SECOND);
-            w.agent();
-            w.pass(TICKS_PER_SECOND);
+            w.run_for(TICKS_PER_SECOND);
+            w.start_agent();
+            w.run_for(TICKS_PER_SECOND);
         }
-        let _ = w.order(What::Stop, &["i0"]);
-        w.until("the stop is done", 90 * TICKS_PER_SECOND, |w| {
+        let _ = w.order(Operation::Stop, &["i0"]);
+        w.wait_until("the stop is done", 90 * TICKS_PER_SECOND, |w| {
             w.phases(Phase::Stopped) == 1 && w.phases(Phase::Ready) == 2
         });
-        assert_eq!(w.procs.len(), 2, "dies before effect {dies_at}: an orphan");
+        assert_eq!(w.processes.len(), 2, "crash before effect {crash_at}: an orphan process");
     }
 }
 
 #[test]
-fn another_agent_goes_on_with_a_drain_and_a_restart_and_takes_back_what_was_taken_back() {
-    let mut w = up(1, 3);
-    w.order(What::Drain, &["i0"]).unwrap();
-    w.until("it drains", 60 * TICKS_PER_SECOND, |w| w.phases(Phase::Draining) == 1);
-    // The next agent finds it draining; nobody told it to go on serving.
+fn the_next_agent_continues_a_drain_its_undoing_and_a_restart() {
+    let mut w = running_world(1, 3);
+    w.order(Operation::Drain, &["i0"]).unwrap();
+    w.wait_until("i0 drains", 60 * TICKS_PER_SECOND, |w| w.phases(Phase::Draining) == 1);
+    // The next agent finds it draining; nobody ordered it to serve again.
     w.fleet = None;
-    w.agent();
-    w.until("it is known to drain", 20 * TICKS_PER_SECOND, |w| {
+    w.start_agent();
+    w.wait_until("the next agent sees the drain", 20 * TICKS_PER_SECOND, |w| {
         w.phases(Phase::Draining) == 1 && w.phases(Phase::Ready) == 2
     });
-    w.pass(60 * TICKS_PER_SECOND);
+    w.run_for(60 * TICKS_PER_SECOND);
     assert_eq!(
-        w.fleet.as_ref().unwrap().instance("i0").unwrap().kept.run,
+        w.fleet.as_ref().unwrap().instance("i0").unwrap().persisted.run,
         1,
-        "it was not taken for one that does not start"
+        "the drained instance does not count as failed to start"
     );
-    // Taken back, and the agent dies before it can tell the instance.
-    w.dies_at = Some(w.done + 2);
-    let _ = w.order(What::Start, &["i0"]);
+    // The drain is undone, and the agent crashes before it can tell the instance.
+    w.crash_at = Some(w.effect_count + 2);
+    let _ = w.order(Operation::Start, &["i0"]);
     assert!(w.fleet.is_none());
-    w.dies_at = None;
-    w.agent();
-    w.until("it serves again", 30 * TICKS_PER_SECOND, |w| w.phases(Phase::Ready) == 3);
-    // A restart under way goes on, too.
-    w.order_all(What::Restart);
-    w.until("the first goes", 60 * TICKS_PER_SECOND, |w| w.phases(Phase::Draining) == 1);
+    w.crash_at = None;
+    w.start_agent();
+    w.wait_until("i0 serves again", 30 * TICKS_PER_SECOND, |w| w.phases(Phase::Ready) == 3);
+    // A restart in progress continues, too.
+    w.order_all(Operation::Restart);
+    w.wait_until("the first one drains", 60 * TICKS_PER_SECOND, |w| w.phases(Phase::Draining) == 1);
     w.fleet = None;
-    w.agent();
-    w.until("all were restarted", 200 * TICKS_PER_SECOND, |w| {
-        w.fleet.as_ref().unwrap().instances().all(|i| i.1.kept.run == 2 && i.1.phase == Phase::Ready)
+    w.start_agent();
+    w.wait_until("all were restarted", 200 * TICKS_PER_SECOND, |w| {
+        w.fleet.as_ref().unwrap().instances().all(|i| i.1.persisted.run == 2 && i.1.phase == Phase::Ready)
     });
 }
 
 #[test]
-fn an_agent_without_its_journal_stops_nothing_that_runs_and_takes_back_no_drain() {
-    let mut w = up(2, 3);
-    let drain = w.order(What::Drain, &["i0"]).unwrap();
-    w.until("it drains", 60 * TICKS_PER_SECOND, |w| w.progress(drain).over());
-    w.order(What::Stop, &["i1"]).unwrap();
-    w.until("it has ended", 60 * TICKS_PER_SECOND, |w| w.phases(Phase::Stopped) == 1);
-    let before: BTreeSet<Process> = w.procs.iter().map(|p| p.process).collect();
-    let terms = w.terms.len();
+fn an_agent_without_its_journal_stops_nothing_and_undoes_no_drain() {
+    let mut w = running_world(2, 3);
+    let drain = w.order(Operation::Drain, &["i0"]).unwrap();
+    w.wait_until("i0 drains", 60 * TICKS_PER_SECOND, |w| w.progress(drain).is_finished());
+    w.order(Operation::Stop, &["i1"]).unwrap();
+    w.wait_until("i1 has ended", 60 * TICKS_PER_SECOND, |w| w.phases(Phase::Stopped) == 1);
+    let before: BTreeSet<Process> = w.processes.iter().map(|p| p.process).collect();
+    let terminated = w.termination_counts.len();
     w.fleet = None;
     w.journal.clear();
-    w.agent();
-    w.until("all are known as they were", 20 * TICKS_PER_SECOND, |w| {
+    w.start_agent();
+    w.wait_until("all are in their previous phases", 20 * TICKS_PER_SECOND, |w| {
         w.phases(Phase::Draining) == 1 && w.phases(Phase::Ready) == 4 && w.phases(Phase::Absent) == 1
     });
-    w.pass(60 * TICKS_PER_SECOND);
-    assert_eq!(w.procs.iter().map(|p| p.process).collect::<BTreeSet<_>>(), before);
-    assert_eq!(w.terms.len(), terms, "nobody was told to stop");
-    // It was written down: the next agent knows it from its journal.
+    w.run_for(60 * TICKS_PER_SECOND);
+    assert_eq!(w.processes.iter().map(|p| p.process).collect::<BTreeSet<_>>(), before);
+    assert_eq!(w.termination_counts.len(), terminated, "no process was stopped");
+    // The derived states were persisted: the next agent reads them from its journal.
     w.fleet = None;
-    w.agent();
-    w.until("and again", 20 * TICKS_PER_SECOND, |w| {
+    w.start_agent();
+    w.wait_until("the same after another restart of the agent", 20 * TICKS_PER_SECOND, |w| {
         w.phases(Phase::Draining) == 1 && w.phases(Phase::Ready) == 4
     });
-    let all = w.order_all(What::Start);
-    w.until("all run", 120 * TICKS_PER_SECOND, |w| w.progress(all).over());
+    let all = w.order_all(Operation::Start);
+    w.wait_until("all run", 120 * TICKS_PER_SECOND, |w| w.progress(all).is_finished());
     assert_eq!(w.phases(Phase::Ready), 6);
-    // Killed before it has seen how they are, an agent leaves nothing half known.
-    for dies_at in 1..12 {
+    // An agent that crashes before it has derived all states leaves nothing incomplete.
+    for crash_at in 1..12 {
         w.fleet = None;
         w.journal.clear();
-        w.dies_at = Some(w.done + dies_at);
-        w.agent();
-        w.pass(TICKS_PER_SECOND);
-        w.dies_at = None;
+        w.crash_at = Some(w.effect_count + crash_at);
+        w.start_agent();
+        w.run_for(TICKS_PER_SECOND);
+        w.crash_at = None;
         w.fleet = None;
-        w.agent();
-        w.until("all are known", 20 * TICKS_PER_SECOND, |w| w.phases(Phase::Ready) == 6);
+        w.start_agent();
+        w.wait_until("all are ready", 20 * TICKS_PER_SECOND, |w| w.phases(Phase::Ready) == 6);
     }
-    assert_eq!(w.terms.len(), terms);
+    assert_eq!(w.termination_counts.len(), terminated);
 }
 
 #[test]
-fn a_journal_that_cannot_be_written_stops_orders_and_nothing_else() {
-    let mut w = up(1, 3);
-    w.full = true;
+fn a_journal_that_cannot_be_written_only_stops_orders() {
+    let mut w = running_world(1, 3);
+    w.journal_full = true;
     w.kill("i1");
-    w.pass(TICKS_PER_SECOND / 5);
-    w.until("it is started again all the same", 60 * TICKS_PER_SECOND, |w| w.phases(Phase::Ready) == 3);
-    let refused = w.order(What::Stop, &["i0"]);
-    assert!(matches!(refused, Err(Refused::NotKept(_))), "{refused:?}");
-    // The agent dies with a journal that is older than what runs: it takes over the later run.
+    w.run_for(TICKS_PER_SECOND / 5);
+    w.wait_until("i1 is started again nevertheless", 60 * TICKS_PER_SECOND, |w| w.phases(Phase::Ready) == 3);
+    let refused = w.order(Operation::Stop, &["i0"]);
+    assert!(matches!(refused, Err(OrderRejection::JournalUnavailable(_))), "{refused:?}");
+    // The agent crashes with a journal that is older than the running process: the next one adopts the later
+    // run.
     w.fleet = None;
-    w.full = false;
-    w.agent();
-    w.pass(2 * TICKS_PER_SECOND);
-    assert_eq!((w.phases(Phase::Ready), w.procs.len()), (3, 3));
-    assert_eq!(w.fleet.as_ref().unwrap().instance("i1").unwrap().kept.run, 2);
-    assert!(w.order(What::Stop, &["i0"]).is_ok());
+    w.journal_full = false;
+    w.start_agent();
+    w.run_for(2 * TICKS_PER_SECOND);
+    assert_eq!((w.phases(Phase::Ready), w.processes.len()), (3, 3));
+    assert_eq!(w.fleet.as_ref().unwrap().instance("i1").unwrap().persisted.run, 2);
+    assert!(w.order(Operation::Stop, &["i0"]).is_ok());
 }
 
 #[test]
-fn a_clock_that_is_set_back_holds_nothing_up_for_long() {
-    let mut w = up(1, 3);
-    // An hour back: for the agent time stands still; what happens is heeded.
-    let (back, mut out) = (w.now - 3_600 * TICKS_PER_SECOND, Vec::new());
-    let process = w.procs.iter().find(|p| &*p.name == "i1").unwrap().process;
-    w.fleet.as_mut().unwrap().exited(back, "i1", process, Exit::Signal(9), &mut out);
+fn a_clock_that_is_set_back_delays_nothing() {
+    let mut w = running_world(1, 3);
+    // An hour back: time stands still for the agent, but events are handled.
+    let (set_back, mut effects) = (w.now - 3_600 * TICKS_PER_SECOND, Vec::new());
+    let process = w.processes.iter().find(|p| &*p.name == "i1").unwrap().process;
+    w.fleet.as_mut().unwrap().on_exited(set_back, "i1", process, Exit::Signal(9), &mut effects);
     assert_eq!(w.fleet.as_ref().unwrap().instance("i1").unwrap().phase, Phase::Failed);
-    w.procs.retain(|p| p.process != process);
-    w.perform(out);
-    w.until("it is started again", 60 * TICKS_PER_SECOND, |w| w.phases(Phase::Ready) == 3);
+    w.processes.retain(|p| p.process != process);
+    w.perform(effects);
+    w.wait_until("i1 is started again", 60 * TICKS_PER_SECOND, |w| w.phases(Phase::Ready) == 3);
 }
 
-/// Anything at any time; in the end all is as wanted.
+/// Random events at any time; in the end all instances are in the desired state.
 fn random_run(seed: u64) {
     let mut rng = Rng::with_seed(seed);
-    let mut w = World::new(seed, 2, 4, Rules::default());
-    w.pass(TICKS_PER_SECOND);
-    w.order_all(What::Start);
+    let mut w = World::new(seed, 2, 4, PaceRules::default());
+    w.run_for(TICKS_PER_SECOND);
+    w.order_all(Operation::Start);
     let names = w.all();
     for _ in 0..30 {
         let name = names[rng.usize(0..names.len())].clone();
         match rng.u8(0..12) {
             0..=2 => w.kill(&name),
-            3 => drop(w.order(What::Drain, &[&name])),
-            4 => drop(w.order(What::Stop, &[&name])),
-            5 => drop(w.order(What::Restart, &[&name])),
-            6 => drop(w.order(What::Start, &[&name])),
-            7 => drop(w.order_as("ben", What::Stop, &[&name], Some(rng.u64(0..4)))),
+            3 => drop(w.order(Operation::Drain, &[&name])),
+            4 => drop(w.order(Operation::Stop, &[&name])),
+            5 => drop(w.order(Operation::Restart, &[&name])),
+            6 => drop(w.order(Operation::Start, &[&name])),
+            7 => drop(w.order_as("ben", Operation::Stop, &[&name], Some(rng.u64(0..4)))),
             8 => {
-                w.dies_at = Some(w.done + 1 + rng.u32(0..6));
+                w.crash_at = Some(w.effect_count + 1 + rng.u32(0..6));
             }
-            9 => w.full = !w.full,
+            9 => w.journal_full = !w.journal_full,
             10 => {
-                let kind = [Kind::Good, Kind::Dies, Kind::Hollow, Kind::Deaf][rng.usize(0..4)];
-                w.kinds.insert(name.into(), kind);
+                let behaviour = [
+                    Behaviour::Good,
+                    Behaviour::ExitsAfterStart,
+                    Behaviour::OnlyClaimsReady,
+                    Behaviour::IgnoresSigterm,
+                ][rng.usize(0..4)];
+                w.behaviours.insert(name.into(), behaviour);
             }
             _ => {}
         }
-        w.pass(rng.u64(0..6 * TICKS_PER_SECOND));
+        w.run_for(rng.u64(0..6 * TICKS_PER_SECOND));
         if w.fleet.is_none() {
-            w.dies_at = None;
-            w.agent();
+            w.crash_at = None;
+            w.start_agent();
         }
     }
-    (w.dies_at, w.full) = (None, false);
-    w.kinds.clear();
+    (w.crash_at, w.journal_full) = (None, false);
+    w.behaviours.clear();
     for name in &names {
-        // Those of a bad kind are replaced.
-        let bad = w.procs.iter().any(|p| &*p.name == name.as_str() && p.kind != Kind::Good);
+        // Those with a fault are replaced.
+        let bad = w.processes.iter().any(|p| &*p.name == name.as_str() && p.behaviour != Behaviour::Good);
         if bad {
             w.kill(name);
         }
     }
-    w.pass(30 * TICKS_PER_SECOND);
-    w.fleet.iter_mut().for_each(Fleet::kept);
-    w.order_all(What::Start);
-    w.until("all run in the end", 300 * TICKS_PER_SECOND, |w| {
-        w.phases(Phase::Ready) == 8 && w.procs.len() == 8
+    w.run_for(30 * TICKS_PER_SECOND);
+    w.fleet.iter_mut().for_each(Fleet::on_journal_ok);
+    w.order_all(Operation::Start);
+    w.wait_until("all run at the end", 300 * TICKS_PER_SECOND, |w| {
+        w.phases(Phase::Ready) == 8 && w.processes.len() == 8
     });
 }
 
@@ -641,7 +673,7 @@
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(3), cases: 12, ..ProptestConfig::default() })]
 
     #[test]
-    fn whatever_happens_nothing_runs_twice_and_all_is_as_wanted_in_the_end(seed in any::<u64>()) {
+    fn random_runs_start_nothing_twice_and_end_in_the_desired_state(seed in any::<u64>()) {
         random_run(seed);
     }
 }
--- a/crates/lab/src/fleet.rs
+++ b/crates/lab/src/fleet.rs
@@ -10,8 +10,8 @@
 use std::time::{Duration, Instant};
 
 use doorgrade_agent::process::{find, signal};
-use doorgrade_fleet::life::Check;
-use doorgrade_fleet::{Do, Fleet, Order, Phase, Process, Rules, TICKS_PER_SECOND, What};
+use doorgrade_fleet::instance::Check;
+use doorgrade_fleet::{Effect, Fleet, Operation, Order, PaceRules, Phase, Process, TICKS_PER_SECOND};
 use doorgrade_standins::{Client, Directory, Feed, Member, Role, Spec};
 use fastrand::Rng;
 use rustix::process::Signal;
@@ -265,7 +265,7 @@
         (0..stations * each).map(|n| (format!("i{n}").into(), format!("s{}", n % stations).into())).collect();
     let mut now = 17_000_000_000_000u64;
     let mut out = Vec::new();
-    let mut fleet = Fleet::start(now, Rules::default(), how.seed, &places, BTreeMap::new(), &mut out);
+    let mut fleet = Fleet::new(now, PaceRules::default(), how.seed, &places, BTreeMap::new(), &mut out);
     let mut rng = Rng::with_seed(how.seed);
     // What comes, by its time and a count: instances answer ready two seconds after their start.
     let mut heap: BinaryHeap<std::cmp::Reverse<(u64, u64)>> = BinaryHeap::new();
@@ -285,16 +285,16 @@
                 what.insert(count, (kind, name, run));
             };
             match each {
-                Do::Start { name, run } => {
+                Effect::Start { name, run } => {
                     pid += 1;
                     starts.push(now);
                     born.insert(name.clone(), now);
                     inputs += 1;
-                    fleet.started(now, &name, run, Ok(Process { id: pid, born: now }), &mut more);
+                    fleet.on_started(now, &name, run, Ok(Process { id: pid, start_time: now }), &mut more);
                 }
-                Do::Look { name } => at(10, 0, name, 0),
-                Do::Check { name, run } => at(20 + rng.u64(0..50), 1, name, run),
-                Do::Wake(t) => wake = Some(t),
+                Effect::FindProcesses { name } => at(10, 0, name, 0),
+                Effect::Check { name, run } => at(20 + rng.u64(0..50), 1, name, run),
+                Effect::SetTimer(t) => wake = Some(t),
                 _ => {}
             }
         }
@@ -306,10 +306,11 @@
         if !ordered {
             ordered = true;
             let targets = places.iter().map(|p| (p.0.clone(), None)).collect();
-            let order = Order { by: "lab".into(), what: What::Start, targets, force: Default::default() };
+            let order =
+                Order { by: "lab".into(), operation: Operation::Start, targets, force: Default::default() };
             // Looked for first: nothing is there.
             for (name, _) in &places {
-                fleet.found(now, name, &[], &mut out);
+                fleet.on_processes_found(now, name, &[], &mut out);
             }
             fleet.order(now, &order, &mut out).map_err(|e| e.to_string())?;
             continue;
@@ -324,9 +325,9 @@
             killed_at = Some(now);
             starts.clear();
             for (name, _) in places.iter().filter(|_| rng.u8(0..100) < 45) {
-                let process = fleet.instance(name).and_then(|i| i.kept.process);
+                let process = fleet.instance(name).and_then(|i| i.persisted.process);
                 if let Some(process) = process {
-                    fleet.exited(now, name, process, doorgrade_fleet::life::Exit::Signal(9), &mut out);
+                    fleet.on_exited(now, name, process, doorgrade_fleet::instance::Exit::Signal(9), &mut out);
                 }
             }
         } else if count.is_multiple_of(512) && killed_at.is_some() && ready() == places.len() {
@@ -337,14 +338,20 @@
             let Some(std::cmp::Reverse((_, number))) = heap.pop() else { break };
             let Some((kind, name, run)) = what.remove(&number) else { continue };
             if kind == 0 {
-                fleet.found(now, &name, &[], &mut out);
+                fleet.on_processes_found(now, &name, &[], &mut out);
             } else {
                 let up = born.get(&name).is_some_and(|at| now >= at + 2 * TICKS_PER_SECOND);
-                fleet.checked(now, &name, run, if up { Check::Ready } else { Check::Silent }, &mut out);
+                fleet.on_checked(
+                    now,
+                    &name,
+                    run,
+                    if up { Check::Ready } else { Check::Unresponsive },
+                    &mut out,
+                );
             }
         } else {
             wake = None;
-            fleet.due(now, &mut out);
+            fleet.on_timer(now, &mut out);
         }
     }
     let took = begun.elapsed().as_secs_f64();
--- a/crates/operator/src/agent.rs
+++ b/crates/operator/src/agent.rs
@@ -21,7 +21,7 @@
 
 use std::net::SocketAddr;
 
-use doorgrade_fleet::{Rules, fits};
+use doorgrade_fleet::{PaceRules, is_valid_name};
 
 use crate::control::{address, path};
 use crate::doc::{Block, Doc, Problems};
@@ -47,14 +47,14 @@
     pub log_mb: u64,
     pub instances: Vec<Instance>,
     pub viewers: Vec<u32>,
-    pub rules: Rules,
+    pub rules: PaceRules,
 }
 
 /// More than one machine bears.
 const MOST_INSTANCES: usize = 1_000;
 
 fn name(block: &Block<'_>, told: &str) -> Box<str> {
-    if !fits(told) {
+    if !is_valid_name(told) {
         block.complain_of_all("expected a name of 1 to 64 letters, digits, '-', '_' or '.'");
     }
     told.into()
@@ -63,7 +63,7 @@
 fn instance(label: &str, block: &Block<'_>) -> Option<Instance> {
     let name = name(block, label);
     let station = block.required("station", block.text("station"))?;
-    if !fits(station) {
+    if !is_valid_name(station) {
         block.complain("station", "expected 1 to 64 letters, digits, '-', '_' or '.'");
     }
     let (listen, config) = (block.required("listen", address(block, "listen")), path(block, "config"));
@@ -75,17 +75,17 @@
     Some(Instance { name, station: station.into(), listen: listen?, config: config?, settings, labels })
 }
 
-fn rules(block: Option<&Block<'_>>) -> Rules {
-    let mut rules = Rules::default();
+fn rules(block: Option<&Block<'_>>) -> PaceRules {
+    let mut rules = PaceRules::default();
     let Some(block) = block else { return rules };
-    rules.down = block.share("down").unwrap_or(rules.down);
+    rules.max_down_share = block.share("down").unwrap_or(rules.max_down_share);
     let whole = |key, range, now: u64| block.whole(key, range).unwrap_or(now);
-    rules.cold = whole("cold", 1..=1_000, rules.cold as u64) as usize;
-    rules.cold_for = 10 * whole("cold_for_ms", 0..=3_600_000, rules.cold_for / 10);
-    rules.budget = whole("budget", 1..=10_000, rules.budget as u64) as f64;
-    rules.budget_each = 10 * whole("budget_each_ms", 1..=3_600_000, rules.budget_each / 10);
-    rules.most_failures = whole("most_failures", 1..=1_000, rules.most_failures.into()) as u32;
-    rules.drain_for = 10 * whole("drain_for_ms", 0..=3_600_000, rules.drain_for / 10);
+    rules.max_cold = whole("cold", 1..=1_000, rules.max_cold as u64) as usize;
+    rules.cold_time = 10 * whole("cold_for_ms", 0..=3_600_000, rules.cold_time / 10);
+    rules.restart_budget = whole("budget", 1..=10_000, rules.restart_budget as u64) as f64;
+    rules.budget_refill_time = 10 * whole("budget_each_ms", 1..=3_600_000, rules.budget_refill_time / 10);
+    rules.max_failures = whole("most_failures", 1..=1_000, rules.max_failures.into()) as u32;
+    rules.drain_time = 10 * whole("drain_for_ms", 0..=3_600_000, rules.drain_time / 10);
     rules
 }
 
