--- a/crates/control-client/src/memory.rs
+++ b/crates/control-client/src/memory.rs
@@ -1,5 +1,5 @@
-//! What an instance remembers, on disk and for neighbours: reads and writes, and hands all of it to [`Memory`], [`Asking`]
-//! and [`Giving`], which decide. Off unless the operators' settings have it on.
+//! What an instance remembers, on disk and for neighbours: reads and writes, and hands all of it to [`Memory`],
+//! [`PageFetcher`] and [`PageServer`], which decide. Off unless the operators' settings have it on.
 
 use std::net::SocketAddrV4;
 use std::path::Path;
--- a/crates/custody/src/coordinator.rs
+++ b/crates/custody/src/coordinator.rs
@@ -22,7 +22,8 @@
 /// Maximum number of claims at one time by one front; the others wait, so that replicas don't get all of them
 /// at once.
 const MAX_CLAIMS_IN_FLIGHT: usize = 64;
-/// For how long after the client's deadline the outcome is still sent to the replicas.
+/// For how long after the client's deadline an entry is kept, to store its outcome at the replicas and to
+/// answer retries.
 const OUTCOME_RETENTION: Ticks = 100_000;
 
 /// The result of a push.
@@ -33,44 +34,27 @@
     Responded(crate::Response),
 }
 
+/// What the shell has to do.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Effect {
-    Send {
-        to: FrontId,
-        id: RequestId,
-        request: ReplicaRequest,
-    },
+    /// Send this message to a replica; it may be lost.
+    Send { to: FrontId, id: RequestId, request: ReplicaRequest },
     /// It may be pushed: `start_push` says to which cache. `pushes`: earlier ones, of which some may have
     /// run, the first at most `push_age` ago.
-    Resume {
-        id: RequestId,
-        pushes: Vec<Push>,
-        push_age: Ticks,
-        time_left: Ticks,
-    },
+    Resume { id: RequestId, pushes: Vec<Push>, push_age: Ticks, time_left: Ticks },
     /// A majority has stored that this push is intended: it is sent now or never.
-    Push {
-        id: RequestId,
-        push: usize,
-    },
-    Settled {
-        id: RequestId,
-        outcome: Outcome,
-    },
+    Push { id: RequestId, push: usize },
+    /// The outcome is stored at a majority: report it to the clients that wait.
+    Settled { id: RequestId, outcome: Outcome },
     /// The id belongs to a request with another fingerprint.
-    IdConflict {
-        id: RequestId,
-    },
+    IdConflict { id: RequestId },
     /// No majority of replicas has answered in time: nothing was pushed, and this front will not push it.
-    NotReplicated {
-        id: RequestId,
-    },
+    NotReplicated { id: RequestId },
     /// The client's deadline has passed, and the outcome is not known.
-    Undecided {
-        id: RequestId,
-    },
+    Undecided { id: RequestId },
 }
 
+/// What follows once a majority has stored the current state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum NextStep {
     Resume,
@@ -92,6 +76,7 @@
     Settled,
 }
 
+/// A request that this front owns, waits for, or is about to take over.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Entry {
     replicas: ReplicaSet,
@@ -107,7 +92,9 @@
     timer_at: Ticks,
     /// When the current claim was first sent.
     claimed_at: Ticks,
+    /// Replicas that have stored the current state, or promised the current term.
     agreed_by: BTreeSet<FrontId>,
+    /// Records in the replicas' other answers in this phase.
     views: BTreeMap<FrontId, RecordView>,
     /// Clients of this front wait for it.
     client_waiting: bool,
@@ -115,6 +102,7 @@
     timeout_reported: bool,
 }
 
+/// All requests that this front owns or waits for.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Coordinator {
     own: FrontId,
@@ -128,6 +116,7 @@
     unreachable: BTreeSet<FrontId>,
     claim_queue: VecDeque<RequestId>,
     claims_in_flight: usize,
+    /// The number of requests that this incarnation has created.
     created: u64,
 }
 
@@ -152,7 +141,7 @@
     }
 
     pub fn record(&self, id: RequestId) -> Option<&RequestRecord> {
-        self.entries.get(&id).map(|m| &m.record)
+        self.entries.get(&id).map(|e| &e.record)
     }
 
     pub fn count(&self) -> usize {
@@ -361,7 +350,7 @@
         let watched: Vec<RequestId> = self
             .entries
             .iter()
-            .filter(|(_, m)| m.phase == Phase::Watching && m.term.owner == front)
+            .filter(|(_, e)| e.phase == Phase::Watching && e.term.owner == front)
             .map(|(id, _)| *id)
             .collect();
         for id in watched {
@@ -524,14 +513,14 @@
                 }
                 entry.views.insert(from, view);
                 let majority_rejected = entry.replicas.blocked(|f| entry.views.contains_key(&f));
-                // One replica stores this request, one another with the same id, and the third does not
+                // One replica stores this request, one stores another with the same id, and the third does not
                 // answer: the request with the smaller creation id stays.
                 let loses_tie = entry.views.values().any(|v| v.record.creation_id < entry.record.creation_id);
-                // And a replica that stores this very request under another front's term shows that it was
+                let tie_lost = now >= entry.started_at + 4 * RETRY_INTERVAL && loses_tie;
+                // A replica that stores this very request, but under another front's term, shows that it was
                 // taken over.
-                let stalled = now >= entry.started_at + 4 * RETRY_INTERVAL && loses_tie;
                 if majority_rejected
-                    || stalled
+                    || tie_lost
                     || entry.views.values().any(|v| v.record.creation_id == entry.record.creation_id)
                 {
                     self.discard_own(id, effects);
--- a/crates/custody/src/replica.rs
+++ b/crates/custody/src/replica.rs
@@ -12,6 +12,7 @@
 pub struct StoredRecord {
     /// Writes of earlier terms are rejected.
     pub promised: Term,
+    /// The term and version of the last write.
     pub written: Term,
     pub version: u32,
     pub record: RequestRecord,
--- a/crates/custody/src/restart.rs
+++ b/crates/custody/src/restart.rs
@@ -47,6 +47,7 @@
     pub peers: BTreeMap<FrontId, (u64, Option<u64>)>,
 }
 
+/// Decides whether this incarnation may vote.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct RestartCheck {
     own: FrontId,
@@ -56,6 +57,7 @@
     last_stored: Option<u64>,
     /// Of other fronts, as they announced them; on disk.
     peers: BTreeMap<FrontId, (u64, Option<u64>)>,
+    /// Fronts that have stored this incarnation and are complete themselves.
     acked_by: BTreeSet<FrontId>,
     /// Until when it may have forgotten what is still open.
     incomplete_until: Option<Ticks>,
@@ -127,6 +129,7 @@
         StartAck { incarnation: notice.incarnation, previous, complete: self.complete(now) }
     }
 
+    /// Another front has answered the announcement of this incarnation.
     pub fn on_start_ack(&mut self, now: Ticks, retention: Ticks, from: FrontId, ack: StartAck) {
         if ack.incarnation != self.incarnation || !self.members.contains(&from) {
             return;
--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -57,12 +57,14 @@
 #[derive(Clone, Debug)]
 struct Station {
     name: Box<str>,
+    /// Indexes of its instances.
     members: Vec<usize>,
     budget: RestartBudget,
     budget_reported: bool,
-    /// As of the station's last change: the number of cold instances, and the next instance to start,
-    /// preceded by the share of instances that serve and its failures.
+    /// The number of cold instances as of the station's last change.
     cold_count: usize,
+    /// The next instance to start as of then: the share of the station's instances that serve, the instance's
+    /// failures, and its index.
     next_start: Option<(f64, u32, usize)>,
 }
 
@@ -90,6 +92,7 @@
     orders: BTreeMap<u64, OpenOrder>,
     next_order: u64,
     timers: BTreeSet<(Ticks, usize)>,
+    /// The time of the last `SetTimer`, if that has not come yet.
     requested_timer: Option<Ticks>,
     /// Stations in which an instance waits to be started.
     stations_waiting: BTreeSet<usize>,
@@ -222,7 +225,10 @@
     /// The number of a station's instances that should run, and how many of these serve.
     fn count_desired(&self, station: usize) -> (usize, usize) {
         let members = || self.stations[station].members.iter().map(|&m| &self.instances[m]);
-        let wanted = members().filter(|i| i.persisted.desired == DesiredState::Running).count();
-        (wanted, members().filter(|i| i.persisted.desired == DesiredState::Running && i.is_serving()).count())
+        let desired = members().filter(|i| i.persisted.desired == DesiredState::Running).count();
+        (
+            desired,
+            members().filter(|i| i.persisted.desired == DesiredState::Running && i.is_serving()).count(),
+        )
     }
 }
--- a/crates/fleet/src/fleet/steps.rs
+++ b/crates/fleet/src/fleet/steps.rs
@@ -198,8 +198,8 @@
         let failures = |m: usize| self.instances[m].persisted.failures;
         let first = members.iter().copied().filter(|m| may_start(&m)).min_by_key(|&m| (failures(m), m));
         let first = first.map(|m| {
-            let (wanted, serving) = self.count_desired(station);
-            (serving as f64 / wanted.max(1) as f64, failures(m), m)
+            let (desired, serving) = self.count_desired(station);
+            (serving as f64 / desired.max(1) as f64, failures(m), m)
         });
         if first.is_some() {
             self.stations_waiting.insert(station);
--- a/crates/fleet/src/instance.rs
+++ b/crates/fleet/src/instance.rs
@@ -134,6 +134,7 @@
     pub exit: Option<Exit>,
     /// Number of consecutive failed starts.
     pub failures: u32,
+    /// Failed too often: not started again until that is ordered. Shown to users as 'set aside'.
     pub quarantined: bool,
     /// To be started again once it has exited, although the desired state is running throughout.
     pub restart_pending: bool,
@@ -181,7 +182,7 @@
 pub const DRAIN_DETECTION_TIME: Ticks = 2 * TICKS_PER_SECOND;
 /// A start has succeeded once the instance has been ready for this long.
 pub const STABLE_AFTER: Ticks = 30 * TICKS_PER_SECOND;
-/// The interval of health checks, and while an instance starts: others wait for it to be ready.
+/// The interval of health checks; shorter while an instance starts, since others wait for it to be ready.
 pub const CHECK_INTERVAL: Ticks = TICKS_PER_SECOND;
 pub const STARTUP_CHECK_INTERVAL: Ticks = TICKS_PER_SECOND / 5;
 
@@ -247,8 +248,8 @@
             && (check == Check::Ready
                 || check == Check::NotReady && now >= self.phase_since + DRAIN_DETECTION_TIME)
         {
-            // Somebody told it to drain, and it must not serve again on its own; an instance that is starting
-            // is ready sooner.
+            // Not ready for this long: somebody told it to drain, and that must last. An instance that is only
+            // starting is ready sooner.
             self.desired_unknown = false;
             self.persisted.desired =
                 if check == Check::Ready { DesiredState::Running } else { DesiredState::Drained };
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,14 +1,15 @@
 //! Keeps many instances of the program in the state that operators want. Decides without I/O, clock, threads
 //! or randomness other than a seed:
 //!
-//! | - [`instance`]: the state of one instance, derived from reports: exits, checks, the process table. Each report may
-//! |   come late, twice, wrong or not at all, so each names the start of the instance that it is about.
-//! | - [`order`]: what operators ask for. An order names the state that its sender has seen; of two conflicting orders
-//! |   one wins, and the other is rejected with the winner's sender and content.
-//! | - [`pace`]: how many instances may be down or cold at once, when one that died is started again, and when it is
-//! |   not started again.
-//! | - [`fleet`]: all instances of one agent: the desired state against the observed state, and the steps from one to
-//! |   the other.
+//! - [`instance`]: the state of one instance, derived from reports: exits, checks, the process table. Each
+//!   report may come late, twice, wrong or not at all, so each names the start of the instance that it is
+//!   about.
+//! - [`order`]: what operators ask for. An order names the state that its sender has seen; of two conflicting
+//!   orders one wins, and the other is rejected with the winner's sender and content.
+//! - [`pace`]: how many instances may be down or cold at once, when one that died is started again, and when
+//!   it is not started again.
+//! - [`fleet`]: all instances of one agent: the desired state against the observed state, and the steps from
+//!   one to the other.
 //!
 //! **Steps are idempotent.** A step is persisted before it is taken, with the start that it is for; if its
 //! outcome is unknown, the processes are looked up before it is tried again. So an agent may crash at any
--- a/crates/fleet/src/order.rs
+++ b/crates/fleet/src/order.rs
@@ -49,6 +49,7 @@
     }
 }
 
+/// An operation on some instances.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Order {
     pub by: Box<str>,
@@ -62,6 +63,7 @@
 /// Ten times more than any station has.
 pub const MAX_TARGETS: usize = 10_000;
 
+/// Why an order is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OrderRejection {
     NoTargets,
--- a/crates/fleet/src/pace.rs
+++ b/crates/fleet/src/pace.rs
@@ -6,6 +6,7 @@
 
 use crate::{TICKS_PER_SECOND, Ticks};
 
+/// How fast the instances of a station may be stopped and started.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PaceRules {
     /// The share of a station's instances that orders may drain or stop at once; at least one.
@@ -84,6 +85,6 @@
 }
 
 /// How many of a station's instances orders may take down at once.
-pub fn max_down(rules: &PaceRules, wanted: usize) -> usize {
-    ((rules.max_down_share * wanted as f64) as usize).max(1)
+pub fn max_down(rules: &PaceRules, instance_count: usize) -> usize {
+    ((rules.max_down_share * instance_count as f64) as usize).max(1)
 }
