--- a/crates/custody/tests/world.rs
+++ b/crates/custody/tests/world.rs
@@ -151,7 +151,7 @@
         }
         (0..size).for_each(|n| world.schedule(world.now, n, Event::AnnounceStart));
         world.run_for(SECOND);
-        assert!(world.nodes.iter().all(|o| o.replica.votes));
+        assert!(world.nodes.iter().all(|node| node.replica.votes));
         world
     }
 
@@ -261,7 +261,9 @@
             }
         }
         let next = self.nodes[n].coordinator.next_timer();
-        if let Some(at) = next.filter(|at| self.nodes[n].timer_at.is_none_or(|w| *at < w || w <= self.now)) {
+        if let Some(at) =
+            next.filter(|at| self.nodes[n].timer_at.is_none_or(|set| *at < set || set <= self.now))
+        {
             self.nodes[n].timer_at = Some(at);
             self.schedule(at.max(self.now + 1), n, Event::Timer);
         }
@@ -405,14 +407,14 @@
     /// What may run only once has run at most once, and no client was told an outcome that contradicts
     /// another.
     fn check_invariants(&self) {
-        for (id, (policy, a)) in &self.stats {
+        for (id, (policy, stats)) in &self.stats {
             if *policy == RepeatPolicy::Unrepeatable {
-                assert!(a.runs <= 1, "{id:?} ran {} times: {a:?}", a.runs);
+                assert!(stats.runs <= 1, "{id:?} ran {} times: {stats:?}", stats.runs);
             }
-            let outcomes = [a.completed, a.not_run, a.may_have_run];
-            assert!(outcomes.iter().filter(|t| **t > 0).count() <= 1, "{id:?} {policy:?}: {a:?}");
-            assert!(a.completed == 0 || a.runs > 0, "{id:?}: completed, but never ran");
-            assert!(a.not_run == 0 || a.runs == 0, "{id:?}: reported as not run, but ran: {a:?}");
+            let outcomes = [stats.completed, stats.not_run, stats.may_have_run];
+            assert!(outcomes.iter().filter(|count| **count > 0).count() <= 1, "{id:?} {policy:?}: {stats:?}");
+            assert!(stats.completed == 0 || stats.runs > 0, "{id:?}: completed, but never ran");
+            assert!(stats.not_run == 0 || stats.runs == 0, "{id:?}: reported as not run, but ran: {stats:?}");
         }
     }
 }
@@ -460,7 +462,7 @@
         );
         let requests: Vec<_> = effects
             .iter()
-            .filter_map(|d| match d {
+            .filter_map(|effect| match effect {
                 Effect::Send { to, request, .. } => Some((*to, request.clone())),
                 _ => None,
             })
@@ -472,7 +474,7 @@
         for (from, response) in responses {
             w.nodes[n].coordinator.on_response(w.now, from, RequestId(7), response, &mut effects);
         }
-        assert!(effects.iter().any(|d| matches!(d, Effect::IdConflict { .. })), "front {n}: {effects:?}");
+        assert!(effects.iter().any(|e| matches!(e, Effect::IdConflict { .. })), "front {n}: {effects:?}");
     }
     assert_eq!(w.stats[&RequestId(7)].1.runs, 1);
 }
--- a/crates/fleet/tests/world.rs
+++ b/crates/fleet/tests/world.rs
@@ -78,7 +78,7 @@
 
 impl World {
     fn new(seed: u64, stations: usize, per_station: usize, rules: PaceRules) -> World {
-        let place = |n: usize| (format!("i{n}").into(), format!("s{}", n % stations).into());
+        let assignment = |n: usize| (format!("i{n}").into(), format!("s{}", n % stations).into());
         let mut w = World {
             now: START_TIME,
             rng: Rng::with_seed(seed),
@@ -87,7 +87,7 @@
             event_count: 0,
             fleet: None,
             agent_number: 0,
-            assignments: (0..stations * per_station).map(place).collect(),
+            assignments: (0..stations * per_station).map(assignment).collect(),
             rules,
             journal: BTreeMap::new(),
             processes: Vec::new(),
@@ -163,7 +163,7 @@
                     self.timer_number += 1;
                     self.schedule(at.saturating_sub(self.now), Event::Timer(self.timer_number));
                 }
-                Effect::Log(line) => self.log.push(line),
+                Effect::Log(event) => self.log.push(event),
             }
         }
     }
--- a/crates/recall/src/fetcher.rs
+++ b/crates/recall/src/fetcher.rs
@@ -38,6 +38,7 @@
     pub page: u16,
 }
 
+/// Fetches the pages that neighbours remember, until all have arrived or nothing more can be had.
 pub struct PageFetcher {
     name_hash: u64,
     started_at: Ticks,
@@ -48,6 +49,7 @@
     /// When it first started: after `MAX_DURATION` and the longest lifetime of an entry, the front has seen
     /// for itself what matters.
     first_started_at: Ticks,
+    /// Fetching again, after a fetch that ended without any page.
     restarted: bool,
     /// Those that answered that they have nothing.
     empty_providers: BTreeSet<SocketAddrV4>,
@@ -55,7 +57,9 @@
     page_count: Option<u16>,
     /// Pages that were requested but did not arrive.
     to_retry: Vec<u16>,
+    /// Requested pages: from which provider, and when each times out.
     in_flight: BTreeMap<u16, (SocketAddrV4, Ticks)>,
+    /// When providers that did not supply a page may be asked again.
     backoff_until: BTreeMap<SocketAddrV4, Ticks>,
     pub done: bool,
     pub pages_received: u64,
--- a/crates/recall/src/memory.rs
+++ b/crates/recall/src/memory.rs
@@ -16,6 +16,7 @@
     (fill.offering, fill.object, fill.part)
 }
 
+/// The fills and purges that a front remembers.
 #[derive(Clone)]
 pub struct Memory {
     rules: Rules,
--- a/crates/recall/src/server.rs
+++ b/crates/recall/src/server.rs
@@ -19,6 +19,7 @@
 /// recipient needs.
 const LISTING_MAX_AGE: Ticks = 10_000;
 
+/// The answer to a request for a page.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PageResponse {
     Page {
@@ -32,11 +33,14 @@
     Nothing,
 }
 
+/// Serves pages of the memory; a token bucket limits the rate.
 pub struct PageServer {
     pages_per_second: f64,
     tokens: f64,
     refilled_at: Ticks,
+    /// The fronts that are being served, and when each was last.
     recipients: BTreeMap<SocketAddrV4, Ticks>,
+    /// When the listing was made, and what it contains.
     listing: (Ticks, Vec<Fill>, Vec<Purge>),
     pub pages_served: u64,
     pub pages_rejected: u64,
--- a/crates/recall/src/snapshot.rs
+++ b/crates/recall/src/snapshot.rs
@@ -12,6 +12,7 @@
 /// Usual clock corrections within an hour are smaller than this.
 const MAX_CLOCK_SKEW: Ticks = 10_000;
 
+/// The contents of a memory, as stored on disk.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
     pub format: u16,
