--- a/crates/custody/tests/model.rs
+++ b/crates/custody/tests/model.rs
@@ -44,7 +44,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Budget {
     clients: u8,
-    down_reports: u8,
+    reports: u8,
     crashes: u8,
     disk_losses: u8,
     duplicates: u8,
@@ -241,7 +241,7 @@
             if budget.crashes > 0 {
                 steps.push(Step::Crash(n));
             }
-            if budget.down_reports > 0 {
+            if budget.reports > 0 {
                 steps.extend(
                     (0..2).filter(|suspect| *suspect != n).map(|suspect| Step::ReportDown(n, suspect)),
                 );
@@ -310,7 +310,7 @@
                 }
             }
             Step::ReportDown(n, suspect) => {
-                w.budget.down_reports -= 1;
+                w.budget.reports -= 1;
                 w.drive(n, fault, |node, now, effects| {
                     let Node { coordinator, replica } = node;
                     coordinator.front_down(now, front(suspect), replica.records(), effects);
@@ -344,7 +344,7 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always("the request runs at most once", |_, w: &World| w.runs <= 1),
-            Property::always("clients are never told two outcomes", |_, w: &World| {
+            Property::always("no client is told two outcomes", |_, w: &World| {
                 w.reported.iter().filter(|t| **t > 0).count() <= 1
             }),
             Property::always("the reported outcome is true", |_, w: &World| {
@@ -356,7 +356,7 @@
 
 const BUDGET: Budget = Budget {
     clients: 2,
-    down_reports: 1,
+    reports: 1,
     crashes: 0,
     disk_losses: 0,
     duplicates: 0,
@@ -366,11 +366,8 @@
 
 fn search(budget: Budget, fault: Fault, depth: usize) -> (usize, bool) {
     let checked = SmallModel(budget, fault).checker().threads(3).target_max_depth(depth).spawn_bfs().join();
-    let always = [
-        "the request runs at most once",
-        "clients are never told two outcomes",
-        "the reported outcome is true",
-    ];
+    let always =
+        ["the request runs at most once", "no client is told two outcomes", "the reported outcome is true"];
     let broken = always.into_iter().any(|name| checked.discovery(name).is_some());
     if fault == Fault::None {
         for name in always {
@@ -395,7 +392,7 @@
 
 #[test]
 fn each_injected_fault_is_found() {
-    let no_timeouts = Budget { down_reports: 0, ticks: 0, ..BUDGET };
+    let no_timeouts = Budget { reports: 0, ticks: 0, ..BUDGET };
     let with_crash = Budget { crashes: 1, disk_losses: 1, ..no_timeouts };
     for (fault, budget, depth) in [
         (Fault::PushesBeforeMajority, BUDGET, 8),
