--- a/crates/custody/tests/model.rs
+++ b/crates/custody/tests/model.rs
@@ -49,7 +49,7 @@
     disk_losses: u8,
     duplicates: u8,
     ticks: u8,
-    response_losses: u8,
+    lost_replies: u8,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -226,7 +226,7 @@
         steps.extend((0..w.pushes.len()).map(Step::PushRuns));
         for n in 0..w.responses.len() {
             steps.push(Step::DeliverPushResponse(n));
-            if budget.response_losses > 0 {
+            if budget.lost_replies > 0 {
                 steps.push(Step::LosePushResponse(n));
             }
         }
@@ -296,7 +296,7 @@
                 let outcome = if step == Step::DeliverPushResponse(at) {
                     PushOutcome::Responded(Response { status: 200, body: Box::default() })
                 } else {
-                    w.budget.response_losses -= 1;
+                    w.budget.lost_replies -= 1;
                     PushOutcome::Unknown
                 };
                 if w.incarnations[n] == incarnation && w.nodes[n].is_some() {
@@ -354,15 +354,8 @@
     }
 }
 
-const BUDGET: Budget = Budget {
-    clients: 2,
-    reports: 1,
-    crashes: 0,
-    disk_losses: 0,
-    duplicates: 0,
-    ticks: 1,
-    response_losses: 0,
-};
+const BUDGET: Budget =
+    Budget { clients: 2, reports: 1, crashes: 0, disk_losses: 0, duplicates: 0, ticks: 1, lost_replies: 0 };
 
 fn search(budget: Budget, fault: Fault, depth: usize) -> (usize, bool) {
     let checked = SmallModel(budget, fault).checker().threads(3).target_max_depth(depth).spawn_bfs().join();
@@ -385,7 +378,7 @@
 
 #[test]
 fn crashes_lost_disks_and_lost_responses_cause_no_second_run() {
-    let budget = Budget { crashes: 1, disk_losses: 1, response_losses: 1, ..BUDGET };
+    let budget = Budget { crashes: 1, disk_losses: 1, lost_replies: 1, ..BUDGET };
     let (found, _) = search(budget, Fault::None, 8);
     assert!(found > 20_000, "{found} states: the search covers too little");
 }
