--- a/crates/fleet/tests/world.rs
+++ b/crates/fleet/tests/world.rs
@@ -589,8 +589,8 @@
     w.kill("i1");
     w.run_for(TICKS_PER_SECOND / 5);
     w.wait_until("i1 is started again nevertheless", 60 * TICKS_PER_SECOND, |w| w.phases(Phase::Ready) == 3);
-    let refused = w.order(Operation::Stop, &["i0"]);
-    assert!(matches!(refused, Err(OrderRejection::JournalUnavailable(_))), "{refused:?}");
+    let rejected = w.order(Operation::Stop, &["i0"]);
+    assert!(matches!(rejected, Err(OrderRejection::JournalUnavailable(_))), "{rejected:?}");
     // The agent crashes with a journal that is older than the running process: the next one adopts the later
     // run.
     w.fleet = None;
@@ -603,7 +603,7 @@
 }
 
 #[test]
-fn a_clock_that_is_set_back_delays_nothing() {
+fn a_clock_that_is_set_back_does_not_stall_the_agent() {
     let mut w = running_world(1, 3);
     // An hour back: time stands still for the agent, but events are handled.
     let (set_back, mut effects) = (w.now - 3_600 * TICKS_PER_SECOND, Vec::new());
