--- a/crates/control-client/src/neighbours/socket.rs
+++ b/crates/control-client/src/neighbours/socket.rs
@@ -5,7 +5,7 @@
 use doorgrade::Ticks;
 use doorgrade_members::seal::Keys;
 use doorgrade_members::{MemberId, Members, Settings};
-use doorgrade_recall::Giver;
+use doorgrade_recall::Provider;
 use tokio::net::UdpSocket;
 
 use super::Membership;
@@ -59,9 +59,9 @@
     }
 
     /// Who may have memory: those that are there.
-    pub(super) fn givers(&self) -> Vec<Giver> {
+    pub(super) fn givers(&self) -> Vec<Provider> {
         let near = |id: &MemberId| id.station == self.membership.own.station;
-        self.members.alive().map(|id| Giver { at: id.address, near: near(id) }).collect()
+        self.members.alive().map(|id| Provider { address: id.address, same_station: near(id) }).collect()
     }
 
     /// Takes over seal keys that have changed in their file.
