--- a/crates/cli/tests/attempts.rs
+++ b/crates/cli/tests/attempts.rs
@@ -5,10 +5,10 @@
 use std::io::Write;
 use std::time::{Duration, Instant};
 
-use doorgrade_standins::client::Asked;
-use doorgrade_standins::held::Line;
-use doorgrade_standins::shim::{Fault, Seen, Shim};
-use doorgrade_standins::{Client, Feed, Held};
+use doorgrade_standins::client::AccessRequest;
+use doorgrade_standins::manual_cache::Connection;
+use doorgrade_standins::shim::{Counter, Fault, Shim};
+use doorgrade_standins::{Client, Feed, ManualCache};
 use helper::forced::{KEY, SOON, config};
 use helper::{Front, Launch, start, until};
 
@@ -17,30 +17,30 @@
 /// The terms: nothing begins for a client that left longer ago than this.
 const AFTER_LEAVING: Duration = Duration::from_millis(100);
 
-fn read(key: &str) -> Asked<'_> {
-    Asked { class: "images", key, bucket: 17, wait_ms: 1_900, body: b"" }
+fn read(key: &str) -> AccessRequest<'_> {
+    AccessRequest { class: "images", key, bucket: 17, timeout_ms: 1_900, body: b"" }
 }
 
 /// A cache whose connections and answers the test plays.
 struct Cache {
-    held: Held,
-    lines: Vec<Line>,
+    held: ManualCache,
+    lines: Vec<Connection>,
 }
 
 impl Cache {
     fn start() -> Cache {
-        Cache { held: Held::start().unwrap(), lines: Vec::new() }
+        Cache { held: ManualCache::start().unwrap(), lines: Vec::new() }
     }
 
     /// Takes in new connections, and says on which one a request waits.
     fn asked(&mut self) -> Option<usize> {
         self.lines.extend(self.held.accept(Duration::ZERO));
-        self.lines.iter().position(Line::spoken_to)
+        self.lines.iter().position(Connection::has_unread_bytes)
     }
 
     fn answer(&mut self, line: usize) {
-        self.lines[line].request().unwrap().expect("a request");
-        self.lines[line].answer(200, &[("Detail", "h"), ("Tag", "aa")], b"content").unwrap();
+        self.lines[line].read_request().unwrap().expect("a request");
+        self.lines[line].respond(200, &[("Detail", "h"), ("Tag", "aa")], b"content").unwrap();
     }
 }
 
@@ -48,22 +48,22 @@
 /// `Call-Ms` was written with the decision, a second before the connection was there.
 #[test]
 fn an_attempt_whose_connection_comes_up_late_tells_the_time_that_is_left_then() {
-    let mut held = Held::start().unwrap();
+    let mut held = ManualCache::start().unwrap();
     let feed = Feed::start("127.0.0.1:0").unwrap();
-    let at = held.at;
+    let at = held.address;
     let changes = [("\"connectTimeout\": 400.0", "\"connectTimeout\": 3000.0")];
-    let front = start(&config([&at, &at, &at, &feed.at], &changes), None);
-    held.hold_dials().unwrap();
+    let front = start(&config([&at, &at, &at, &feed.address], &changes), None);
+    held.block_connects().unwrap();
     let mut client = Client::connect(front.at).unwrap();
     let asked = Instant::now();
     client.send_access(&read(KEY)).unwrap();
-    until("it dials", || held.dials() > 0);
+    until("it dials", || held.pending_connects() > 0);
     std::thread::sleep(Duration::from_millis(300));
-    held.let_dials_up().unwrap();
+    held.unblock_connects().unwrap();
     // Its next word is said a second after the first.
     let mut line = held.accept(SOON).unwrap();
-    let head = line.request().unwrap().expect("a request");
-    let left = Duration::from_millis(read(KEY).wait_ms).saturating_sub(asked.elapsed());
+    let head = line.read_request().unwrap().expect("a request");
+    let left = Duration::from_millis(read(KEY).timeout_ms).saturating_sub(asked.elapsed());
     let told = Duration::from_millis(head.number("call-ms"));
     assert!(told <= left + SLACK, "{told:?} told, {left:?} left");
 }
@@ -88,9 +88,9 @@
 fn a_second_attempt_does_not_begin(leave: impl FnOnce(Client)) {
     let mut caches = [Cache::start(), Cache::start()];
     let feed = Feed::start("127.0.0.1:0").unwrap();
-    let ([one, two], origin) = (caches.each_ref().map(|c| c.held.at), Held::start().unwrap());
+    let ([one, two], origin) = (caches.each_ref().map(|c| c.held.address), ManualCache::start().unwrap());
     let debug = ("\"log\": \"info\"", "\"log\": \"debug\"");
-    let config = config([&one, &two, &origin.at, &feed.at], &[debug]);
+    let config = config([&one, &two, &origin.address, &feed.address], &[debug]);
     let shim = Shim::new(1).unwrap();
     let front = Launch { environment: shim.environment().unwrap(), ..Launch::default() }.start(&config);
     // Each cache has answered some, so that it has a connection at rest, and the objects' own caches are known.
@@ -112,7 +112,7 @@
     shim.set(Fault::HoldIo, 1).unwrap();
     leave(client);
     let left = Instant::now();
-    shim.until(Seen::IoHeld, 1, SOON).unwrap();
+    shim.wait_for(Counter::IoHeld, 1, SOON).unwrap();
     until("a second copy is due", || {
         front.log().iter().any(|line| line.contains(&request) && line.contains("attempt=1"))
     });
@@ -137,23 +137,23 @@
 fn a_request_that_was_handed_over_long_ago_is_made_anew_before_it_begins() {
     let mut caches = [Cache::start(), Cache::start()];
     let feed = Feed::start("127.0.0.1:0").unwrap();
-    let ([one, two], origin) = (caches.each_ref().map(|c| c.held.at), Held::start().unwrap());
+    let ([one, two], origin) = (caches.each_ref().map(|c| c.held.address), ManualCache::start().unwrap());
     let debug = ("\"log\": \"info\"", "\"log\": \"debug\"");
-    let config = config([&one, &two, &origin.at, &feed.at], &[debug]);
+    let config = config([&one, &two, &origin.address, &feed.address], &[debug]);
     let shim = Shim::new(1).unwrap();
     let front = Launch { environment: shim.environment().unwrap(), ..Launch::default() }.start(&config);
     // The object's cache has a connection at rest.
     let own = serve(&front, KEY, &mut caches);
     std::thread::sleep(Duration::from_millis(50));
     let mut client = Client::connect(front.at).unwrap();
-    assert!(client.check().unwrap());
+    assert!(client.is_ready().unwrap());
     // The request is read, and the main thread hears of it once the other one is held.
     shim.set(Fault::HoldMain, 1).unwrap();
-    shim.until(Seen::MainHeld, 1, SOON).unwrap();
-    let received = shim.seen(Seen::Received).unwrap();
+    shim.wait_for(Counter::MainHeld, 1, SOON).unwrap();
+    let received = shim.read(Counter::Received).unwrap();
     let request = client.send_access(&read(KEY)).unwrap();
     let asked = Instant::now();
-    shim.until(Seen::Received, received + 1, SOON).unwrap();
+    shim.wait_for(Counter::Received, received + 1, SOON).unwrap();
     shim.set(Fault::HoldIo, 1).unwrap();
     shim.set(Fault::HoldMain, 0).unwrap();
     until("it is decided on", || {
@@ -163,8 +163,8 @@
     shim.set(Fault::HoldIo, 0).unwrap();
     until("its cache has it", || caches[own].asked().is_some());
     let line = caches[own].asked().unwrap();
-    let head = caches[own].lines[line].request().unwrap().expect("a request");
-    let left = Duration::from_millis(read(KEY).wait_ms).saturating_sub(asked.elapsed());
+    let head = caches[own].lines[line].read_request().unwrap().expect("a request");
+    let left = Duration::from_millis(read(KEY).timeout_ms).saturating_sub(asked.elapsed());
     let told = Duration::from_millis(head.number("call-ms"));
     assert!(told <= left + SLACK, "{told:?} told, {left:?} left");
 }
--- a/crates/cli/tests/clocks.rs
+++ b/crates/cli/tests/clocks.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use doorgrade_standins::Client;
-use doorgrade_standins::client::Asked;
+use doorgrade_standins::client::AccessRequest;
 use helper::clock::{Rig, STEPS, step};
 use helper::forced::{KEY, ended};
 use helper::until;
@@ -13,8 +13,8 @@
 /// The terms: how late an answer may be, with the 50 ms that sockets are allowed.
 const SLACK: Duration = Duration::from_millis(100);
 
-fn write(key: &str, wait_ms: u64) -> Asked<'_> {
-    Asked { class: "orders", key, bucket: 17, wait_ms, body: b"a write" }
+fn write(key: &str, wait_ms: u64) -> AccessRequest<'_> {
+    AccessRequest { class: "orders", key, bucket: 17, timeout_ms: wait_ms, body: b"a write" }
 }
 
 /// A step forward of an hour was taken for an hour that had passed: the request in hand was over at once.
@@ -24,7 +24,7 @@
         let rig = Rig::with_lag(0, Duration::from_millis(300));
         let mut client = Client::connect(rig.front.at).unwrap();
         client.send_access(&write(KEY, 1_500)).unwrap();
-        until("its origin has it", || rig.origin.asked() == 1);
+        until("its origin has it", || rig.origin.requests() == 1);
         step(&rig.shim, ms);
         let (head, _) = client.receive().unwrap();
         assert!(head.starts_with("Status: 200"), "{ms} ms: {head}");
@@ -38,7 +38,7 @@
 fn a_request_whose_cache_hangs_is_given_up_in_time_though_the_clock_is_stepped() {
     for ms in STEPS {
         let rig = Rig::start(0);
-        rig.origin.gate().shut(true);
+        rig.origin.gate().set_closed(true);
         let mut client = Client::connect(rig.front.at).unwrap();
         let wait = Duration::from_millis(800);
         let asked = Instant::now();
@@ -49,7 +49,7 @@
         let took = asked.elapsed();
         assert!(head.starts_with("Status: 500"), "{ms} ms: {head}");
         assert!(took > wait - SLACK && took < wait + SLACK, "{ms} ms: given up after {took:?} of {wait:?}");
-        rig.origin.gate().shut(false);
+        rig.origin.gate().set_closed(false);
     }
 }
 
@@ -60,7 +60,7 @@
         let mut rig = Rig::start(0);
         rig.one.preload(&format!("/data/images/{KEY}/0"), 0);
         rig.two.preload(&format!("/data/images/{KEY}/0"), 0);
-        rig.origin.gate().shut(true);
+        rig.origin.gate().set_closed(true);
         let mut client = Client::connect(rig.front.at).unwrap();
         client.send_access(&write(KEY, 60_000)).unwrap();
         until("its origin has it", || rig.origin.gate().waiting() == 1);
@@ -78,6 +78,6 @@
             "{ms} ms: {took:?}"
         );
         assert!(ended(&mut rig.front, Duration::from_millis(700)).success(), "{ms} ms");
-        rig.origin.gate().shut(false);
+        rig.origin.gate().set_closed(false);
     }
 }
--- a/crates/cli/tests/cold.rs
+++ b/crates/cli/tests/cold.rs
@@ -6,7 +6,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-use doorgrade_standins::{Client, Directory, Feed, Member, Role, Spec, feed, unix_ms};
+use doorgrade_standins::{Client, Directory, Feed, Member, MemberConfig, Role, feed, unix_ms};
 use helper::start;
 
 const WINDOW_MS: u64 = 1_500;
@@ -30,7 +30,7 @@
 
 fn many(fronts: usize) {
     let directory = Directory::default();
-    let member = |id, role| Member::start(Spec::new(id, "127.0.0.1:0", role), &directory).unwrap();
+    let member = |id, role| Member::start(MemberConfig::new(id, "127.0.0.1:0", role), &directory).unwrap();
     let caches = ["s-00000001", "s-00000002", "s-00000003"].map(|id| member(id, Role::Cache));
     let origin = member("s-00000020", Role::Archive);
     let feed = Feed::start("127.0.0.1:0").unwrap();
@@ -38,13 +38,13 @@
     let third = format!(
         "{{\"id\": \"s-00000003\", \"host_port\": \"{}\", \"locality\": \"here\", \"flavor\": \"cache\", \"cell\": 0, \
          \"phase\": \"in_service\", \"size\": 4, \"up_since_ms\": 0}},\n {{\"id\": \"s-00000020\"",
-        caches[2].at
+        caches[2].address
     );
     for (from, to) in [
-        ("127.0.0.1:9101", caches[0].at.to_string()),
-        ("127.0.0.1:9102", caches[1].at.to_string()),
-        ("127.0.0.1:9120", origin.at.to_string()),
-        ("127.0.0.1:9092", feed.at.to_string()),
+        ("127.0.0.1:9101", caches[0].address.to_string()),
+        ("127.0.0.1:9102", caches[1].address.to_string()),
+        ("127.0.0.1:9120", origin.address.to_string()),
+        ("127.0.0.1:9092", feed.address.to_string()),
         ("{\"id\": \"s-00000020\"", third),
         ("\"fleetSize\": 1", format!("\"fleetSize\": {fronts}")),
         ("\"crewByZone\": [1]", format!("\"crewByZone\": [{fronts}]")),
@@ -69,21 +69,21 @@
                     let pause = -(1.0 - rng.f64()).ln() * count / (3.0 * EACH);
                     std::thread::sleep(Duration::from_secs_f64(pause.min(3.0)));
                     let key = format!("{:016x}", rng.u64(..));
-                    let _ = client.ask("images", &key, 2_000);
+                    let _ = client.request("images", &key, 2_000);
                 }
             });
         }
         // As long as it takes to learn what is usual, then word that one has started anew.
         std::thread::sleep(Duration::from_secs(10).saturating_sub(begun.elapsed()));
         started = unix_ms();
-        feed.list(2, &[feed::record("s-00000001", caches[0].at, 0, 0, 0, started)]);
+        feed.publish_members(2, &[feed::member_record("s-00000001", caches[0].address, 0, 0, 0, started)]);
         std::thread::sleep(Duration::from_secs(10));
         stop.store(true, Ordering::SeqCst);
     });
     // Told some tens of milliseconds later: what came before is not of this start.
     let told = started + 100;
-    let came: Vec<u64> = caches[0].asked_at().into_iter().map(|a| a.0).filter(|&at| at >= told).collect();
-    let warm = caches[1].asked_at().into_iter().filter(|a| a.0 >= told).count();
+    let came: Vec<u64> = caches[0].request_log().into_iter().map(|a| a.0).filter(|&at| at >= told).collect();
+    let warm = caches[1].request_log().into_iter().filter(|a| a.0 >= told).count();
     let worst = highest(&came, started);
     assert!(warm > 50, "{warm} came to a warm one");
     assert!(!came.is_empty(), "it never begins");
--- a/crates/cli/tests/copies.rs
+++ b/crates/cli/tests/copies.rs
@@ -2,7 +2,7 @@
 
 mod helper;
 
-use doorgrade_standins::{Client, Feed, Held};
+use doorgrade_standins::{Client, Feed, ManualCache};
 use helper::forced::{KEY, SOON, config};
 use helper::start;
 
@@ -23,16 +23,16 @@
 #[test]
 fn a_copy_is_current_only_if_a_cache_has_named_it() {
     for (named, current) in [("cc", false), ("bb", true)] {
-        let held = Held::start().unwrap();
+        let held = ManualCache::start().unwrap();
         let feed = Feed::start("127.0.0.1:0").unwrap();
-        let at = held.at;
-        let front = start(&config([&at, &at, &at, &feed.at], &[]), None);
+        let at = held.address;
+        let front = start(&config([&at, &at, &at, &feed.address], &[]), None);
         let mut client = Client::connect(front.at).unwrap();
         client.send(&params("00000000000000a1", "bb"), b"").unwrap();
         let mut line = held.accept(SOON).unwrap();
-        let asked = line.request().unwrap().expect("a request");
+        let asked = line.read_request().unwrap().expect("a request");
         assert_eq!(asked.field("have"), Some("bb"));
-        line.answer(304, &[("Detail", "h"), ("Tag", named)], b"").unwrap();
+        line.respond(304, &[("Detail", "h"), ("Tag", named)], b"").unwrap();
         // Whoever is asked next fails: nothing else can be served.
         drop(line);
         let (head, body) = client.receive().unwrap();
--- a/crates/cli/tests/crossing.rs
+++ b/crates/cli/tests/crossing.rs
@@ -16,9 +16,9 @@
 
 use std::time::Duration;
 
-use doorgrade_standins::client::Asked;
-use doorgrade_standins::shim::{Fault, Seen, Shim};
-use doorgrade_standins::{Client, Directory, Feed, Member, object};
+use doorgrade_standins::client::AccessRequest;
+use doorgrade_standins::shim::{Counter, Fault, Shim};
+use doorgrade_standins::{Client, Directory, Feed, Member, object_bytes};
 use helper::forced::{KEY, SOON, caches, config};
 use helper::{Front, Launch, until};
 
@@ -30,7 +30,8 @@
 /// Longer than the front waits for a client to end its side of a connection that was ended.
 const LINGERED: Duration = Duration::from_millis(400);
 
-const ASKED: Asked<'static> = Asked { class: "images", key: KEY, bucket: 17, wait_ms: 2_000, body: b"" };
+const ASKED: AccessRequest<'static> =
+    AccessRequest { class: "images", key: KEY, bucket: 17, timeout_ms: 2_000, body: b"" };
 
 /// A front with few places, its caches, and the faults of its system.
 struct Rig {
@@ -47,7 +48,7 @@
         let [one, two, origin] = &members;
         let sockets = format!("\"sockets\": {SOCKETS}");
         let changes = [("\"sockets\": 1024", &*sockets), ("\"log\": \"info\"", "\"log\": \"debug\"")];
-        let config = config([&one.at, &two.at, &origin.at, &feed.at], &changes);
+        let config = config([&one.address, &two.address, &origin.address, &feed.address], &changes);
         let shim = Shim::new(1).unwrap();
         let environment = shim.environment().unwrap();
         let front = Launch { environment, ..Launch::default() }.start(&config);
@@ -57,7 +58,7 @@
     /// One that has been served, and rests.
     fn resting(&self) -> Client {
         let mut client = Client::connect(self.front.at).unwrap();
-        assert!(client.check().unwrap());
+        assert!(client.is_ready().unwrap());
         client
     }
 
@@ -80,22 +81,22 @@
     /// The main thread hears of nothing from here on.
     fn hold_main(&self) {
         self.shim.set(Fault::HoldMain, 1).unwrap();
-        self.shim.until(Seen::MainHeld, 1, SOON).unwrap();
+        self.shim.wait_for(Counter::MainHeld, 1, SOON).unwrap();
     }
 
     /// One more client is accepted.
     fn newcomer(&self) -> Client {
-        let before = self.shim.seen(Seen::Accepted).unwrap();
+        let before = self.shim.read(Counter::Accepted).unwrap();
         let client = Client::connect(self.front.at).unwrap();
-        self.shim.until(Seen::Accepted, before + 1, SOON).unwrap();
+        self.shim.wait_for(Counter::Accepted, before + 1, SOON).unwrap();
         client
     }
 
     /// It asks, and the front has read it; the request's id.
     fn ask(&self, client: &mut Client) -> String {
-        let before = self.shim.seen(Seen::Received).unwrap();
+        let before = self.shim.read(Counter::Received).unwrap();
         let request = client.send_access(&ASKED).unwrap();
-        self.shim.until(Seen::Received, before + 1, SOON).unwrap();
+        self.shim.wait_for(Counter::Received, before + 1, SOON).unwrap();
         request
     }
 
@@ -105,7 +106,7 @@
         let (head, body) =
             answer.unwrap_or_else(|e| panic!("its connection ended with no answer: {e}\n{log}"));
         assert!(head.starts_with("Status: 200"), "{head}\n{log}");
-        assert_eq!(body, object(&format!("/data/images/{KEY}/0")));
+        assert_eq!(body, object_bytes(&format!("/data/images/{KEY}/0")));
     }
 }
 
@@ -124,7 +125,7 @@
     until("the request is taken", || {
         rig.front.log().iter().any(|line| line.contains("request taken") && line.contains(&request))
     });
-    rig.shim.until(Seen::IoHeld, 1, SOON).unwrap();
+    rig.shim.wait_for(Counter::IoHeld, 1, SOON).unwrap();
     rig.shim.set(Fault::HoldIo, 0).unwrap();
     rig.expect_answer(longest);
 }
@@ -157,7 +158,7 @@
         rig.shim.set(Fault::HoldMain, 0).unwrap();
         newcomer
     };
-    rig.shim.until(Seen::IoHeld, 1, SOON).unwrap();
+    rig.shim.wait_for(Counter::IoHeld, 1, SOON).unwrap();
     assert!(rig.logged("others need its place"));
     longest.send_access(&ASKED).unwrap();
     std::thread::sleep(LINGERED);
--- a/crates/cli/tests/dark.rs
+++ b/crates/cli/tests/dark.rs
@@ -13,7 +13,7 @@
 use doorgrade_standins::process::Process;
 use doorgrade_standins::timeline::Disk;
 use doorgrade_standins::versions::{Place, SERVICE};
-use doorgrade_standins::{Client, Directory, Feed, Member, Role, Spec};
+use doorgrade_standins::{Client, Directory, Feed, Member, MemberConfig, Role};
 use helper::control::{Control, control};
 use helper::until;
 use rustix::process::Signal;
@@ -51,11 +51,17 @@
     fn new(name: &str) -> (Rig, String) {
         let place = Place::new(name).unwrap();
         let directory = Directory::default();
-        let member = |id, role| Member::start(Spec::new(id, "127.0.0.1:0", role), &directory).unwrap();
+        let member =
+            |id, role| Member::start(MemberConfig::new(id, "127.0.0.1:0", role), &directory).unwrap();
         let (cache, origin) = (member("s-00000001", Role::Cache), member("s-00000020", Role::Archive));
         let feed = Feed::start("127.0.0.1:0").unwrap();
         let mut config = include_str!("../../../examples/config.json").to_owned();
-        for (from, to) in [("9101", cache.at), ("9102", cache.at), ("9120", origin.at), ("9092", feed.at)] {
+        for (from, to) in [
+            ("9101", cache.address),
+            ("9102", cache.address),
+            ("9120", origin.address),
+            ("9092", feed.address),
+        ] {
             config = config.replace(&format!("127.0.0.1:{from}"), &to.to_string());
         }
         place.write("config.json", &config).unwrap();
@@ -70,7 +76,7 @@
         rig.connected(FRONTS);
         rig.publish("log { level = \"info\" }\n");
         rig.stop_service();
-        Disk::new(&rig.place.file("control.redb")).keep().unwrap();
+        Disk::new(&rig.place.file("control.redb")).back_up().unwrap();
         rig.start_service_again();
         let second = rig.publish("log { level = \"debug\" }\n");
         (rig, second)
@@ -180,7 +186,7 @@
     /// A front loses all that it has on disk.
     fn lose(&self, n: usize) {
         for store in [format!("n{n}.redb"), format!("n{n}-recall.redb")] {
-            Disk::new(&self.place.file(&store)).lose().unwrap();
+            Disk::new(&self.place.file(&store)).delete().unwrap();
         }
     }
 
@@ -202,8 +208,9 @@
             let mut client = Client::connect(at).unwrap();
             while !stop.load(SeqCst) {
                 let key = format!("{:016x}", asked.fetch_add(1, SeqCst) % 50);
-                let fine = client.ask("images", &key, 2_000).is_ok_and(|a| a.0.starts_with("Status: 200"));
-                wrong.fetch_add(usize::from(!fine || client.spoke_unasked()), SeqCst);
+                let fine =
+                    client.request("images", &key, 2_000).is_ok_and(|a| a.0.starts_with("Status: 200"));
+                wrong.fetch_add(usize::from(!fine || client.has_unread_bytes()), SeqCst);
                 std::thread::sleep(Duration::from_millis(5));
             }
         })
@@ -212,8 +219,8 @@
     (0..3).for_each(|n| rig.kill(n));
     rig.stop_service();
     rig.lose(1);
-    Disk::new(&rig.place.file("control.redb")).lose().unwrap();
-    Disk::new(&rig.place.file("agent.redb")).lose().unwrap();
+    Disk::new(&rig.place.file("control.redb")).delete().unwrap();
+    Disk::new(&rig.place.file("agent.redb")).delete().unwrap();
 
     // The agent starts without the service and without its journal: it knows the front that lives by its mark.
     rig.start_agent();
@@ -262,9 +269,9 @@
     rig.agent = None;
     (0..4).for_each(|n| rig.kill(n));
     rig.stop_service();
-    Disk::new(&rig.place.file("agent.redb")).lose().unwrap();
+    Disk::new(&rig.place.file("agent.redb")).delete().unwrap();
     rig.lose(1);
-    Disk::new(&rig.place.file("control.redb")).put_back().unwrap();
+    Disk::new(&rig.place.file("control.redb")).restore().unwrap();
     rig.start_service_again();
     rig.start_agent();
     // The first that comes has nothing, and can't say what it ran.
--- a/crates/cli/tests/descriptors.rs
+++ b/crates/cli/tests/descriptors.rs
@@ -19,7 +19,7 @@
     let before = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let at = before.local_addr().unwrap().to_string();
     let config = config(
-        [&one.at, &two.at, &origin.at, &feed.at],
+        [&one.address, &two.address, &origin.address, &feed.address],
         &[("\"listen\": \"127.0.0.1:0\"", &format!("\"listen\": \"{at}\""))],
     );
     let leaves = std::thread::spawn(move || {
@@ -29,7 +29,7 @@
     });
     let front = start(&config, None);
     assert_eq!(front.at.to_string(), at);
-    assert!(Client::connect(front.at).unwrap().check().unwrap());
+    assert!(Client::connect(front.at).unwrap().is_ready().unwrap());
     leaves.join().unwrap();
 }
 
@@ -55,7 +55,8 @@
         let at = gone.local_addr().unwrap();
         drop(gone);
         let sockets = format!("\"sockets\": {told}");
-        let config = config([&one.at, &two.at, &origin.at, &at], &[("\"sockets\": 1024", &sockets)]);
+        let config =
+            config([&one.address, &two.address, &origin.address, &at], &[("\"sockets\": 1024", &sockets)]);
         let front = Launch { most_descriptors: Some(machine), inherited, ..Launch::default() }.start(&config);
         let fds = format!("/proc/{}/fd", front.process.id());
         let done = AtomicBool::new(false);
@@ -96,14 +97,14 @@
     }
     let feed = Feed::start(&discovery.to_string()).unwrap();
     let back = Instant::now();
-    until("the feed is followed", || !feed.begun().is_empty());
+    until("the feed is followed", || !feed.resume_numbers().is_empty());
     // Its usual time: it is asked anew after a second at the most.
     assert!(back.elapsed() < Duration::from_millis(1_600), "{:?}", back.elapsed());
     let begun = Instant::now();
     for number in 0..100 {
         let mut client = Client::connect(front.at).unwrap();
-        assert!(client.check().unwrap(), "{number}");
-        let (head, _) = client.ask("images", &format!("{number:016x}"), 2_000).unwrap();
+        assert!(client.is_ready().unwrap(), "{number}");
+        let (head, _) = client.request("images", &format!("{number:016x}"), 2_000).unwrap();
         assert!(head.starts_with("Status: 200"), "{number}: {head}");
         idle.extend(TcpStream::connect(front.at));
     }
@@ -149,12 +150,12 @@
     let at = gone.local_addr().unwrap();
     drop(gone);
     let (_directory, [one, two, origin], _) = caches();
-    let config = config([&one.at, &two.at, &origin.at, &at], &[]);
+    let config = config([&one.address, &two.address, &origin.address, &at], &[]);
     let begun = Instant::now();
     let mut took: Vec<_> = std::thread::scope(|scope| {
         let one = || {
             let front = start(&config, None);
-            assert!(Client::connect(front.at).unwrap().check().unwrap());
+            assert!(Client::connect(front.at).unwrap().is_ready().unwrap());
             // All of them are up together.
             (begun.elapsed(), front)
         };
@@ -174,7 +175,7 @@
 #[test]
 fn clients_that_send_without_end_keep_nobody_from_being_served() {
     let (_directory, [one, two, origin], feed) = caches();
-    let front = start(&config([&one.at, &two.at, &origin.at, &feed.at], &[]), None);
+    let front = start(&config([&one.address, &two.address, &origin.address, &feed.address], &[]), None);
     let (stop, ends) = (AtomicBool::new(false), AtomicUsize::new(0));
     std::thread::scope(|scope| {
         for _ in 0..4 {
@@ -197,8 +198,8 @@
             assert!(begun.elapsed() < SOON, "their connections are not ended");
             let asked = Instant::now();
             let mut client = Client::connect(front.at).unwrap();
-            assert!(client.check().unwrap());
-            assert!(client.ask("images", KEY, 2_000).unwrap().0.starts_with("Status: 200"));
+            assert!(client.is_ready().unwrap());
+            assert!(client.request("images", KEY, 2_000).unwrap().0.starts_with("Status: 200"));
             slowest = slowest.max(asked.elapsed());
         }
         stop.store(true, Ordering::SeqCst);
--- a/crates/cli/tests/failing_calls.rs
+++ b/crates/cli/tests/failing_calls.rs
@@ -4,9 +4,9 @@
 
 use std::time::{Duration, Instant};
 
-use doorgrade_standins::client::Asked;
-use doorgrade_standins::shim::{Fault, Seen, Shim};
-use doorgrade_standins::{Client, Directory, Held, Member, Role, Spec};
+use doorgrade_standins::client::AccessRequest;
+use doorgrade_standins::shim::{Counter, Fault, Shim};
+use doorgrade_standins::{Client, Directory, ManualCache, Member, MemberConfig, Role};
 use helper::forced::{caches, config};
 use helper::{Launch, start, until};
 
@@ -17,25 +17,26 @@
 #[test]
 fn the_time_for_a_connection_is_kept_though_waits_are_interrupted() {
     let directory = Directory::default();
-    let two = Member::start(Spec::new("s-00000002", "127.0.0.1:0", Role::Cache), &directory).unwrap();
-    let origin = Member::start(Spec::new("s-00000020", "127.0.0.1:0", Role::Archive), &directory).unwrap();
-    let mut silent = Held::start().unwrap();
+    let two = Member::start(MemberConfig::new("s-00000002", "127.0.0.1:0", Role::Cache), &directory).unwrap();
+    let origin =
+        Member::start(MemberConfig::new("s-00000020", "127.0.0.1:0", Role::Archive), &directory).unwrap();
+    let mut silent = ManualCache::start().unwrap();
     // Nothing comes from there that would wake anybody.
-    let feed = Held::start().unwrap();
+    let feed = ManualCache::start().unwrap();
     let debug = ("\"log\": \"info\"", "\"log\": \"debug\"");
-    let config = config([&silent.at, &two.at, &origin.at, &feed.at], &[debug]);
+    let config = config([&silent.address, &two.address, &origin.address, &feed.address], &[debug]);
     let front = start(&config, None);
-    silent.hold_dials().unwrap();
+    silent.block_connects().unwrap();
     for number in 0.. {
         let key = format!("{number:016x}");
         let mut client = Client::connect(front.at).unwrap();
-        let asked = Asked { class: "images", key: &key, bucket: 17, wait_ms: 2_000, body: b"" };
+        let asked = AccessRequest { class: "images", key: &key, bucket: 17, timeout_ms: 2_000, body: b"" };
         let request = client.send_access(&asked).unwrap();
         let sent = Instant::now();
-        let mut dials = silent.dials() > 0;
+        let mut dials = silent.pending_connects() > 0;
         until("it dials, or is answered", || {
-            dials |= silent.dials() > 0;
-            dials || two.asked() > 0
+            dials |= silent.pending_connects() > 0;
+            dials || two.requests() > 0
         });
         if !dials {
             client.receive().unwrap();
@@ -60,24 +61,25 @@
 #[test]
 fn no_cache_is_left_alone_for_calls_that_fail_here() {
     let (_directory, [one, two, origin], feed) = caches();
-    let config = config([&one.at, &two.at, &origin.at, &feed.at], &[]);
+    let config = config([&one.address, &two.address, &origin.address, &feed.address], &[]);
     let shim = Shim::new(3).unwrap();
     let front = Launch { environment: shim.environment().unwrap(), ..Launch::default() }.start(&config);
-    until("the feed is followed", || !feed.begun().is_empty());
+    until("the feed is followed", || !feed.resume_numbers().is_empty());
     shim.set(Fault::FailPerMille, 100).unwrap();
     let mut answered = 0;
     for number in 0..200 {
         // What must not run twice takes a new connection each time.
         let mut client = Client::connect(front.at).unwrap();
         let key = format!("{number:016x}");
-        let asked = Asked { class: "orders", key: &key, bucket: 17, wait_ms: 1_500, body: b"a write" };
+        let asked =
+            AccessRequest { class: "orders", key: &key, bucket: 17, timeout_ms: 1_500, body: b"a write" };
         client.send_access(&asked).unwrap();
         let (head, _) = client.receive().unwrap();
         assert!(head.starts_with("Status: 200") || head.starts_with("Status: 503"), "{number}: {head}");
         answered += usize::from(head.starts_with("Status: 200"));
     }
-    assert!(shim.seen(Seen::Failed).unwrap() > 20, "the calls have failed");
-    assert_eq!(origin.run_twice("orders"), 0);
+    assert!(shim.read(Counter::Failed).unwrap() > 20, "the calls have failed");
+    assert_eq!(origin.accesses_run_twice("orders"), 0);
     assert!(answered > 150, "{answered} of 200 answered");
     let blamed: Vec<_> = front.log().into_iter().filter(|line| line.contains(" ejected for ")).collect();
     assert_eq!(blamed, [""; 0]);
--- a/crates/cli/tests/fleet.rs
+++ b/crates/cli/tests/fleet.rs
@@ -10,10 +10,10 @@
 use std::time::Duration;
 
 use doorgrade_agent::process::{find, signal};
-use doorgrade_standins::client::Asked;
+use doorgrade_standins::client::AccessRequest;
 use doorgrade_standins::ports::free_address;
-use doorgrade_standins::shim::{Fault, Seen, Shim};
-use doorgrade_standins::{Client, Directory, Feed, Member, Role, Spec};
+use doorgrade_standins::shim::{Counter, Fault, Shim};
+use doorgrade_standins::{Client, Directory, Feed, Member, MemberConfig, Role};
 use helper::until;
 use rustix::process::Signal;
 use serde_json::Value;
@@ -50,11 +50,17 @@
         let _ = std::fs::remove_dir_all(&folder);
         std::fs::create_dir_all(&folder).unwrap();
         let directory = Directory::default();
-        let member = |id, role| Member::start(Spec::new(id, "127.0.0.1:0", role), &directory).unwrap();
+        let member =
+            |id, role| Member::start(MemberConfig::new(id, "127.0.0.1:0", role), &directory).unwrap();
         let (cache, origin) = (member("s-00000001", Role::Cache), member("s-00000020", Role::Archive));
         let feed = Feed::start("127.0.0.1:0").unwrap();
         let mut config = include_str!("../../../examples/config.json").to_owned();
-        for (from, to) in [("9101", cache.at), ("9102", cache.at), ("9120", origin.at), ("9092", feed.at)] {
+        for (from, to) in [
+            ("9101", cache.address),
+            ("9102", cache.address),
+            ("9120", origin.address),
+            ("9092", feed.address),
+        ] {
             config = config.replace(&format!("127.0.0.1:{from}"), &to.to_string());
         }
         std::fs::write(folder.join("config.json"), config).unwrap();
@@ -127,7 +133,8 @@
         let mut n = 0;
         while !stop.load(SeqCst) {
             n += 1;
-            let ready = |at: &SocketAddr| Client::connect(*at).and_then(|mut c| c.check()).unwrap_or(false);
+            let ready =
+                |at: &SocketAddr| Client::connect(*at).and_then(|mut c| c.is_ready()).unwrap_or(false);
             let Some(mut client) =
                 Some(at[n % at.len()]).filter(ready).and_then(|at| Client::connect(at).ok())
             else {
@@ -135,7 +142,7 @@
             };
             for key in 0..5 {
                 counts[0].fetch_add(1, SeqCst);
-                match client.ask("images", &format!("{key:016x}"), 2_000) {
+                match client.request("images", &format!("{key:016x}"), 2_000) {
                     Ok((head, _)) if head.starts_with("Status: 200") => {}
                     Ok(_) => drop(counts[1].fetch_add(1, SeqCst)),
                     Err(_) => {
@@ -143,7 +150,7 @@
                         break;
                     }
                 }
-                if client.spoke_unasked() {
+                if client.has_unread_bytes() {
                     counts[1].fetch_add(1, SeqCst);
                 }
             }
@@ -239,10 +246,10 @@
     let rig = Rig::new("clock");
     rig.done(&["start", "--all"]);
     let origin = &rig.members[1];
-    origin.gate().shut(true);
+    origin.gate().set_closed(true);
     let mut client = Client::connect(rig.at[0]).unwrap();
     let key = "7f3a9c21e0b4d655";
-    let asked = Asked { class: "orders", key, bucket: 17, wait_ms: 1_500, body: b"a write" };
+    let asked = AccessRequest { class: "orders", key, bucket: 17, timeout_ms: 1_500, body: b"a write" };
     client.send_access(&asked).unwrap();
     until("its origin has it", || origin.gate().waiting() == 1);
     rig.done(&["stop", "n0", "--no-wait"]);
@@ -251,7 +258,7 @@
     rig.shim.set(Fault::ClockOffsetNs, hour_ns).unwrap();
     let (head, _) = client.receive().expect("an answer, though nobody knows whether it ran");
     assert!(head.starts_with("Status: 500"), "{head}");
-    origin.gate().shut(false);
+    origin.gate().set_closed(false);
     until("it has stopped", || rig.states()[0] == "stopped");
 }
 
@@ -269,9 +276,9 @@
 
     rig.kill_agent();
     rig.shim.set(Fault::DiskErrno, INPUT_OUTPUT).unwrap();
-    let failed = rig.shim.seen(Seen::DiskFailed).unwrap();
+    let failed = rig.shim.read(Counter::DiskFailed).unwrap();
     rig.agent = Some(rig.agent_command().spawn().unwrap());
-    rig.shim.until(Seen::DiskFailed, failed + 1, Duration::from_secs(20)).unwrap();
+    rig.shim.wait_for(Counter::DiskFailed, failed + 1, Duration::from_secs(20)).unwrap();
     std::thread::sleep(Duration::from_millis(500));
     rig.shim.set(Fault::DiskErrno, 0).unwrap();
     until("the agent answers", || rig.fleet(&["status", "--json"]).status.success());
--- a/crates/cli/tests/helper/clock.rs
+++ b/crates/cli/tests/helper/clock.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use doorgrade_standins::shim::{Fault, Shim};
-use doorgrade_standins::{Client, Directory, Feed, Member, Role, Spec};
+use doorgrade_standins::{Client, Directory, Feed, Member, MemberConfig, Role};
 
 use super::forced::config;
 use super::{Front, Launch, until};
@@ -34,7 +34,11 @@
     pub fn with_lag(off_ms: i64, lag: Duration) -> Rig {
         let directory = Directory::default();
         let member = |id, role, lag| {
-            Member::start(Spec { lag, ..Spec::new(id, "127.0.0.1:0", role) }, &directory).unwrap()
+            Member::start(
+                MemberConfig { latency: lag, ..MemberConfig::new(id, "127.0.0.1:0", role) },
+                &directory,
+            )
+            .unwrap()
         };
         let one = member("s-00000001", Role::Cache, Duration::ZERO);
         let two = member("s-00000002", Role::Cache, Duration::ZERO);
@@ -48,15 +52,15 @@
         let size = ("\"size\": 4", "\"size\": 1");
         let falls = ("\"fallMultiple\": 4.0", "\"fallMultiple\": 1.0");
         let changes = [("\"cold\": 17000.0", &*cold), size, falls];
-        let config = config([&one.at, &two.at, &origin.at, &feed.at], &changes);
+        let config = config([&one.address, &two.address, &origin.address, &feed.address], &changes);
         let front = Launch { environment, ..Launch::default() }.start(&config);
-        until("the feed is followed", || !feed.begun().is_empty());
+        until("the feed is followed", || !feed.resume_numbers().is_empty());
         Rig { front, shim, one, two, origin, feed, _directory: directory }
     }
 
     pub fn read(&self, key: &str) -> String {
         let mut client = Client::connect(self.front.at).unwrap();
-        client.ask("images", key, 2_000).unwrap().0
+        client.request("images", key, 2_000).unwrap().0
     }
 }
 
--- a/crates/cli/tests/helper/fleet.rs
+++ b/crates/cli/tests/helper/fleet.rs
@@ -55,7 +55,7 @@
         let links = Arc::new(Links::new(1));
         let own: Vec<_> = (0..size).map(|_| free_address()).collect();
         let reached =
-            names(0..size).into_iter().zip(&own).map(|(name, &at)| links.mailbox(&name, at).unwrap());
+            names(0..size).into_iter().zip(&own).map(|(name, &at)| links.udp_proxy(&name, at).unwrap());
         let at: Vec<SocketAddrV4> = reached.map(|at| at.to_string().parse().unwrap()).collect();
         let (fronts, begun) = ((0..size).map(|_| None).collect(), Instant::now());
         Fleet { folder, links, own, at, fronts, begun, recall }
@@ -85,10 +85,10 @@
     /// By how much a front takes the clock for off: from its next start, or from now where it runs.
     pub fn set_clock(&mut self, n: usize, ms: i64) {
         std::fs::write(self.clock(n), ms.to_string()).unwrap();
-        if let Some(front) = self.fronts[n].as_mut().and_then(|f| f.alive().then_some(f)) {
+        if let Some(front) = self.fronts[n].as_mut().and_then(|f| f.is_running().then_some(f)) {
             let told = format!("the clock is taken to be {ms} ms off");
             front.hang_up();
-            assert!(front.line(&told, LONG).is_some(), "{:?}", front.lines());
+            assert!(front.wait_for_log(&told, LONG).is_some(), "{:?}", front.log_lines());
         }
     }
 
@@ -98,7 +98,7 @@
         command.env("PROXY_LISTEN", "127.0.0.1:0").env("DOORGRADE_SETTINGS", self.settings(n));
         command.env("DOORGRADE_CLOCK_OFF", self.clock(n));
         let process = Process::start(&mut command).unwrap();
-        assert!(process.line(" listens on ", LONG).is_some(), "{:?}", process.lines());
+        assert!(process.wait_for_log(" listens on ", LONG).is_some(), "{:?}", process.log_lines());
         self.fronts[n] = Some(process);
     }
 
@@ -135,7 +135,7 @@
 
     /// What each of these sees, and its log, for a test that fails.
     fn account(&self, who: std::ops::Range<usize>) -> String {
-        let log = |n: usize| self.fronts[n].as_ref().map_or_else(Vec::new, Process::lines).join("\n");
+        let log = |n: usize| self.fronts[n].as_ref().map_or_else(Vec::new, Process::log_lines).join("\n");
         let one = |n| format!("n{n} sees {:?}, status {:?}\n{}\n", self.picture(n), self.ask(n), log(n));
         who.map(one).collect()
     }
--- a/crates/cli/tests/helper/forced.rs
+++ b/crates/cli/tests/helper/forced.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use doorgrade_standins::{Directory, Feed, Member, Role, Spec};
+use doorgrade_standins::{Directory, Feed, Member, MemberConfig, Role};
 
 use super::Front;
 
@@ -38,7 +38,7 @@
 
 pub fn caches() -> (Directory, [Member; 3], Feed) {
     let directory = Directory::default();
-    let member = |id, role| Member::start(Spec::new(id, "127.0.0.1:0", role), &directory).unwrap();
+    let member = |id, role| Member::start(MemberConfig::new(id, "127.0.0.1:0", role), &directory).unwrap();
     let members = [
         member("s-00000001", Role::Cache),
         member("s-00000002", Role::Cache),
--- a/crates/cli/tests/log_writes.rs
+++ b/crates/cli/tests/log_writes.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::process::{Child, Command, Stdio};
 
-use doorgrade_standins::client::Asked;
+use doorgrade_standins::client::AccessRequest;
 use doorgrade_standins::ports::free_address;
 use doorgrade_standins::{Client, Feed, Member};
 use helper::forced::{caches, config};
@@ -31,7 +31,7 @@
 /// A front with its log there; it is not read, so the front's address is chosen for it.
 fn start(name: &str, [one, two, origin]: &[Member; 3], feed: &Feed, log: Stdio) -> (Running, SocketAddr) {
     let debug = ("\"log\": \"info\"", "\"log\": \"debug\"");
-    let text = config([&one.at, &two.at, &origin.at, &feed.at], &[debug]);
+    let text = config([&one.address, &two.address, &origin.address, &feed.address], &[debug]);
     let path = std::env::temp_dir().join(format!("doorgrade-log-{}-{name}.json", std::process::id()));
     std::fs::write(&path, text).unwrap();
     let at = free_address();
@@ -57,7 +57,7 @@
     let mut client = client.unwrap();
     for number in 0..REQUESTS {
         let key = format!("{:016x}", number % 20);
-        let asked = Asked { class: "images", key: &key, bucket: 17, wait_ms: 2_000, body: b"" };
+        let asked = AccessRequest { class: "images", key: &key, bucket: 17, timeout_ms: 2_000, body: b"" };
         client.send_access(&asked).unwrap();
         let answer = client.receive();
         let ended = running.process.try_wait().unwrap();
--- a/crates/cli/tests/neighbours.rs
+++ b/crates/cli/tests/neighbours.rs
@@ -8,8 +8,8 @@
 use std::time::{Duration, Instant};
 
 use doorgrade_control_client::neighbours::Standing;
-use doorgrade_standins::links::Way;
-use doorgrade_standins::timeline::{Timeline, What};
+use doorgrade_standins::links::LinkConditions;
+use doorgrade_standins::timeline::{Action, Timeline};
 use helper::fleet::{Fleet, names, until};
 
 fn command(settings: &Path, args: &[&str]) -> (i32, String, String) {
@@ -56,8 +56,12 @@
     let before = std::net::UdpSocket::bind(fleet.own[2]).unwrap();
     fleet.start(2);
     let waits = "is in use";
-    assert!(fleet.front(2).line(waits, helper::fleet::LONG).is_some(), "{:?}", fleet.front(2).lines());
-    assert!(fleet.front(2).alive(), "{:?}", fleet.front(2).lines());
+    assert!(
+        fleet.front(2).wait_for_log(waits, helper::fleet::LONG).is_some(),
+        "{:?}",
+        fleet.front(2).log_lines()
+    );
+    assert!(fleet.front(2).is_running(), "{:?}", fleet.front(2).log_lines());
     drop(before);
     fleet.all_see(0..3, 0..3);
 }
@@ -66,22 +70,23 @@
 fn one_that_is_stopped_and_woken_says_so_before_it_says_anything_of_others() {
     let mut fleet = Fleet::new("neighbours-stall", 5);
     fleet.all_see(0..5, 0..5);
-    fleet.front(3).stop();
+    fleet.front(3).suspend();
     // Longer than any pause of its own, and until the others miss it.
     let missed = |fleet: &Fleet| (0..5).filter(|&n| n != 3).all(|n| !fleet.picture(n).contains(&"n3".into()));
     until("n3 is missed", || missed(&fleet));
     std::thread::sleep(Duration::from_secs(3));
-    let before = fleet.front(3).lines().len();
-    fleet.front(3).wake();
+    let before = fleet.front(3).log_lines().len();
+    fleet.front(3).resume();
     fleet.all_see(0..5, 0..5);
     // The log comes through a pipe that another thread reads.
     let slept = "neighbours: stalled for ";
-    assert!(fleet.front(3).line(slept, helper::fleet::LONG).is_some());
-    let lines = fleet.front(3).lines();
+    assert!(fleet.front(3).wait_for_log(slept, helper::fleet::LONG).is_some());
+    let lines = fleet.front(3).log_lines();
     let told: Vec<_> = lines[before..].iter().filter(|l| l.contains("neighbours: ")).collect();
     assert!(told.first().is_some_and(|l| l.contains(slept)), "{told:?}");
     for n in 0..5 {
-        let wrong: Vec<_> = fleet.front(n).lines().into_iter().filter(|l| l.contains("is down")).collect();
+        let wrong: Vec<_> =
+            fleet.front(n).log_lines().into_iter().filter(|l| l.contains("is down")).collect();
         assert!(wrong.iter().all(|l| l.contains("n3 (")), "n{n}: only one that sleeps is missed: {wrong:?}");
     }
     fleet.words_hold();
@@ -91,7 +96,7 @@
 fn halves_cut_apart_meet_again_though_one_has_begun_anew() {
     let mut fleet = Fleet::new("neighbours-halves", 6);
     fleet.all_see(0..6, 0..6);
-    fleet.links.part(&names(0..3), &names(3..6));
+    fleet.links.partition(&names(0..3), &names(3..6));
     fleet.all_see(0..3, 0..3);
     fleet.all_see(3..6, 3..6);
     // The half without a seed: it knows nobody now, and can reach none of those that it is told of.
@@ -111,7 +116,7 @@
 fn a_link_that_loses_one_way_makes_no_death_and_the_command_shows_it_all() {
     let fleet = Fleet::new("neighbours-command", 4);
     fleet.all_see(0..4, 0..4);
-    fleet.links.set("n2", "n3", Way { cut: true, ..Way::default() });
+    fleet.links.set("n2", "n3", LinkConditions { cut: true, ..LinkConditions::default() });
     let settings = fleet.folder.join("n1.hcl");
     let (own, at) = (fleet.own[1].to_string(), fleet.at[1].to_string());
     let (code, out, err) = command(&settings, &["neighbours", "--json", "--through", &own]);
@@ -124,7 +129,7 @@
     // Some dozens of probes of each.
     std::thread::sleep(Duration::from_secs(6));
     for n in 0..4 {
-        let lines = fleet.fronts[n].as_ref().unwrap().lines();
+        let lines = fleet.fronts[n].as_ref().unwrap().log_lines();
         assert!(!lines.iter().any(|l| l.contains("is down")), "n{n}: {lines:?}");
     }
     // Other keys, and nobody there.
@@ -145,20 +150,20 @@
 fn a_drawn_time_line_of_troubles_ends_with_all_agreed() {
     let mut fleet = Fleet::new("neighbours-drawn", 6);
     fleet.all_see(0..6, 0..6);
-    let line = Timeline::drawn(28, &names(0..6), 8_000, 14);
+    let line = Timeline::random(28, &names(0..6), 8_000, 14);
     // Played as it would be from a file.
-    let line = Timeline::read(&line.write()).unwrap();
+    let line = Timeline::parse(&line.to_json_lines()).unwrap();
     let links = fleet.links.clone();
     let of = |name: &str| name[1..].parse::<usize>().unwrap();
     let mut deaths = 0;
     line.play(Instant::now(), &links, |what| match what {
-        What::Kill { process } => {
+        Action::Kill { process } => {
             deaths += 1;
             fleet.front(of(process)).kill();
         }
-        What::Stop { process } => fleet.front(of(process)).stop(),
-        What::Wake { process } => fleet.front(of(process)).wake(),
-        What::Start { process } => fleet.start(of(process)),
+        Action::Suspend { process } => fleet.front(of(process)).suspend(),
+        Action::Resume { process } => fleet.front(of(process)).resume(),
+        Action::Start { process } => fleet.start(of(process)),
         _ => {}
     });
     assert!(deaths > 0, "the seed draws none");
@@ -187,10 +192,10 @@
     std::thread::sleep(Duration::from_secs(3));
     fleet.all_see(0..4, 0..4);
     let slept: Vec<_> =
-        fleet.front(1).lines().into_iter().filter(|line| line.contains("neighbours: stalled")).collect();
+        fleet.front(1).log_lines().into_iter().filter(|line| line.contains("neighbours: stalled")).collect();
     assert_eq!(slept, [""; 0], "set forward by an hour");
     for n in [0, 2, 3] {
-        let lines = fleet.front(n).lines();
+        let lines = fleet.front(n).log_lines();
         assert!(
             !lines.iter().any(|line| line.contains("n1 (") && line.contains("is down")),
             "n{n}: {lines:?}"
--- a/crates/cli/tests/program.rs
+++ b/crates/cli/tests/program.rs
@@ -5,34 +5,36 @@
 use std::io::{Read, Write};
 use std::process::Command;
 
-use doorgrade_standins::client::Asked;
-use doorgrade_standins::{Client, Directory, Feed, Member, Role, Spec, object};
+use doorgrade_standins::client::AccessRequest;
+use doorgrade_standins::{Client, Directory, Feed, Member, MemberConfig, Role, object_bytes};
 use helper::{start, until};
 
 #[test]
 fn the_program_serves_fills_survives_losses_and_stops_in_order() {
     let directory = Directory::default();
-    let member = |id, role| Member::start(Spec::new(id, "127.0.0.1:0", role), &directory).unwrap();
+    let member = |id, role| Member::start(MemberConfig::new(id, "127.0.0.1:0", role), &directory).unwrap();
     let (one, two) = (member("s-00000001", Role::Cache), member("s-00000002", Role::Cache));
     let origin = member("s-00000020", Role::Archive);
     let feed = Feed::start("127.0.0.1:0").unwrap();
     let mut config = include_str!("../../../examples/config.json").replace("127.0.0.1:8080", "127.0.0.1:0");
-    for (from, to) in [("9101", one.at), ("9102", two.at), ("9120", origin.at), ("9092", feed.at)] {
+    for (from, to) in
+        [("9101", one.address), ("9102", two.address), ("9120", origin.address), ("9092", feed.address)]
+    {
         config = config.replace(&format!("127.0.0.1:{from}"), &to.to_string());
     }
     let mut front = start(&config, None);
     let mut client = Client::connect(front.at).unwrap();
-    assert!(client.check().unwrap());
+    assert!(client.is_ready().unwrap());
 
     // A miss is filled from the origin, a second access finds the copy.
     let key = "7f3a9c21e0b4d655";
     for _ in 0..2 {
-        let (head, body) = client.ask("images", key, 2_000).unwrap();
+        let (head, body) = client.request("images", key, 2_000).unwrap();
         assert!(head.starts_with("Status: 200"), "{head}");
-        assert_eq!(body, object(&format!("/data/images/{key}/0")));
+        assert_eq!(body, object_bytes(&format!("/data/images/{key}/0")));
     }
-    assert_eq!(origin.asked(), 1);
-    let (head, _) = client.ask("unheard-of", key, 2_000).unwrap();
+    assert_eq!(origin.requests(), 1);
+    let (head, _) = client.request("unheard-of", key, 2_000).unwrap();
     assert!(head.starts_with("Status: 404"), "{head}");
 
     // Whoever speaks no FastCGI is cut off; others notice nothing.
@@ -43,50 +45,51 @@
             assert!(matches!(stream.read(&mut [0; 8]), Ok(0) | Err(_)), "it is closed");
         }
     }
-    assert!(client.ask("images", key, 2_000).unwrap().0.starts_with("Status: 200"));
+    assert!(client.request("images", key, 2_000).unwrap().0.starts_with("Status: 200"));
 
     // The cache that holds it dies: the other serves.
-    let (dead, left) = if one.asked() > 0 { (&one, &two) } else { (&two, &one) };
+    let (dead, left) = if one.requests() > 0 { (&one, &two) } else { (&two, &one) };
     dead.kill();
     until("served by the other cache", || {
-        client.ask("images", key, 2_000).unwrap().0.starts_with("Status: 200")
+        client.request("images", key, 2_000).unwrap().0.starts_with("Status: 200")
     });
-    assert!(left.asked() > 0);
+    assert!(left.requests() > 0);
 
     // The feed is lost and comes back; what it tells then counts: with no cache left, the origin serves.
-    until("the feed is followed", || !feed.begun().is_empty());
-    feed.cut();
+    until("the feed is followed", || !feed.resume_numbers().is_empty());
+    feed.close_connections();
     let gone = |id: u8| [&[0, 0, 0, id, 127, 0, 0, 1, 0, 0, 2, 0, 0, 0, 0, 0, 0, 0, 0][..], &[0; 8]].concat();
-    feed.tell(2, 2, &[gone(1), gone(2)].concat());
-    until("the feed is followed again", || feed.begun().len() > 1);
-    let before = origin.asked();
+    feed.publish(2, 2, &[gone(1), gone(2)].concat());
+    until("the feed is followed again", || feed.resume_numbers().len() > 1);
+    let before = origin.requests();
     until("the list was heeded", || {
-        assert!(client.ask("images", key, 2_000).unwrap().0.starts_with("Status: 200"));
-        origin.asked() > before
+        assert!(client.request("images", key, 2_000).unwrap().0.starts_with("Status: 200"));
+        origin.requests() > before
     });
 
     // A configuration that can't be used changes nothing; one with another feed is taken while it runs.
     let later = Feed::start("127.0.0.1:0").unwrap();
     std::fs::write(&front.config, "{").unwrap();
     front.signal("-HUP");
-    assert!(client.ask("images", key, 2_000).unwrap().0.starts_with("Status: 200"));
-    std::fs::write(&front.config, config.replace(&feed.at.to_string(), &later.at.to_string())).unwrap();
+    assert!(client.request("images", key, 2_000).unwrap().0.starts_with("Status: 200"));
+    std::fs::write(&front.config, config.replace(&feed.address.to_string(), &later.address.to_string()))
+        .unwrap();
     until("the new feed is followed from the last event", || {
         front.signal("-HUP");
-        later.begun().contains(&2)
+        later.resume_numbers().contains(&2)
     });
-    assert!(client.ask("images", key, 2_000).unwrap().0.starts_with("Status: 200"));
+    assert!(client.request("images", key, 2_000).unwrap().0.starts_with("Status: 200"));
 
     // Told to stop with an access in hand: it is answered, and the program ends by itself.
-    origin.gate().shut(true);
+    origin.gate().set_closed(true);
     client
-        .send_access(&Asked { class: "orders", key, bucket: 17, wait_ms: 2_500, body: b"a write" })
+        .send_access(&AccessRequest { class: "orders", key, bucket: 17, timeout_ms: 2_500, body: b"a write" })
         .unwrap();
     until("the write waits at the origin", || origin.gate().waiting() == 1);
     front.signal("-TERM");
     let mut late = Client::connect(front.at).unwrap();
-    until("it says that it is leaving", || !late.check().unwrap());
-    origin.gate().shut(false);
+    until("it says that it is leaving", || !late.is_ready().unwrap());
+    origin.gate().set_closed(false);
     assert!(client.receive().unwrap().0.starts_with("Status: 200"));
     assert!(front.process.wait().unwrap().success());
 }
--- a/crates/cli/tests/recall.rs
+++ b/crates/cli/tests/recall.rs
@@ -9,9 +9,9 @@
 use std::time::Duration;
 
 use doorgrade_recall::{Purge, Snapshot};
-use doorgrade_standins::links::Way;
+use doorgrade_standins::links::LinkConditions;
 use doorgrade_standins::timeline::Disk;
-use doorgrade_standins::{Client, Directory, Feed, Member, Role, Spec, unix_ms};
+use doorgrade_standins::{Client, Directory, Feed, Member, MemberConfig, Role, unix_ms};
 use doorgrade_store::Records;
 use helper::fleet::{Fleet, LONG, names, until};
 
@@ -31,17 +31,21 @@
 fn rig(name: &str, size: usize) -> Rig {
     let directory = Directory::default();
     let fresh_ms = [("images".to_owned(), FRESH_MS)].into();
-    let cache = Spec { fresh_ms, ..Spec::new("s-00000001", "127.0.0.1:0", Role::Cache) };
+    let cache =
+        MemberConfig { max_age_ms: fresh_ms, ..MemberConfig::new("s-00000001", "127.0.0.1:0", Role::Cache) };
     let cache = Member::start(cache, &directory).unwrap();
-    let archive = Member::start(Spec::new("s-00000020", "127.0.0.1:0", Role::Archive), &directory).unwrap();
+    let archive =
+        Member::start(MemberConfig::new("s-00000020", "127.0.0.1:0", Role::Archive), &directory).unwrap();
     let feed = Feed::start("127.0.0.1:0").unwrap();
     let config = include_str!("../../../examples/config.json");
     let second = config.find("{\"id\": \"s-00000002\"").unwrap();
     let origin = config.find("{\"id\": \"s-00000020\"").unwrap();
     let mut config = format!("{}{}", &config[..second], &config[origin..]);
-    for (from, to) in
-        [("127.0.0.1:9101", cache.at), ("127.0.0.1:9120", archive.at), ("127.0.0.1:9092", feed.at)]
-    {
+    for (from, to) in [
+        ("127.0.0.1:9101", cache.address),
+        ("127.0.0.1:9120", archive.address),
+        ("127.0.0.1:9092", feed.address),
+    ] {
         config = config.replace(from, &to.to_string());
     }
     let config = config.replace("\"maxAge\": [8000.0, 0.0]", &format!("\"maxAge\": [{FRESH_MS}.0, 0.0]"));
@@ -50,19 +54,21 @@
 
 impl Rig {
     fn ask(&mut self, n: usize) {
-        let line = self.fleet.front(n).line(" listens on ", LONG).unwrap();
+        let line = self.fleet.front(n).wait_for_log(" listens on ", LONG).unwrap();
         let at = line.split_once(" listens on ").unwrap().1.trim().parse().unwrap();
-        let head = Client::connect(at).unwrap().ask("images", KEY, 2_000).unwrap().0;
+        let head = Client::connect(at).unwrap().request("images", KEY, 2_000).unwrap().0;
         assert!(head.starts_with("Status: 200"), "{head}");
     }
 
     fn renewals_asked(&self) -> usize {
-        self.cache.counts().renewal_asked.load(SeqCst)
+        self.cache.counts().refreshes_requested.load(SeqCst)
     }
 
     fn line(&mut self, n: usize, text: &str) -> String {
         let front = self.fleet.front(n);
-        front.line(text, LONG).unwrap_or_else(|| panic!("n{n} never says '{text}': {:?}", front.lines()))
+        front
+            .wait_for_log(text, LONG)
+            .unwrap_or_else(|| panic!("n{n} never says '{text}': {:?}", front.log_lines()))
     }
 
     /// Asked until a snapshot has it; then killed.
@@ -112,8 +118,8 @@
     // Without its disk it is blind again. Another's is nothing to a front.
     let disk = Disk::new(&rig.fleet.folder.join("n0.redb"));
     rig.fleet.front(0).kill();
-    disk.keep().unwrap();
-    disk.lose().unwrap();
+    disk.back_up().unwrap();
+    disk.delete().unwrap();
     rig.fleet.start(0);
     rig.line(0, "recall: no snapshot of its own");
     rig.fleet.front(0).kill();
@@ -138,7 +144,7 @@
     // Two that begin together have nothing for each other, and say so; from then on they give.
     rig.line(0, "recall: from neighbours, 0 pages");
     // The only one that knows can't be heard by the newcomer for a while.
-    rig.fleet.links.set("n0", "n2", Way { cut: true, ..Way::default() });
+    rig.fleet.links.set("n0", "n2", LinkConditions { cut: true, ..LinkConditions::default() });
     rig.fleet.start(2);
     rig.line(2, "n1 (hillside, ");
     rig.fleet.links.heal();
@@ -158,20 +164,20 @@
     let mut rig = rig("recall-purge", 2);
     rig.fleet.start(0);
     rig.ask(0);
-    let fills = rig.archive.asked();
+    let fills = rig.archive.requests();
     let purged = unix_ms();
-    rig.feed.purge(2, u64::from_str_radix(KEY, 16).unwrap(), purged);
+    rig.feed.publish_purge(2, u64::from_str_radix(KEY, 16).unwrap(), purged);
     // Once it is heard, the access is filled anew; the older copy is put back at the cache.
     until("the purge is heard", || {
         std::thread::sleep(Duration::from_millis(50));
-        rig.feed.begun().contains(&1)
+        rig.feed.resume_numbers().contains(&1)
     });
     rig.learn_and_die(0);
     rig.cache.preload(PATH, unix_ms() - purged + 1_000);
     // Nobody tells the front of it after its start.
     let config = rig.fleet.folder.join("config.json");
     let text = std::fs::read_to_string(&config).unwrap();
-    std::fs::write(&config, text.replace(&rig.feed.at.to_string(), "127.0.0.1:1")).unwrap();
+    std::fs::write(&config, text.replace(&rig.feed.address.to_string(), "127.0.0.1:1")).unwrap();
     let hits = rig.cache.counts().hits.load(SeqCst);
     rig.fleet.start(0);
     let line = rig.line(0, "recall: from its own snapshot");
@@ -179,7 +185,7 @@
     // Within the time in which purges act, or the test says nothing.
     assert!(unix_ms() < purged + 6_000, "the machine is too slow for this test");
     assert_eq!(rig.cache.counts().hits.load(SeqCst), hits, "nothing is answered from the older copy");
-    assert!(rig.archive.asked() > fills);
+    assert!(rig.archive.requests() > fills);
     assert_eq!(rig.cache.counts().too_old.load(SeqCst), 0);
     assert!(line.contains(" 1 purges taken"), "{line}");
 }
@@ -201,17 +207,17 @@
         let _ = std::fs::remove_file(rig.fleet.folder.join("n2.redb"));
         rig.fleet.start(2);
         rig.line(2, told);
-        rig.fleet.front(2).stop();
+        rig.fleet.front(2).suspend();
         // Longer than any pause of its own.
         std::thread::sleep(Duration::from_secs(3));
-        let before = rig.fleet.front(2).lines().len();
-        rig.fleet.front(2).wake();
+        let before = rig.fleet.front(2).log_lines().len();
+        rig.fleet.front(2).resume();
         // Stopped so early, it may not have begun to believe anything that it could drop.
         if step > 0 {
             rig.line(2, "neighbours: stalled for ");
         }
         until("it has asked anew", || {
-            let lines = rig.fleet.fronts[2].as_ref().unwrap().lines();
+            let lines = rig.fleet.fronts[2].as_ref().unwrap().log_lines();
             lines[before..].iter().any(|l| l.contains("recall: from neighbours, 1 pages: "))
         });
         let asked = rig.renewals_asked();
@@ -229,14 +235,14 @@
     rig.fleet.start(1);
     rig.ask(0);
     rig.line(1, "neighbours: connected to neighbours");
-    rig.fleet.front(0).stop();
+    rig.fleet.front(0).suspend();
     rig.fleet.start(2);
     rig.ask(2);
     // It ends, whoever does not answer.
     rig.line(2, "recall: from neighbours, ");
     // Longer than any pause of its own.
     std::thread::sleep(Duration::from_secs(1));
-    rig.fleet.front(0).wake();
+    rig.fleet.front(0).resume();
     rig.line(0, "neighbours: stalled for ");
     rig.ask(0);
 }
@@ -248,7 +254,7 @@
     (0..6).for_each(|n| rig.fleet.start(n));
     rig.fleet.all_see(0..6, 0..6);
     (0..3).for_each(|n| rig.ask(n));
-    rig.fleet.links.part(&names(0..3), &names(3..6));
+    rig.fleet.links.partition(&names(0..3), &names(3..6));
     rig.fleet.all_see(3..6, 3..6);
     for n in 3..6 {
         rig.fleet.front(n).kill();
@@ -299,13 +305,13 @@
         rig.line(0, "1 parts and 1 purges taken; dropped: 1 from the future");
         rig.fleet.start(1);
         rig.line(1, "recall: from neighbours, 1 pages: 1 parts");
-        let (fills, asked) = (rig.archive.asked(), rig.renewals_asked());
+        let (fills, asked) = (rig.archive.requests(), rig.renewals_asked());
         rig.ask(1);
         assert_eq!(rig.renewals_asked(), asked + first, "said to be {said} twentieths old, and is {is}");
         rig.ask(1);
         assert_eq!(rig.renewals_asked(), asked + first + second, "and then as it is");
         if is == 1 {
-            assert_eq!(rig.archive.asked(), fills, "what is young is not renewed, whoever asks");
+            assert_eq!(rig.archive.requests(), fills, "what is young is not renewed, whoever asks");
         }
         assert_eq!(rig.cache.counts().too_old.load(SeqCst), 0);
     }
@@ -329,7 +335,7 @@
         // Purged by the right clock, and the older copy put back.
         let purged = unix_ms();
         if ms < 0 {
-            rig.feed.purge(2, u64::from_str_radix(KEY, 16).unwrap(), purged);
+            rig.feed.publish_purge(2, u64::from_str_radix(KEY, 16).unwrap(), purged);
             // The feed looks for news each 20 ms. Not heard of yet, the test fails.
             std::thread::sleep(Duration::from_millis(500));
             rig.cache.preload(PATH, unix_ms() - purged + 1_000);
--- a/crates/cli/tests/soak/main.rs
+++ b/crates/cli/tests/soak/main.rs
@@ -20,9 +20,9 @@
 use std::time::{Duration, Instant};
 
 use doorgrade_standins::Feed;
-use doorgrade_standins::feed::record;
+use doorgrade_standins::feed::member_record;
 use doorgrade_standins::ports::free_address;
-use doorgrade_standins::shim::{Fault, Seen, Shim};
+use doorgrade_standins::shim::{Counter, Fault, Shim};
 use fastrand::Rng;
 
 use cache::{Cache, Record};
@@ -73,9 +73,9 @@
             ("\"connIdle\": 15000.0", "\"connIdle\": 2000.0"),
             ("\"log\": \"info\"", "\"log\": \"debug\""),
         ];
-        let config = config([&caches[0].at, &caches[1].at, &caches[2].at, &feeds[0].at], &changes);
+        let config = config([&caches[0].at, &caches[1].at, &caches[2].at, &feeds[0].address], &changes);
         let front = Launch { environment: shim.environment().unwrap(), ..Launch::default() }.start(&config);
-        until("the feed is followed", || !feeds[0].begun().is_empty());
+        until("the feed is followed", || !feeds[0].resume_numbers().is_empty());
         Rig { plan, front, shim, caches, feeds, moves: Mutex::default(), record, told: Mutex::default() }
     }
 
@@ -144,13 +144,15 @@
             let at = Instant::now();
             let what = if !drained && at > drains {
                 drained = true;
-                let draining = record("s-00000002", self.caches[1].at, 1, 0, 0, 0);
-                self.feeds.iter().for_each(|feed| feed.list(number, std::slice::from_ref(&draining)));
+                let draining = member_record("s-00000002", self.caches[1].at, 1, 0, 0, 0);
+                self.feeds
+                    .iter()
+                    .for_each(|feed| feed.publish_members(number, std::slice::from_ref(&draining)));
                 What::Drains("s-00000002".into())
             } else {
                 let key = 1 + rng.u64(0..KEYS);
                 let purged_ms = doorgrade_standins::unix_ms();
-                self.feeds.iter().for_each(|feed| feed.purge(number, key, purged_ms));
+                self.feeds.iter().for_each(|feed| feed.publish_purge(number, key, purged_ms));
                 What::Purged(format!("{key:016x}"))
             };
             let heard = self.heard(begun, Instant::now());
@@ -161,7 +163,7 @@
     /// A new configuration, which names the feed that the one before did not.
     fn move_feed(&self) {
         let config = std::fs::read_to_string(&self.front.config).unwrap();
-        let [one, other] = self.feeds.each_ref().map(|feed| feed.at.to_string());
+        let [one, other] = self.feeds.each_ref().map(|feed| feed.address.to_string());
         let moved = match config.contains(&one) {
             true => config.replace(&one, &other),
             false => config.replace(&other, &one),
@@ -275,8 +277,9 @@
     if !status.success() && !by_kill {
         verdict.broken.push(format!("it crashed: {status}"));
     }
-    let seen = |what| rig.shim.seen(what).unwrap();
-    let faults = [Seen::Failed, Seen::Interrupted, Seen::CutShort, Seen::Lost, Seen::Stalled].map(seen);
+    let seen = |what| rig.shim.read(what).unwrap();
+    let faults = [Counter::Failed, Counter::Interrupted, Counter::Shortened, Counter::Lost, Counter::Stalled]
+        .map(seen);
     let line = format!(
         "seed {seed}: a crowd of {}; {} requests, {} answered ({} served, {} late), {} left, {} crossed an end; {} attempts; faults \
          {faults:?}; rig late by {late:?}; ended {}; broken: {}",
--- a/crates/cli/tests/stamps.rs
+++ b/crates/cli/tests/stamps.rs
@@ -5,8 +5,8 @@
 
 use std::time::{Duration, Instant};
 
-use doorgrade_standins::feed::record;
-use doorgrade_standins::{Client, object, unix_ms};
+use doorgrade_standins::feed::member_record;
+use doorgrade_standins::{Client, object_bytes, unix_ms};
 use helper::clock::{COLD, Rig, STEPS, step};
 use helper::forced::KEY;
 
@@ -34,15 +34,15 @@
     assert!(rig.read(KEY).starts_with("Status: 200"));
     before(&rig);
     let purged = unix_ms();
-    rig.feed.purge(2, u64::from_str_radix(KEY, 16).unwrap(), purged);
+    rig.feed.publish_purge(2, u64::from_str_radix(KEY, 16).unwrap(), purged);
     // Some more than the grace of 300 ms.
     std::thread::sleep(Duration::from_millis(600));
     let begun = Instant::now();
     while begun.elapsed() < Duration::from_millis(500) {
         let mut client = Client::connect(rig.front.at).unwrap();
-        let (head, body) = client.ask("images", KEY, 2_000).unwrap();
+        let (head, body) = client.request("images", KEY, 2_000).unwrap();
         if head.starts_with("Status: 200") {
-            assert_eq!(body, object(&path));
+            assert_eq!(body, object_bytes(&path));
             let made = head.lines().find_map(|l| l.strip_prefix("X-Etag: t")?.parse::<u64>().ok());
             let made = made.expect("the tag tells when the copy was made");
             assert!(made >= purged, "{ms} ms: a copy {} ms older than the purge", purged - made);
@@ -58,18 +58,18 @@
         let rig = Rig::start(ms);
         let known: Vec<_> = (0..40).map(|n| format!("{n:016x}")).collect();
         let read_all = || {
-            let before = rig.one.asked();
+            let before = rig.one.requests();
             for key in &known {
                 assert!(rig.read(key).starts_with("Status: 200"));
             }
-            rig.one.asked() - before
+            rig.one.requests() - before
         };
         // Once to fill the caches.
         read_all();
         let warm = read_all();
         assert!(warm > 5, "{warm}");
         let now = unix_ms();
-        rig.feed.list(2, &[record("s-00000001", rig.one.at, 0, 0, 0, now - 100)]);
+        rig.feed.publish_members(2, &[member_record("s-00000001", rig.one.address, 0, 0, 0, now - 100)]);
         std::thread::sleep(Duration::from_millis(200));
         let cold = read_all();
         assert!(4 * cold <= warm, "{ms} ms: {cold} went to a cold cache, {warm} to the warm one");
--- a/crates/cli/tests/standing.rs
+++ b/crates/cli/tests/standing.rs
@@ -11,8 +11,8 @@
 use std::process::Command;
 use std::time::{Duration, Instant};
 
-use doorgrade_standins::client::Asked;
-use doorgrade_standins::{Client, Directory, Feed, Member, Role, Spec};
+use doorgrade_standins::client::AccessRequest;
+use doorgrade_standins::{Client, Directory, Feed, Member, MemberConfig, Role};
 use helper::{signal, until};
 use watch::{Watched, watch};
 
@@ -86,12 +86,14 @@
 #[test]
 fn run_is_one_process_that_only_listens_serves_and_waits() {
     let directory = Directory::default();
-    let member = |id, role| Member::start(Spec::new(id, "127.0.0.1:0", role), &directory).unwrap();
+    let member = |id, role| Member::start(MemberConfig::new(id, "127.0.0.1:0", role), &directory).unwrap();
     let (one, two) = (member("s-00000001", Role::Cache), member("s-00000002", Role::Cache));
     let origin = member("s-00000020", Role::Archive);
     let (feed, later) = (Feed::start("127.0.0.1:0").unwrap(), Feed::start("127.0.0.1:0").unwrap());
     let mut config = include_str!("../../../examples/config.json").to_owned();
-    for (from, to) in [("9101", one.at), ("9102", two.at), ("9120", origin.at), ("9092", feed.at)] {
+    for (from, to) in
+        [("9101", one.address), ("9102", two.address), ("9120", origin.address), ("9092", feed.address)]
+    {
         config = config.replace(&format!("127.0.0.1:{from}"), &to.to_string());
     }
     let root = Root::new("standing", Path::new(env!("CARGO_BIN_EXE_doorgrade")));
@@ -104,39 +106,39 @@
     });
     let (_lines, at) = helper::follow(log);
     let mut client = Client::connect(at).unwrap();
-    assert!(client.check().unwrap());
+    assert!(client.is_ready().unwrap());
     // Fills, hits, a write, a class that does not exist, a cache that dies.
     for key in ["7f3a9c21e0b4d655", "7f3a9c21e0b4d656", "7f3a9c21e0b4d655"] {
-        assert!(client.ask("images", key, 2_000).unwrap().0.starts_with("Status: 200"));
+        assert!(client.request("images", key, 2_000).unwrap().0.starts_with("Status: 200"));
     }
-    let write = Asked { class: "orders", key: "7f", bucket: 17, wait_ms: 2_500, body: b"a write" };
-    client.send_access(&Asked { key: "7f3a9c21e0b4d655", ..write.clone() }).unwrap();
+    let write = AccessRequest { class: "orders", key: "7f", bucket: 17, timeout_ms: 2_500, body: b"a write" };
+    client.send_access(&AccessRequest { key: "7f3a9c21e0b4d655", ..write.clone() }).unwrap();
     assert!(client.receive().unwrap().0.starts_with("Status: 200"));
-    assert!(client.ask("unheard-of", "7f3a9c21e0b4d655", 2_000).unwrap().0.starts_with("Status: 404"));
+    assert!(client.request("unheard-of", "7f3a9c21e0b4d655", 2_000).unwrap().0.starts_with("Status: 404"));
     one.kill();
     until("served by the other cache", || {
-        client.ask("images", "7f3a9c21e0b4d655", 2_000).unwrap().0.starts_with("Status: 200")
+        client.request("images", "7f3a9c21e0b4d655", 2_000).unwrap().0.starts_with("Status: 200")
     });
     // A new configuration under SIGHUP.
-    std::fs::write(&path, config.replace(&feed.at.to_string(), &later.at.to_string())).unwrap();
+    std::fs::write(&path, config.replace(&feed.address.to_string(), &later.address.to_string())).unwrap();
     until("the new feed is followed", || {
         signal(watched.pid, "-HUP");
-        !later.begun().is_empty()
+        !later.resume_numbers().is_empty()
     });
-    assert!(client.ask("images", "7f3a9c21e0b4d655", 2_000).unwrap().0.starts_with("Status: 200"));
+    assert!(client.request("images", "7f3a9c21e0b4d655", 2_000).unwrap().0.starts_with("Status: 200"));
     let mut faults = quiet(&watched);
     faults.extend(too_many_threads(&watched));
     let listens = watched.seen.lock().unwrap().listens;
     assert_eq!(listens, 1, "it listens on its one address");
     // SIGTERM with an access in hand: it is answered, and the program ends by itself.
-    origin.gate().shut(true);
-    client.send_access(&Asked { key: "7f3a9c21e0b4d655", ..write }).unwrap();
+    origin.gate().set_closed(true);
+    client.send_access(&AccessRequest { key: "7f3a9c21e0b4d655", ..write }).unwrap();
     until("the write waits at the origin", || origin.gate().waiting() == 1);
     signal(watched.pid, "-TERM");
     until("it says that it is leaving", || {
-        !Client::connect(at).and_then(|mut late| late.check()).unwrap_or(false)
+        !Client::connect(at).and_then(|mut late| late.is_ready()).unwrap_or(false)
     });
-    origin.gate().shut(false);
+    origin.gate().set_closed(false);
     assert!(client.receive().unwrap().0.starts_with("Status: 200"));
     assert_eq!(watched.end(), Some(0));
     faults.extend(watched.faults());
--- a/crates/cli/tests/tiers.rs
+++ b/crates/cli/tests/tiers.rs
@@ -4,8 +4,8 @@
 
 use std::sync::atomic::Ordering::SeqCst;
 
-use doorgrade_standins::feed::record;
-use doorgrade_standins::{Client, Directory, Feed, Member, Role, Spec, unix_ms};
+use doorgrade_standins::feed::member_record;
+use doorgrade_standins::{Client, Directory, Feed, Member, MemberConfig, Role, unix_ms};
 use helper::{start, until};
 use serde_json::{Value, json};
 
@@ -21,7 +21,7 @@
 
 fn config(feed: &Feed, cache: &Member, trunks: &[Member], archive: &Member) -> String {
     let row = |m: &Member, place: &str, flavor: &str| {
-        json!({"id": m.id, "host_port": m.at.to_string(), "locality": place, "flavor": flavor, "cell": 0,
+        json!({"id": m.id, "host_port": m.address.to_string(), "locality": place, "flavor": flavor, "cell": 0,
             "phase": "in_service", "size": 1, "up_since_ms": 0})
     };
     let mut members = vec![row(cache, "here", "cache"), row(archive, "hub", "archive")];
@@ -37,7 +37,7 @@
             "parentLimitFactor": 4.0, "sharesFills": true, "straight": true}
     });
     let census = json!({"revision": 1, "complete": true, "members": members});
-    json!({"name": "n1", "listen": "127.0.0.1:0", "feed": feed.at.to_string(), "seed": "1f",
+    json!({"name": "n1", "listen": "127.0.0.1:0", "feed": feed.address.to_string(), "seed": "1f",
         "known": {"n": 1, "events": [{"n": 1, "members": census}]}, "settings": settings})
     .to_string()
 }
@@ -46,12 +46,16 @@
 fn a_shape_changes_under_way_rings_are_caught_and_old_homes_give_what_they_hold() {
     let directory = Directory::default();
     let member_at = |id, role, keeps| {
-        Member::start(Spec { keeps, ..Spec::new(id, "127.0.0.1:0", role) }, &directory).unwrap()
+        Member::start(
+            MemberConfig { max_copies: keeps, ..MemberConfig::new(id, "127.0.0.1:0", role) },
+            &directory,
+        )
+        .unwrap()
     };
     // The station's cache keeps next to nothing, so each access shows what is above it.
     let (cache, archive) = (member_at(CACHE, Role::Cache, 1), member_at(ARCHIVE, Role::Archive, 0));
-    let trunks = TRUNKS.map(|id| member_at(id, Role::Trunk, 1_000));
-    trunks.iter().for_each(|t| t.hang(&[ARCHIVE]));
+    let trunks = TRUNKS.map(|id| member_at(id, Role::Parent, 1_000));
+    trunks.iter().for_each(|t| t.set_fill_sources(&[ARCHIVE]));
     let feed = Feed::start("127.0.0.1:0").unwrap();
 
     let folder = std::env::temp_dir().join(format!("doorgrade-tiers-{}", std::process::id()));
@@ -67,27 +71,27 @@
     let front = start(&config(&feed, &cache, &trunks[..2], &archive), Some(&settings));
     let mut client = Client::connect(front.at).unwrap();
     let mut ask = |key: u64| {
-        let (head, _) = client.ask("files", &format!("{key:016x}"), 2_000).unwrap();
+        let (head, _) = client.request("files", &format!("{key:016x}"), 2_000).unwrap();
         assert!(head.starts_with("Status: 200"), "{head}");
     };
 
     // Each object is fetched once: its fills meet at one parent.
     (1..=60).for_each(&mut ask);
     (1..=60).for_each(&mut ask);
-    assert_eq!(archive.asked(), 60);
+    assert_eq!(archive.requests(), 60);
 
     // A third parent comes. Its objects are had from their old homes, not from the archive.
     let three = two.clone() + &member(TRUNKS[2], 1, 1, &[ARCHIVE]);
     shape(&three);
     front.signal("-HUP");
-    feed.list(2, &[record(TRUNKS[2], trunks[2].at, 0, 1, 1, unix_ms())]);
+    feed.publish_members(2, &[member_record(TRUNKS[2], trunks[2].address, 0, 1, 1, unix_ms())]);
     let heard = |text: &str| front.log().iter().any(|line| line.contains(text));
     until("the new list is heard", || heard("33.3% of the objects move"));
     until("the newcomer has taken objects over", || {
         (1..=60).for_each(&mut ask);
         trunks[2].counts().fills.load(SeqCst) >= 10
     });
-    assert_eq!(archive.asked(), 60, "nothing was fetched anew");
+    assert_eq!(archive.requests(), 60, "nothing was fetched anew");
 
     // A shape with a loop in it is set aside, named, and harms nobody.
     shape(&(three.clone() + &member(TRUNKS[0], 2, 1, &[TRUNKS[1]]) + &member(TRUNKS[1], 2, 1, &[TRUNKS[0]])));
@@ -97,13 +101,13 @@
     (1..=20).for_each(&mut ask);
 
     // A ring that the shape doesn't show: it is cut on its first turn, reported, and the access goes another way.
-    trunks[0].hang(&[TRUNKS[1]]);
-    trunks[1].hang(&[TRUNKS[0]]);
+    trunks[0].set_fill_sources(&[TRUNKS[1]]);
+    trunks[1].set_fill_sources(&[TRUNKS[0]]);
     (1_000..1_030).for_each(&mut ask);
     until("the ring is reported", || heard("a fill came round in a ring"));
     let sum = |of: fn(&Member) -> usize| trunks.iter().map(of).sum::<usize>();
-    assert!(sum(|t| t.counts().rings.load(SeqCst)) > 0);
-    assert_eq!(sum(|t| t.counts().turned_twice.load(SeqCst)), 0);
+    assert!(sum(|t| t.counts().loops_rejected.load(SeqCst)) > 0);
+    assert_eq!(sum(|t| t.counts().loops_missed.load(SeqCst)), 0);
 
     // Every line is one JSON object with the same names.
     let log = front.log();
@@ -124,11 +128,15 @@
     const OBJECTS: u64 = 60;
     let directory = Directory::default();
     let member_at = |id, role, keeps| {
-        Member::start(Spec { keeps, ..Spec::new(id, "127.0.0.1:0", role) }, &directory).unwrap()
+        Member::start(
+            MemberConfig { max_copies: keeps, ..MemberConfig::new(id, "127.0.0.1:0", role) },
+            &directory,
+        )
+        .unwrap()
     };
     let (cache, archive) = (member_at(CACHE, Role::Cache, 1), member_at(ARCHIVE, Role::Archive, 0));
-    let trunks = [TRUNKS[0], TRUNKS[1]].map(|id| member_at(id, Role::Trunk, 1_000));
-    trunks.iter().for_each(|t| t.hang(&[ARCHIVE]));
+    let trunks = [TRUNKS[0], TRUNKS[1]].map(|id| member_at(id, Role::Parent, 1_000));
+    trunks.iter().for_each(|t| t.set_fill_sources(&[ARCHIVE]));
     // All stands at the first parent.
     let path = |key: u64| format!("/data/files/{key:016x}/0");
     (0..OBJECTS).for_each(|key| trunks[0].preload(&path(key), 1_000));
@@ -153,12 +161,12 @@
     let ask = |front: &helper::Front, keys: std::ops::Range<u64>| {
         let mut client = Client::connect(front.at).unwrap();
         for key in keys {
-            let (head, _) = client.ask("files", &format!("{key:016x}"), 2_000).unwrap();
+            let (head, _) = client.request("files", &format!("{key:016x}"), 2_000).unwrap();
             assert!(head.starts_with("Status: 200"), "{head}");
         }
     };
     ask(&front, 0..10);
-    assert_eq!(archive.asked(), 0, "all is had where it stands");
+    assert_eq!(archive.requests(), 0, "all is had where it stands");
     let store = folder.join("n1.redb");
     let written = || std::fs::metadata(&store).and_then(|m| m.modified()).ok();
     let before = written();
@@ -170,13 +178,13 @@
     front = start(&config, Some(&settings));
     until("it is known again", || has(&front, "homes: a hand-over is known again, over 2 lists"));
     ask(&front, 12..40);
-    assert_eq!(archive.asked(), 0, "nothing was fetched anew");
+    assert_eq!(archive.requests(), 0, "nothing was fetched anew");
     // Without its disk half of the rest is.
     let _ = front.process.kill();
     let _ = front.process.wait();
     std::fs::remove_file(&store).unwrap();
     front = start(&config, Some(&settings));
     ask(&front, 40..OBJECTS);
-    assert!(archive.asked() > 0, "or the test shows nothing");
+    assert!(archive.requests() > 0, "or the test shows nothing");
     std::fs::remove_dir_all(folder).unwrap();
 }
--- a/crates/cli/tests/versions.rs
+++ b/crates/cli/tests/versions.rs
@@ -6,11 +6,11 @@
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output, Stdio};
 
-use doorgrade_standins::client::Asked;
-use doorgrade_standins::feed::record;
+use doorgrade_standins::client::AccessRequest;
+use doorgrade_standins::feed::member_record;
 use doorgrade_standins::shim::{Fault, Shim};
 use doorgrade_standins::versions::{Place, SERVICE};
-use doorgrade_standins::{Client, Directory, Feed, Member, Role, Spec};
+use doorgrade_standins::{Client, Directory, Feed, Member, MemberConfig, Role};
 use helper::control::{Control, QUICK, control, control_with};
 use helper::{Front, signal, start, until};
 use serde_json::Value;
@@ -83,12 +83,18 @@
         let control = control_with(&place, "127.0.0.1:0", publication, environment);
         let settings = settings(&place, &control);
         let directory = Directory::default();
-        let member = |id, role| Member::start(Spec::new(id, "127.0.0.1:0", role), &directory).unwrap();
+        let member =
+            |id, role| Member::start(MemberConfig::new(id, "127.0.0.1:0", role), &directory).unwrap();
         let (cache, origin) = (member("s-00000001", Role::Cache), member("s-00000020", Role::Archive));
         let feed = Feed::start("127.0.0.1:0").unwrap();
         let mut config =
             include_str!("../../../examples/config.json").replace("127.0.0.1:8080", "127.0.0.1:0");
-        for (from, to) in [("9101", cache.at), ("9102", cache.at), ("9120", origin.at), ("9092", feed.at)] {
+        for (from, to) in [
+            ("9101", cache.address),
+            ("9102", cache.address),
+            ("9120", origin.address),
+            ("9092", feed.address),
+        ] {
             config = config.replace(&format!("127.0.0.1:{from}"), &to.to_string());
         }
         Rig { place, control, settings, config, feed, origin, _cache: cache }
@@ -191,32 +197,38 @@
     let mut front = rig.front();
     rig.connected();
     // Writes in flight at the origin.
-    rig.origin.gate().shut(true);
+    rig.origin.gate().set_closed(true);
     let mut clients: Vec<Client> = (0..6).map(|_| Client::connect(front.at).unwrap()).collect();
     for client in &mut clients {
         let key = "7f3a9c21e0b4d655";
         client
-            .send_access(&Asked { class: "orders", key, bucket: 17, wait_ms: 15_000, body: b"a write" })
+            .send_access(&AccessRequest {
+                class: "orders",
+                key,
+                bucket: 17,
+                timeout_ms: 15_000,
+                body: b"a write",
+            })
             .unwrap();
     }
     until("they wait at the origin", || rig.origin.gate().waiting() == 6);
     // Word that a cache drains, a version with another feed and tighter limits, and SIGHUP, all together.
     let later = Feed::start("127.0.0.1:0").unwrap();
-    until("the feed is followed", || !rig.feed.begun().is_empty());
-    rig.feed.tell(2, 2, &record("s-00000002", rig.origin.at, 1, 0, 0, 0));
-    let content = format!("feed = \"{}\"\nlimits {{\n  memory_mb = 64\n  sockets = 128\n}}\n", later.at);
+    until("the feed is followed", || !rig.feed.resume_numbers().is_empty());
+    rig.feed.publish(2, 2, &member_record("s-00000002", rig.origin.address, 1, 0, 0, 0));
+    let content = format!("feed = \"{}\"\nlimits {{\n  memory_mb = 64\n  sockets = 128\n}}\n", later.address);
     rig.place.write("next.hcl", &content).unwrap();
     let mut command = Command::new(env!("CARGO_BIN_EXE_doorgrade"));
     command.arg("config").arg("publish").arg(rig.place.file("next.hcl")).arg("--settings").arg(&rig.settings);
     let mut publishes = command.stdout(Stdio::null()).spawn().unwrap();
     (0..20).for_each(|_| front.signal("-HUP"));
     assert!(publishes.wait().unwrap().success());
-    until("the version's feed is followed", || !later.begun().is_empty());
+    until("the version's feed is followed", || !later.resume_numbers().is_empty());
     // A reload after it keeps what the version says over the file.
     let before = front.log().len();
     front.signal("-HUP");
     until("it has reloaded", || {
-        front.log()[before..].iter().any(|l| l.contains(&format!("feed at {}", later.at)))
+        front.log()[before..].iter().any(|l| l.contains(&format!("feed at {}", later.address)))
     });
     // Told to stop while one more version comes: each access is answered once, and it ends by itself.
     rig.place.write("last.hcl", "log { level = \"warn\" }\n").unwrap();
@@ -225,10 +237,10 @@
     let published = command.arg("--settings").arg(&rig.settings).stdout(Stdio::null()).spawn();
     signal(front.process.id(), "-TERM");
     assert!(published.unwrap().wait().unwrap().success());
-    rig.origin.gate().shut(false);
+    rig.origin.gate().set_closed(false);
     for client in &mut clients {
         assert!(client.receive().unwrap().0.starts_with("Status: 200"));
-        assert!(!client.spoke_unasked());
+        assert!(!client.has_unread_bytes());
     }
     assert!(front.process.wait().unwrap().success());
     // The service is killed and comes back with its store; the front, started again, runs what it had and finds it.
--- a/crates/lab/src/fleet.rs
+++ b/crates/lab/src/fleet.rs
@@ -12,7 +12,7 @@
 use doorgrade_agent::process::{find, signal};
 use doorgrade_fleet::life::Check;
 use doorgrade_fleet::{Do, Fleet, Order, Phase, Process, Rules, TICKS_PER_SECOND, What};
-use doorgrade_standins::{Client, Directory, Feed, Member, Role, Spec};
+use doorgrade_standins::{Client, Directory, Feed, Member, MemberConfig, Role};
 use fastrand::Rng;
 use rustix::process::Signal;
 use serde_json::{Value, json};
@@ -137,11 +137,11 @@
     let mut rng = Rng::with_seed(seed);
     while !stop.load(SeqCst) {
         let to = at[rng.usize(0..at.len())];
-        let ready = Client::connect(to).and_then(|mut c| c.check()).unwrap_or(false);
+        let ready = Client::connect(to).and_then(|mut c| c.is_ready()).unwrap_or(false);
         let Some(mut client) = Client::connect(to).ok().filter(|_| ready) else { continue };
         for _ in 0..10 {
             counts.asked.fetch_add(1, SeqCst);
-            match client.ask("files", &format!("{:016x}", rng.u64(0..500)), 2_000) {
+            match client.request("files", &format!("{:016x}", rng.u64(0..500)), 2_000) {
                 Ok((head, _)) if head.starts_with("Status: 200") => {}
                 Ok(_) => drop(counts.wrong.fetch_add(1, SeqCst)),
                 Err(_) => {
@@ -149,7 +149,7 @@
                     break;
                 }
             }
-            counts.twice.fetch_add(u64::from(client.spoke_unasked()), SeqCst);
+            counts.twice.fetch_add(u64::from(client.has_unread_bytes()), SeqCst);
             std::thread::sleep(Duration::from_millis(2));
         }
     }
@@ -157,7 +157,7 @@
 
 fn config(cache: &Member, archive: &Member, feed: &Feed) -> String {
     let row = |m: &Member, flavor: &str| {
-        json!({"id": m.id, "host_port": m.at.to_string(), "locality": "here", "flavor": flavor, "cell": 0,
+        json!({"id": m.id, "host_port": m.address.to_string(), "locality": "here", "flavor": flavor, "cell": 0,
             "phase": "in_service", "size": 4, "up_since_ms": 0})
     };
     let members =
@@ -171,7 +171,7 @@
         "specifics": {"crewByZone": [FRONTS], "maxAge": [0.0], "notesGiven": "all", "passOn": [false], "purgeDone": 6000.0,
             "upperKind": -1, "rootKind": 1, "sharesFills": true, "straight": true}
     });
-    json!({"name": "lab", "listen": "127.0.0.1:0", "feed": feed.at.to_string(), "limits": {"memory_mb": 64, "sockets": 256},
+    json!({"name": "lab", "listen": "127.0.0.1:0", "feed": feed.address.to_string(), "limits": {"memory_mb": 64, "sockets": 256},
         "known": {"n": 1, "events": [{"n": 1, "members": members}]}, "settings": settings})
     .to_string()
 }
@@ -179,8 +179,9 @@
 pub fn run(how: &How, named: Option<PathBuf>) -> Result<Figures, String> {
     let program = rig::program(named)?;
     let directory = Directory::default();
-    let member =
-        |id, role| Member::start(Spec::new(id, "127.0.0.1:0", role), &directory).map_err(|e| e.to_string());
+    let member = |id, role| {
+        Member::start(MemberConfig::new(id, "127.0.0.1:0", role), &directory).map_err(|e| e.to_string())
+    };
     let (cache, archive) = (member("s-00000001", Role::Cache)?, member("s-000000ff", Role::Archive)?);
     let feed = Feed::start("127.0.0.1:0").map_err(|e| e.to_string())?;
     let config = config(&cache, &archive, &feed);
--- a/crates/lab/src/front_state/real.rs
+++ b/crates/lab/src/front_state/real.rs
@@ -6,8 +6,8 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-use doorgrade_standins::links::{Links, Way};
-use doorgrade_standins::{Client, Directory, Feed, Member, Role, Spec, unix_ms};
+use doorgrade_standins::links::{LinkConditions, Links};
+use doorgrade_standins::{Client, Directory, Feed, Member, MemberConfig, Role, unix_ms};
 use serde_json::{Value, json};
 
 use crate::rig::{self, Class, Folder, Front, Got, Planned};
@@ -87,16 +87,18 @@
             (Folder::new("front-state")?, Directory::default(), Links::new(seed));
         let member = |n: usize, role| {
             let id = format!("s-{n:08x}");
-            Member::start(Spec::new(&id, "127.0.0.1:0", role), &directory).map_err(io)
+            Member::start(MemberConfig::new(&id, "127.0.0.1:0", role), &directory).map_err(io)
         };
         let caches: Vec<Member> = (0..NEAR).map(|n| member(n, Role::Cache)).collect::<Result<_, _>>()?;
         let archive = member(NEAR + FAR, Role::Archive)?;
-        let mut rows: Vec<Value> = caches.iter().map(|m| row(&m.id, m.at, "here", "cache")).collect();
+        let mut rows: Vec<Value> = caches.iter().map(|m| row(&m.id, m.address, "here", "cache")).collect();
         // Nobody of this zone asks them.
-        rows.extend((NEAR..NEAR + FAR).map(|n| row(&format!("s-{n:08x}"), archive.at, "there", "cache")));
-        rows.push(row(&archive.id, archive.at, "here", "archive"));
+        rows.extend(
+            (NEAR..NEAR + FAR).map(|n| row(&format!("s-{n:08x}"), archive.address, "there", "cache")),
+        );
+        rows.push(row(&archive.id, archive.address, "here", "archive"));
         let feed = Feed::start("127.0.0.1:0").map_err(io)?;
-        let through = links.stream("front", "feed", feed.at).map_err(io)?;
+        let through = links.tcp_proxy("front", "feed", feed.address).map_err(io)?;
         let path = folder.put("config.json", &config(&rows, through, seed))?;
         let front = Front::start(program, &path, None)?;
         Ok(Rig { links, feed, front, caches, _archive: archive, _folder: folder, number: 1 })
@@ -110,7 +112,7 @@
 
     fn purge(&mut self, object: u64) {
         self.number += 1;
-        self.feed.purge(self.number, object, unix_ms());
+        self.feed.publish_purge(self.number, object, unix_ms());
     }
 
     /// So many accesses and purges a second, for some seconds.
@@ -122,7 +124,7 @@
             at_ms += -(1.0 - rng.f64()).ln() * 1e3 / rate;
         }
         let process = self.front.process();
-        let fed = |rig: &Rig| rig.links.passed("feed", "front").bytes;
+        let fed = |rig: &Rig| rig.links.traffic("feed", "front").bytes;
         let (cpu, bytes, start) = (rig::cpu_ms(process), fed(self), Instant::now());
         let at = self.front.at;
         let played = std::thread::scope(|scope| {
@@ -161,9 +163,9 @@
             rig.caches.iter().map(renewed).sum()
         };
         let mut client = Client::connect(self.front.at).map_err(io)?;
-        client.ask(CLASS.name, &key, CLASS.wait_ms).map_err(io)?;
+        client.request(CLASS.name, &key, CLASS.wait_ms).map_err(io)?;
         let (silent, before) = (self.front.count("feed: silent"), fills(self));
-        let cut = Way { cut: true, ..Way::default() };
+        let cut = LinkConditions { cut: true, ..LinkConditions::default() };
         self.links.set("feed", "front", cut.clone());
         self.links.set("front", "feed", cut);
         sleep(Duration::from_millis(50));
@@ -180,13 +182,13 @@
             if found.noticed_s.is_none() && self.front.count("feed: silent") > silent {
                 found.noticed_s = Some(begun.elapsed().as_secs_f64());
             }
-            client.ask(CLASS.name, &key, CLASS.wait_ms).map_err(io)?;
+            client.request(CLASS.name, &key, CLASS.wait_ms).map_err(io)?;
             if fills(self) > before {
                 found.heeded_s = Some(begun.elapsed().as_secs_f64());
             } else {
                 found.old_answers += 1;
             }
-            found.ready &= client.check().map_err(io)?;
+            found.ready &= client.is_ready().map_err(io)?;
             sleep(ASK_EACH);
         }
         self.links.heal();
--- a/crates/lab/src/returns.rs
+++ b/crates/lab/src/returns.rs
@@ -20,11 +20,11 @@
 use std::time::{Duration, Instant};
 
 use doorgrade_hierarchy::homes::{Home, home_of};
-use doorgrade_standins::feed::record;
-use doorgrade_standins::links::{ANY, Links, Way};
-use doorgrade_standins::member::{Answered, Cold};
+use doorgrade_standins::feed::member_record;
+use doorgrade_standins::links::{ANY, LinkConditions, Links};
+use doorgrade_standins::member::{Cold, Lookup};
 use doorgrade_standins::ports::free_address;
-use doorgrade_standins::{Directory, Feed, Member, Role, Spec, unix_ms};
+use doorgrade_standins::{Directory, Feed, Member, MemberConfig, Role, unix_ms};
 use fastrand::Rng;
 use serde_json::json;
 
@@ -45,9 +45,16 @@
 /// What the archive works on at once, 25 ms each: 480 requests a second, some eight times the calm.
 const ARCHIVE_AT_ONCE: usize = 12;
 /// Words between fronts.
-const LINK: Way = Way { delay_ms: 5, jitter_ms: 10, loss: 0.02, ..WHOLE };
-const WHOLE: Way =
-    Way { cut: false, delay_ms: 0, jitter_ms: 0, bytes_per_s: 0, reset_after: None, loss: 0.0, twice: 0.0 };
+const LINK: LinkConditions = LinkConditions { delay_ms: 5, jitter_ms: 10, loss: 0.02, ..WHOLE };
+const WHOLE: LinkConditions = LinkConditions {
+    cut: false,
+    delay_ms: 0,
+    jitter_ms: 0,
+    bytes_per_s: 0,
+    reset_after_bytes: None,
+    loss: 0.0,
+    duplication: 0.0,
+};
 
 /// What is told apart.
 #[derive(Clone, Copy, PartialEq, Eq)]
@@ -119,7 +126,7 @@
     twice: usize,
     /// Milliseconds from the start.
     archive: Vec<f64>,
-    answered: Vec<(f64, Answered)>,
+    answered: Vec<(f64, Lookup)>,
     too_old: usize,
     fell: usize,
     run_twice: usize,
@@ -153,7 +160,7 @@
     });
     let census = json!({"revision": 1, "complete": true, "members": members});
     json!({"name": format!("n{front}"), "listen": "127.0.0.1:0", "seed": format!("{:x}", seed + front as u64),
-        "feed": feed.at.to_string(), "known": {"n": 1, "events": [{"n": 1, "members": census}]},
+        "feed": feed.address.to_string(), "known": {"n": 1, "events": [{"n": 1, "members": census}]},
         "settings": settings})
     .to_string()
 }
@@ -161,7 +168,7 @@
 struct Site {
     directory: Directory,
     /// What each cache is like.
-    cache: Spec,
+    cache: MemberConfig,
     caches: Vec<Member>,
     /// Those that died.
     gone: Vec<Member>,
@@ -176,15 +183,21 @@
         let spec = |id: &str, role, lag_ms, at_once| {
             let fresh_ms = HashMap::from([(CLASSES[0].name.to_owned(), FRESH_MS)]);
             let lag = Duration::from_millis(lag_ms);
-            Spec { lag, fresh_ms, at_once, tells_made: told, ..Spec::new(id, "127.0.0.1:0", role) }
+            MemberConfig {
+                latency: lag,
+                max_age_ms: fresh_ms,
+                max_in_flight: at_once,
+                sends_made_at: told,
+                ..MemberConfig::new(id, "127.0.0.1:0", role)
+            }
         };
         let start = |id: &str, role, lag_ms, at_once| {
             Member::start(spec(id, role, lag_ms, at_once), &directory).map_err(|e| e.to_string())
         };
         let archive = start(ARCHIVE, Role::Archive, 25, ARCHIVE_AT_ONCE)?;
-        let trunks = TRUNKS.iter().map(|id| start(id, Role::Trunk, 4, usize::MAX));
+        let trunks = TRUNKS.iter().map(|id| start(id, Role::Parent, 4, usize::MAX));
         let trunks = trunks.collect::<Result<Vec<_>, _>>()?;
-        trunks.iter().for_each(|t| t.hang(&[ARCHIVE]));
+        trunks.iter().for_each(|t| t.set_fill_sources(&[ARCHIVE]));
         let caches = (1..=CACHES).map(|n| start(&format!("s-{n:08x}"), Role::Cache, 2, usize::MAX));
         let caches = caches.collect::<Result<Vec<_>, _>>()?;
         // Caches hold, at the start, what they would after some hours: each object at its home, at any age.
@@ -214,7 +227,7 @@
         let links = Links::new(seed);
         links.set(ANY, ANY, LINK);
         let own: Vec<_> = (0..fronts).map(|_| free_address()).collect();
-        let at = own.iter().enumerate().map(|(n, &own)| links.mailbox(&format!("n{n}"), own));
+        let at = own.iter().enumerate().map(|(n, &own)| links.udp_proxy(&format!("n{n}"), own));
         Ok(Posts { at: at.collect::<Result<Vec<_>, _>>()?, links, own })
     }
 
@@ -338,16 +351,16 @@
     running.iter().flatten().for_each(look);
     let since = |ms: u64| ms as f64 - begun_ms;
     let mut answered: Vec<_> =
-        site.all_caches().flat_map(|c| c.answered()).map(|a| (since(a.at_ms), a)).collect();
+        site.all_caches().flat_map(|c| c.lookups()).map(|a| (since(a.at_ms), a)).collect();
     answered.sort_by(|a, b| a.0.total_cmp(&b.0));
     Ok(Outcome {
         samples: played.samples,
         twice: played.answered_twice,
-        archive: site.archive.asked_at().iter().map(|(ms, _)| since(*ms)).collect(),
+        archive: site.archive.request_log().iter().map(|(ms, _)| since(*ms)).collect(),
         answered,
         too_old: site.all_caches().map(|m| m.counts().too_old.load(SeqCst)).sum(),
-        fell: site.all_caches().map(|m| m.counts().fell.load(SeqCst)).sum(),
-        run_twice: site.archive.run_twice(CLASSES[1].name),
+        fell: site.all_caches().map(|m| m.counts().crashes.load(SeqCst)).sum(),
+        run_twice: site.archive.accesses_run_twice(CLASSES[1].name),
         crashed,
         recalled,
         cpu,
@@ -401,17 +414,17 @@
     fn restart_caches(&mut self, number: u64) -> Result<(), String> {
         self.caches.iter().for_each(Member::kill);
         let (lasts, window) = (Duration::from_secs(8), Duration::from_millis(1_500));
-        let cold = Cold { warm: WARM, from: 0.2, lasts, multiple: 3.0, window };
+        let cold = Cold { warm_per_s: WARM, initial_share: 0.2, duration: lasts, crash_factor: 3.0, window };
         let mut records = Vec::new();
         for old in std::mem::take(&mut self.caches) {
-            let spec = Spec { cold: Some(cold), ..self.cache.clone() };
-            let new = Member::start(Spec { id: old.id.clone(), ..spec }, &self.directory)
+            let spec = MemberConfig { cold: Some(cold), ..self.cache.clone() };
+            let new = Member::start(MemberConfig { id: old.id.clone(), ..spec }, &self.directory)
                 .map_err(|e| e.to_string())?;
-            records.push(record(&new.id, new.at, 0, 0, 0, unix_ms()));
+            records.push(member_record(&new.id, new.address, 0, 0, 0, unix_ms()));
             self.caches.push(new);
             self.gone.push(old);
         }
-        self.feed.list(number, &records);
+        self.feed.publish_members(number, &records);
         Ok(())
     }
 
@@ -439,8 +452,8 @@
         let offered = self.samples.iter().filter(|s| between(s.planned.at_ms));
         Load {
             archive: self.archive.iter().filter(|&&at| between(at)).count() as f64 / seconds,
-            renewals_asked: answered().filter(|a| a.1.renewal_asked).count() as f64 / count,
-            renewals: answered().filter(|a| a.1.renewed).count() as f64 / count,
+            renewals_asked: answered().filter(|a| a.1.refresh_requested).count() as f64 / count,
+            renewals: answered().filter(|a| a.1.refresh_started).count() as f64 / count,
             waits: answered().filter(|a| !a.1.hit).count() as f64 / count,
             service: rig::service(&self.samples, &CLASSES, from, to),
             declined: offered.clone().filter(|s| s.got == Got::Declined).count() as f64
--- a/crates/lab/src/rig.rs
+++ b/crates/lab/src/rig.rs
@@ -8,9 +8,9 @@
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-use doorgrade_standins::client::Asked;
+use doorgrade_standins::client::AccessRequest;
 use doorgrade_standins::process::Process;
-use doorgrade_standins::{Client, Member, object};
+use doorgrade_standins::{Client, Member, object_bytes};
 use hdrhistogram::Histogram;
 use serde_json::{Value, json};
 
@@ -69,11 +69,11 @@
             None => command.env_remove("DOORGRADE_SETTINGS").current_dir(std::env::temp_dir()),
         };
         let process = Process::start(&mut command).map_err(|e| e.to_string())?;
-        let listens = process.line(" listens on ", Duration::from_secs(10));
+        let listens = process.wait_for_log(" listens on ", Duration::from_secs(10));
         let at = listens.as_deref().and_then(|l| l.split_once(" listens on ")).map(|l| l.1.trim().parse());
         match at {
             Some(Ok(at)) => Ok(Front { process, at }),
-            _ => Err(format!("a front does not start: {:?}", process.lines())),
+            _ => Err(format!("a front does not start: {:?}", process.log_lines())),
         }
     }
 
@@ -82,7 +82,7 @@
     }
 
     pub fn lines(&self) -> Vec<String> {
-        self.process.lines()
+        self.process.log_lines()
     }
 
     pub fn count(&self, text: &str) -> usize {
@@ -94,7 +94,7 @@
     }
 
     pub fn alive(&mut self) -> bool {
-        self.process.alive()
+        self.process.is_running()
     }
 
     pub fn keep_log(&self, folder: &Path, name: &str) -> std::io::Result<()> {
@@ -187,7 +187,7 @@
 
 /// A member as a front's first list has it.
 pub fn listed(m: &Member, place: &str, flavor: &str) -> Value {
-    json!({"id": m.id, "host_port": m.at.to_string(), "locality": place, "flavor": flavor, "cell": 0,
+    json!({"id": m.id, "host_port": m.address.to_string(), "locality": place, "flavor": flavor, "cell": 0,
         "phase": "in_service", "size": 1, "up_since_ms": 0})
 }
 
@@ -248,7 +248,7 @@
     let begun = Instant::now();
     // A front may close what is idle, and then a request that crosses it is sent once more.
     for _ in 0..2 {
-        if client.as_mut().is_some_and(Client::spoke_unasked) {
+        if client.as_mut().is_some_and(Client::has_unread_bytes) {
             own.answered_twice += 1;
             *client = None;
         }
@@ -257,7 +257,8 @@
         }
         let Some(open) = client.as_mut() else { return Got::Lost };
         let body: &[u8] = if class.write { b"a write" } else { b"" };
-        let asked = Asked { class: class.name, key: &key, bucket: 17, wait_ms: class.wait_ms, body };
+        let asked =
+            AccessRequest { class: class.name, key: &key, bucket: 17, timeout_ms: class.wait_ms, body };
         let answer = open.send_access(&asked).and_then(|_| open.receive());
         if begun.elapsed() > Duration::from_millis(class.wait_ms + 50) {
             *client = None;
@@ -272,7 +273,7 @@
             return Got::Lost;
         };
         return match head.get(8..11) {
-            Some("200") if class.write || body == object(&format!("/data/{}/{key}/0", class.name)) => {
+            Some("200") if class.write || body == object_bytes(&format!("/data/{}/{key}/0", class.name)) => {
                 Got::Handled
             }
             Some("200") => Got::Wrong,
--- a/crates/lab/src/scale/agent.rs
+++ b/crates/lab/src/scale/agent.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use doorgrade_agent::process::{find, signal};
-use doorgrade_standins::{Directory, Feed, Member, Role, Spec};
+use doorgrade_standins::{Directory, Feed, Member, MemberConfig, Role};
 use rustix::process::Signal;
 use serde_json::{Value, json};
 
@@ -47,7 +47,7 @@
     fn start() -> Result<Around, String> {
         let directory = Directory::default();
         let member = |id, role| {
-            Member::start(Spec::new(id, "127.0.0.1:0", role), &directory).map_err(|e| e.to_string())
+            Member::start(MemberConfig::new(id, "127.0.0.1:0", role), &directory).map_err(|e| e.to_string())
         };
         Ok(Around {
             cache: member("s-00000001", Role::Cache)?,
@@ -67,7 +67,7 @@
             "specifics": {"crewByZone": [size], "maxAge": [0.0], "notesGiven": "all", "passOn": [false],
                 "purgeDone": 6000.0, "upperKind": -1, "rootKind": 1, "sharesFills": true, "straight": true}
         });
-        json!({"name": "lab", "listen": "127.0.0.1:0", "feed": self.feed.at.to_string(),
+        json!({"name": "lab", "listen": "127.0.0.1:0", "feed": self.feed.address.to_string(),
             "limits": {"memory_mb": 64, "sockets": 256}, "settings": settings,
             "known": {"n": 1, "events": [{"n": 1, "members": {"revision": 1, "complete": true, "members": rows}}]}})
         .to_string()
--- a/crates/lab/src/scale/control_rig.rs
+++ b/crates/lab/src/scale/control_rig.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use doorgrade_control::ask::Asker;
-use doorgrade_standins::links::{Links, Way};
+use doorgrade_standins::links::{LinkConditions, Links};
 use doorgrade_standins::process::Process;
 use doorgrade_standins::versions::{Place, SERVICE};
 use doorgrade_versions::Id;
@@ -94,8 +94,8 @@
 }
 
 /// A way there, whose way back takes as long.
-pub fn one_way(round_trip_ms: u64) -> Way {
-    Way { delay_ms: round_trip_ms / 2, ..Way::default() }
+pub fn one_way(round_trip_ms: u64) -> LinkConditions {
+    LinkConditions { delay_ms: round_trip_ms / 2, ..LinkConditions::default() }
 }
 
 /// The service, and what stands between it and its fronts.
@@ -144,8 +144,8 @@
         let process = Process::start(Command::new(&self.program).arg("control").arg("--file").arg(file));
         let process = process.map_err(fault)?;
         let line = process
-            .line("fronts at ", WITHIN)
-            .ok_or_else(|| format!("the service does not start: {:?}", process.lines()))?;
+            .wait_for_log("fronts at ", WITHIN)
+            .ok_or_else(|| format!("the service does not start: {:?}", process.log_lines()))?;
         let address = |after: &str| {
             let rest = line.split_once(after).map_or("", |l| l.1);
             rest.split([',', ' ']).next().unwrap_or_default().parse::<SocketAddr>()
@@ -164,7 +164,7 @@
     /// A region, with its station's certificate, from which fronts reach the service in this round trip.
     pub fn region(&mut self, name: &str, round_trip_ms: u64) -> Result<(), Fault> {
         self.place.issue(name, &self.place.fronts, &[&format!("*.{name}")], 30).map_err(fault)?;
-        let at = self.links.stream_on(self.relays.handle(), name, CONTROL, self.at).map_err(fault)?;
+        let at = self.links.tcp_proxy_on(self.relays.handle(), name, CONTROL, self.at).map_err(fault)?;
         self.heal(name, round_trip_ms);
         self.regions.push((name.to_owned(), at));
         Ok(())
@@ -172,7 +172,7 @@
 
     /// Nothing passes between a region and the service.
     pub fn cut(&self, region: &str) {
-        self.links.part(&[region], &[CONTROL]);
+        self.links.partition(&[region], &[CONTROL]);
     }
 
     pub fn heal(&self, region: &str, round_trip_ms: u64) {
@@ -182,7 +182,7 @@
 
     /// Bytes between a region and the service, both ways, as the links counted them.
     pub fn bytes(&self, region: &str) -> usize {
-        self.links.passed(region, CONTROL).bytes + self.links.passed(CONTROL, region).bytes
+        self.links.traffic(region, CONTROL).bytes + self.links.traffic(CONTROL, region).bytes
     }
 
     /// Of all regions.
--- a/crates/lab/src/scale/hollow_to_real.rs
+++ b/crates/lab/src/scale/hollow_to_real.rs
@@ -95,7 +95,7 @@
 fn neighbours(rig: &ControlRig, all: usize) -> Result<Vec<(SocketAddrV4, SocketAddrV4)>, String> {
     let own = (0..all).map(|_| free_address());
     let reach = |(n, own): (usize, std::net::SocketAddr)| {
-        let at = rig.links.mailbox(&member(n), own).map_err(text)?;
+        let at = rig.links.udp_proxy(&member(n), own).map_err(text)?;
         Ok((own.to_string().parse().map_err(text)?, at.to_string().parse().map_err(text)?))
     };
     own.enumerate().map(reach).collect()
@@ -128,7 +128,7 @@
                 seeds[1],
                 2 * OF_EACH
             );
-            let files = rig.files(n, region, feed.at, &more)?;
+            let files = rig.files(n, region, feed.address, &more)?;
             if n % 2 == 0 {
                 real.push(rig.front(&files)?);
             } else {
@@ -188,7 +188,7 @@
         let due = (begun.elapsed().as_secs_f64() / PURGE_EACH.as_secs_f64()) as u64;
         while purges < due {
             purges += 1;
-            feed.purge(1 + purges, rng.u64(..), doorgrade_standins::unix_ms());
+            feed.publish_purge(1 + purges, rng.u64(..), doorgrade_standins::unix_ms());
         }
         std::thread::sleep(Duration::from_millis(5));
     }
--- a/crates/lab/src/scale/rollouts/rig.rs
+++ b/crates/lab/src/scale/rollouts/rig.rs
@@ -11,7 +11,7 @@
 use doorgrade_keys::client;
 use doorgrade_standins::process::Process;
 use doorgrade_standins::versions::{Place, SERVICE};
-use doorgrade_standins::{Directory, Feed, Member, Role, Spec};
+use doorgrade_standins::{Directory, Feed, Member, MemberConfig, Role};
 use doorgrade_stream::FRONTS;
 use doorgrade_versions::service::{Answer, Ask, Totals};
 use serde_json::json;
@@ -36,7 +36,7 @@
     fn start() -> Result<Site, String> {
         let directory = Directory::default();
         let member = |id, role| {
-            Member::start(Spec::new(id, "127.0.0.1:0", role), &directory).map_err(|e| e.to_string())
+            Member::start(MemberConfig::new(id, "127.0.0.1:0", role), &directory).map_err(|e| e.to_string())
         };
         let (cache, archive) = (member("s-00000001", Role::Cache)?, member("s-000000ff", Role::Archive)?);
         Ok(Site { cache, archive, feed: Feed::start("127.0.0.1:0").map_err(|e| e.to_string())? })
@@ -56,7 +56,7 @@
                 "purgeDone": 6000.0, "upperKind": 1, "rootKind": 2, "parentCold": 1000.0, "parentColdFrom": 0.5,
                 "parentLimitFactor": 4.0, "sharesFills": true, "straight": true}
         });
-        json!({"name": name, "listen": "127.0.0.1:0", "feed": self.feed.at.to_string(), "seed": format!("{seed:x}"),
+        json!({"name": name, "listen": "127.0.0.1:0", "feed": self.feed.address.to_string(), "seed": format!("{seed:x}"),
             "known": {"n": 1, "events": [{"n": 1, "members": members}]}, "settings": settings,
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256}})
         .to_string()
@@ -97,12 +97,12 @@
         let file = place.control("127.0.0.1:0", "127.0.0.1:0", publication).map_err(io)?;
         let service = Process::start(Command::new(program).arg("control").arg("--file").arg(file));
         let service = service.map_err(io)?;
-        let line = service.line("fronts at ", Duration::from_secs(20));
+        let line = service.wait_for_log("fronts at ", Duration::from_secs(20));
         let address = |after: &str| -> Option<SocketAddr> {
             line.as_deref()?.split_once(after)?.1.split([',', ' ']).next()?.parse().ok()
         };
         let (Some(fronts_at), Some(operators)) = (address("fronts at "), address("operators at ")) else {
-            return Err(format!("the service does not start: {:?}", service.lines()));
+            return Err(format!("the service does not start: {:?}", service.log_lines()));
         };
         let threads = std::thread::available_parallelism().map_or(4, |n| n.get()).min(4);
         let runtime =
--- a/crates/lab/src/scale/service.rs
+++ b/crates/lab/src/scale/service.rs
@@ -260,7 +260,7 @@
     let operator = rig.operator()?;
     let threads = Threads::start(CONTROL_THREAD, pace.threads).map_err(|e| e.to_string())?;
     let (real, hollow, rng) = (Vec::new(), Vec::new(), Rng::with_seed(seed));
-    let at = feed.at;
+    let at = feed.address;
     let mut run =
         Run { pace, change_each_s, budget, rig, operator, feed: at, threads, real, hollow, rng, changed: 0 };
     for n in 0..pace.real {
--- a/crates/lab/src/shape.rs
+++ b/crates/lab/src/shape.rs
@@ -16,9 +16,9 @@
 use doorgrade_hierarchy::homes::{Home, home_of, min_moved_share, moved_share};
 use doorgrade_hierarchy::{Change, ChangeKind, Standing};
 use doorgrade_operator::shape::write;
-use doorgrade_standins::feed::record;
+use doorgrade_standins::feed::member_record;
 use doorgrade_standins::member::Cold;
-use doorgrade_standins::{Directory, Feed, Member, Role, Spec, unix_ms};
+use doorgrade_standins::{Directory, Feed, Member, MemberConfig, Role, unix_ms};
 use fastrand::Rng;
 use serde_json::json;
 
@@ -64,10 +64,16 @@
     times: Times,
 }
 
-fn spec(id: &str, role: Role, keeps: usize, lag_ms: u64, cold: Option<Cold>) -> Spec {
+fn spec(id: &str, role: Role, keeps: usize, lag_ms: u64, cold: Option<Cold>) -> MemberConfig {
     let fresh_ms = HashMap::from([("font-css".to_owned(), FRESH_MS)]);
     let lag = Duration::from_millis(lag_ms);
-    Spec { keeps, lag, fresh_ms, cold, ..Spec::new(id, "127.0.0.1:0", role) }
+    MemberConfig {
+        max_copies: keeps,
+        latency: lag,
+        max_age_ms: fresh_ms,
+        cold,
+        ..MemberConfig::new(id, "127.0.0.1:0", role)
+    }
 }
 
 impl Site {
@@ -76,12 +82,12 @@
         let start = |spec| Member::start(spec, &directory).map_err(|e| e.to_string());
         let archive = start(spec(ARCHIVE, Role::Archive, 0, 25, None))?;
         // The upper tier is narrow: it passes most of what it is asked on.
-        let uppers = UPPER.map(|id| start(spec(id, Role::Trunk, 50, 4, None)));
+        let uppers = UPPER.map(|id| start(spec(id, Role::Parent, 50, 4, None)));
         let uppers = uppers.into_iter().collect::<Result<Vec<_>, _>>()?;
-        uppers.iter().for_each(|u| u.hang(&[ARCHIVE]));
-        let trunks = TRUNKS[..4].iter().map(|id| start(spec(id, Role::Trunk, 20_000, 4, None)));
+        uppers.iter().for_each(|u| u.set_fill_sources(&[ARCHIVE]));
+        let trunks = TRUNKS[..4].iter().map(|id| start(spec(id, Role::Parent, 20_000, 4, None)));
         let trunks = trunks.collect::<Result<Vec<_>, _>>()?;
-        trunks.iter().for_each(|t| t.hang(&UPPER));
+        trunks.iter().for_each(|t| t.set_fill_sources(&UPPER));
         let mut caches = Vec::new();
         for station in 0..STATIONS {
             let two =
@@ -114,25 +120,26 @@
         });
         let census = json!({"revision": 1, "complete": true, "members": members});
         json!({"name": format!("n{station}"), "listen": "127.0.0.1:0", "seed": format!("{:x}", seed + station as u64),
-            "feed": self.feeds[station].at.to_string(), "known": {"n": 1, "events": [{"n": 1, "members": census}]},
+            "feed": self.feeds[station].address.to_string(), "known": {"n": 1, "events": [{"n": 1, "members": census}]},
             "settings": settings})
         .to_string()
     }
 
     fn list(&mut self, records: &[Vec<u8>]) {
         self.number += 1;
-        self.feeds.iter().for_each(|f| f.list(self.number, records));
+        self.feeds.iter().for_each(|f| f.publish_members(self.number, records));
     }
 
     /// A cold trunk cache starts, or starts again.
     fn join(&mut self, id: &str) -> Result<(), String> {
         // What a warm one carries here, with some room.
         let (lasts, window) = (Duration::from_secs_f64(self.times.cold), Duration::from_millis(1_500));
-        let cold = Cold { warm: RATE, from: TRUNK_COLD, lasts, multiple: 2.0, window };
-        let member = spec(id, Role::Trunk, 20_000, 4, Some(cold));
+        let cold =
+            Cold { warm_per_s: RATE, initial_share: TRUNK_COLD, duration: lasts, crash_factor: 2.0, window };
+        let member = spec(id, Role::Parent, 20_000, 4, Some(cold));
         let member = Member::start(member, &self.directory).map_err(|e| e.to_string())?;
-        member.hang(&UPPER);
-        let listed = record(id, member.at, 0, 3, 1, unix_ms());
+        member.set_fill_sources(&UPPER);
+        let listed = member_record(id, member.address, 0, 3, 1, unix_ms());
         self.trunks.push(member);
         self.list(&[listed]);
         Ok(())
@@ -142,8 +149,8 @@
         if let Some(at) = self.trunks.iter().position(|t| t.id == id) {
             let lost = self.trunks.remove(at);
             lost.kill();
-            lost.drained(DRAIN_GRACE_MS);
-            self.list(&[record(id, lost.at, 2, 3, 1, 0)]);
+            lost.set_draining(DRAIN_GRACE_MS);
+            self.list(&[member_record(id, lost.address, 2, 3, 1, 0)]);
             self.fallen.push(lost);
         }
     }
@@ -293,14 +300,14 @@
         // Meant: one of the upper tier goes under the other, for good; then the other under the archive again.
         // Told the wrong way round, and to the second front only half, so each has its own picture.
         let (down, up) = (stands(UPPER[0], 2, 2, &[UPPER[1]]), stands(UPPER[1], 3, 2, &[UPPER[0]]));
-        site.uppers[0].hang(&[UPPER[1]]);
-        site.uppers[1].hang(&[UPPER[0]]);
+        site.uppers[0].set_fill_sources(&[UPPER[1]]);
+        site.uppers[1].set_fill_sources(&[UPPER[0]]);
         tell(&fronts, 0, &[grown.clone(), vec![down.clone(), up.clone()]].concat())?;
         tell(&fronts, 1, &[grown.clone(), vec![up.clone()]].concat())?;
         tell(&fronts, 2, &[grown.clone(), vec![down.clone()]].concat())?;
         at(mended_at);
-        site.uppers[1].hang(&[ARCHIVE]);
-        site.uppers[0].hang(&[ARCHIVE]);
+        site.uppers[1].set_fill_sources(&[ARCHIVE]);
+        site.uppers[0].set_fill_sources(&[ARCHIVE]);
         let mended = UPPER.map(|u| stands(u, 4, 2, &[ARCHIVE]));
         (0..STATIONS).try_for_each(|s| tell(&fronts, s, &[grown.clone(), mended.to_vec()].concat()))?;
         at(lost_at);
@@ -317,14 +324,14 @@
     let mut outcome = Outcome {
         samples,
         twice,
-        archive: site.archive.asked_at().iter().map(|(ms, _)| *ms as f64 - start_ms).collect(),
-        rings: site.all().map(|m| m.counts().rings.load(SeqCst)).sum(),
+        archive: site.archive.request_log().iter().map(|(ms, _)| *ms as f64 - start_ms).collect(),
+        rings: site.all().map(|m| m.counts().loops_rejected.load(SeqCst)).sum(),
         rings_reported: fronts.iter().map(|f| f.count("a fill came round in a ring")).sum(),
-        turned_twice: site.all().map(|m| m.counts().turned_twice.load(SeqCst)).sum(),
-        fell: site.all().map(|m| m.counts().fell.load(SeqCst)).sum(),
+        turned_twice: site.all().map(|m| m.counts().loops_missed.load(SeqCst)).sum(),
+        fell: site.all().map(|m| m.counts().crashes.load(SeqCst)).sum(),
         too_old: site.all().map(|m| m.counts().too_old.load(SeqCst)).sum(),
-        after_drain: site.all().map(|m| m.asked_after_drain()).sum(),
-        run_twice: site.archive.run_twice("site-license"),
+        after_drain: site.all().map(|m| m.requests_after_drain()).sum(),
+        run_twice: site.archive.accesses_run_twice("site-license"),
         crashed: 0,
         set_aside: fronts.iter().map(|f| f.count("is not in force: it would close a ring")).sum(),
     };
--- a/crates/lab/src/shares.rs
+++ b/crates/lab/src/shares.rs
@@ -5,8 +5,8 @@
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-use doorgrade_standins::client::Asked;
-use doorgrade_standins::{Client, Directory, Feed, Member, Role, Spec, kb};
+use doorgrade_standins::client::AccessRequest;
+use doorgrade_standins::{Client, Directory, Feed, Member, MemberConfig, Role, object_kb};
 use fastrand::Rng;
 use serde_json::json;
 
@@ -39,7 +39,7 @@
 
 fn config(caches: &[Member], archive: &Member, feed: &Feed, seed: u64) -> String {
     let row = |m: &Member, flavor: &str| {
-        json!({"id": m.id, "host_port": m.at.to_string(), "locality": "here", "flavor": flavor, "cell": 0,
+        json!({"id": m.id, "host_port": m.address.to_string(), "locality": "here", "flavor": flavor, "cell": 0,
             "phase": "in_service", "size": 1, "up_since_ms": 0})
     };
     let mut members: Vec<_> = caches.iter().map(|m| row(m, "cache")).collect();
@@ -62,7 +62,7 @@
             "straight": true, "streamKbPerS": 1000.0}
     });
     let members = json!({"revision": 1, "complete": true, "members": members});
-    json!({"name": "shares", "listen": "127.0.0.1:0", "feed": feed.at.to_string(), "seed": format!("{seed:x}"),
+    json!({"name": "shares", "listen": "127.0.0.1:0", "feed": feed.address.to_string(), "seed": format!("{seed:x}"),
         "limits": {"cores": 1.0, "memory_mb": 48, "sockets": 608},
         "known": {"n": 1, "events": [{"n": 1, "members": members}]}, "settings": settings})
     .to_string()
@@ -88,14 +88,16 @@
         // Some are asked for often, most now and then.
         let key = format!("{:016x}", (3_000.0 * rng.f64().powi(3)) as u64 + 10_000 * class as u64);
         let tenant = rng.u8(..TENANTS);
-        let asked = Asked { class: name, key: &key, bucket: tenant, wait_ms, body: b"" };
-        let answer = client.as_mut().map(|c| c.send_sized(&asked, kb(&key)).and_then(|_| c.receive()));
+        let asked = AccessRequest { class: name, key: &key, bucket: tenant, timeout_ms: wait_ms, body: b"" };
+        let answer = client
+            .as_mut()
+            .map(|c| c.send_access_with_size(&asked, object_kb(&key)).and_then(|_| c.receive()));
         let answered = matches!(&answer, Some(Ok((head, _))) if head.starts_with("Status: 200"));
         if !matches!(answer, Some(Ok(_))) {
             client = Client::connect(front.at).ok();
         }
         let third = (3.0 * passed.as_secs_f64() / lasts.as_secs_f64()) as usize;
-        let row = Row { class, tenant, third, kb: kb(&key), answered };
+        let row = Row { class, tenant, third, kb: object_kb(&key), answered };
         rows.lock().unwrap_or_else(std::sync::PoisonError::into_inner).push(row);
     }
 }
@@ -105,7 +107,15 @@
     let fail = |e: std::io::Error| e.to_string();
     let member = |id: &str, role, at_once| {
         let (lag, per_kb) = (Duration::from_millis(3), Duration::from_micros(1_000));
-        Member::start(Spec { lag, per_kb, at_once, ..Spec::new(id, "127.0.0.1:0", role) }, &directory)
+        Member::start(
+            MemberConfig {
+                latency: lag,
+                latency_per_kb: per_kb,
+                max_in_flight: at_once,
+                ..MemberConfig::new(id, "127.0.0.1:0", role)
+            },
+            &directory,
+        )
     };
     let ids = ["s-00000001", "s-00000002", "s-00000003", "s-00000004"];
     let caches: Vec<_> =
@@ -124,8 +134,9 @@
         for (part, on) in [(1u32, true), (2, false)] {
             std::thread::sleep((lasts * part / 3).saturating_sub(begun.elapsed()));
             if faulty {
-                caches[0].fault(|f| f.slow = Duration::from_millis(if on { 800 } else { 0 }));
-                caches[1].fault(|f| f.full = on);
+                caches[0]
+                    .update_faults(|f| f.extra_latency = Duration::from_millis(if on { 800 } else { 0 }));
+                caches[1].update_faults(|f| f.full = on);
             }
         }
     });
--- a/crates/lab/src/soak.rs
+++ b/crates/lab/src/soak.rs
@@ -9,8 +9,8 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering::SeqCst};
 use std::time::{Duration, Instant};
 
-use doorgrade_standins::feed::record;
-use doorgrade_standins::{Client, Directory, Feed, Member, Role, Spec, unix_ms};
+use doorgrade_standins::feed::member_record;
+use doorgrade_standins::{Client, Directory, Feed, Member, MemberConfig, Role, unix_ms};
 use fastrand::Rng;
 use serde_json::json;
 
@@ -24,7 +24,7 @@
 
 fn config(caches: &[Member], archive: &Member, feed: &Feed, seed: u64) -> String {
     let row = |m: &Member, place: &str, flavor: &str| {
-        json!({"id": m.id, "host_port": m.at.to_string(), "locality": place, "flavor": flavor, "cell": 0,
+        json!({"id": m.id, "host_port": m.address.to_string(), "locality": place, "flavor": flavor, "cell": 0,
             "phase": "in_service", "size": 1, "up_since_ms": 0})
     };
     let mut members: Vec<_> = caches.iter().map(|m| row(m, "here", "cache")).collect();
@@ -40,7 +40,7 @@
             "purgeDone": 6000.0, "upperKind": -1, "rootKind": 1, "sharesFills": true, "straight": true}
     });
     let members = json!({"revision": 1, "complete": true, "members": members});
-    json!({"name": "soak", "listen": "127.0.0.1:0", "feed": feed.at.to_string(), "seed": format!("{seed:x}"), "log": "info",
+    json!({"name": "soak", "listen": "127.0.0.1:0", "feed": feed.address.to_string(), "seed": format!("{seed:x}"), "log": "info",
         "limits": {"cores": 1.0, "memory_mb": 48, "sockets": 608},
         "known": {"n": 1, "events": [{"n": 1, "members": members}]}, "settings": settings})
     .to_string()
@@ -68,7 +68,7 @@
             // A third are of objects that nobody asks for twice.
             let key = if rng.u8(0..3) == 0 { rng.u64(..) } else { rng.u64(0..500) };
             let class = if rng.u8(0..20) == 0 { "license" } else { "files" };
-            let answer = client.ask(class, &format!("{key:016x}"), 1_500);
+            let answer = client.request(class, &format!("{key:016x}"), 1_500);
             shared.done.fetch_add(1, SeqCst);
             if answer.is_err() {
                 shared.lost.fetch_add(1, SeqCst);
@@ -96,8 +96,11 @@
         ids += 1;
         format!("s-{ids:08x}")
     };
-    let spec =
-        |id: &str, role| Spec { keeps: 200, lag: Duration::ZERO, ..Spec::new(id, "127.0.0.1:0", role) };
+    let spec = |id: &str, role| MemberConfig {
+        max_copies: 200,
+        latency: Duration::ZERO,
+        ..MemberConfig::new(id, "127.0.0.1:0", role)
+    };
     let mut caches = Vec::new();
     for _ in 0..CACHES {
         caches.push(Member::start(spec(&next(), Role::Cache), &directory).map_err(io)?);
@@ -136,14 +139,14 @@
             let (old, new) =
                 (rng.usize(0..CACHES), Member::start(spec(&next(), Role::Cache), &directory).map_err(io)?);
             let gone = std::mem::replace(&mut caches[old], new);
-            let listed = record(&caches[old].id, caches[old].at, 0, 0, 0, unix_ms());
-            let left = record(&gone.id, gone.at, 2, 0, 0, 0);
+            let listed = member_record(&caches[old].id, caches[old].address, 0, 0, 0, unix_ms());
+            let left = member_record(&gone.id, gone.address, 2, 0, 0, 0);
             number += 1;
-            feed.list(number, &[listed, left]);
+            feed.publish_members(number, &[listed, left]);
             gone.kill();
             replaced += 1;
             number += 1;
-            feed.purge(number, rng.u64(0..500), unix_ms());
+            feed.publish_purge(number, rng.u64(0..500), unix_ms());
             purges += 1;
         }
         std::thread::sleep(Duration::from_millis(20));
--- a/crates/lab/src/stream.rs
+++ b/crates/lab/src/stream.rs
@@ -18,7 +18,7 @@
 use doorgrade_control::serve::Running;
 use doorgrade_control::settings::Settings;
 use doorgrade_standins::versions::{Place, Puppet, SERVICE, Who, keys};
-use doorgrade_standins::{Client, Directory, Feed, Member, Role, Spec};
+use doorgrade_standins::{Client, Directory, Feed, Member, MemberConfig, Role};
 use doorgrade_versions::Id;
 use doorgrade_versions::service::{Answer, Ask, Filter, Totals};
 use fastrand::Rng;
@@ -54,7 +54,7 @@
     fn start() -> Result<Site, String> {
         let directory = Directory::default();
         let member = |id, role| {
-            Member::start(Spec::new(id, "127.0.0.1:0", role), &directory).map_err(|e| e.to_string())
+            Member::start(MemberConfig::new(id, "127.0.0.1:0", role), &directory).map_err(|e| e.to_string())
         };
         let (cache, archive) = (member("s-00000001", Role::Cache)?, member("s-000000ff", Role::Archive)?);
         Ok(Site { cache, archive, feed: Feed::start("127.0.0.1:0").map_err(|e| e.to_string())? })
@@ -62,7 +62,7 @@
 
     fn config(&self, name: &str, seed: u64) -> String {
         let row = |m: &Member, place: &str, flavor: &str| {
-            json!({"id": m.id, "host_port": m.at.to_string(), "locality": place, "flavor": flavor, "cell": 0,
+            json!({"id": m.id, "host_port": m.address.to_string(), "locality": place, "flavor": flavor, "cell": 0,
                 "phase": "in_service", "size": 1, "up_since_ms": 0})
         };
         let members = json!({"revision": 1, "complete": true,
@@ -77,7 +77,7 @@
                 "purgeDone": 6000.0, "upperKind": 1, "rootKind": 2, "parentCold": 1000.0, "parentColdFrom": 0.5,
                 "parentLimitFactor": 4.0, "sharesFills": true, "straight": true}
         });
-        json!({"name": name, "listen": "127.0.0.1:0", "feed": self.feed.at.to_string(), "seed": format!("{seed:x}"),
+        json!({"name": name, "listen": "127.0.0.1:0", "feed": self.feed.address.to_string(), "seed": format!("{seed:x}"),
             "known": {"n": 1, "events": [{"n": 1, "members": members}]}, "settings": settings,
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256}})
         .to_string()
@@ -181,7 +181,7 @@
                 let mut own = own;
                 let key = format!("{:016x}", rng.u64(1..200));
                 asked += 1;
-                match own.ask("files", &key, 1_500) {
+                match own.request("files", &key, 1_500) {
                     Ok(_) => *client = Some(own),
                     Err(_) => lost += 1,
                 }
--- a/crates/lab/tests/hollow.rs
+++ b/crates/lab/tests/hollow.rs
@@ -47,8 +47,8 @@
             links.set(region, "control", one_way(20));
             links.set("control", region, one_way(20));
             let at: SocketAddr =
-                links.stream_on(runtime.handle(), region, "control", service.fronts).unwrap();
-            let files = files(&place, n, region, [at, feed.at], "").unwrap();
+                links.tcp_proxy_on(runtime.handle(), region, "control", service.fronts).unwrap();
+            let files = files(&place, n, region, [at, feed.address], "").unwrap();
             let handle = threads.handle();
             start(&files, Does { stores: n == 0 }, handle, Some(handle)).unwrap()
         })
@@ -72,12 +72,12 @@
 
     let first = publish(content(20, |_| false));
     until("both run the first", || fronts.iter().all(|f| f.record.runs() == Some(first)));
-    let passed = regions.map(|r| links.passed("control", r).bytes);
+    let passed = regions.map(|r| links.traffic("control", r).bytes);
     assert!(passed.iter().all(|&bytes| bytes > content(20, |_| false).len()), "{passed:?}");
-    feed.purge(2, 7, doorgrade_standins::unix_ms());
+    feed.publish_purge(2, 7, doorgrade_standins::unix_ms());
     until("both heard the purge", || fronts.iter().all(|f| f.record.purges.load(Ordering::Relaxed) == 1));
 
-    links.part(&["far"], &["control"]);
+    links.partition(&["far"], &["control"]);
     let second = publish(content(20, |n| n == 3));
     until("the near one runs the second", || fronts[0].record.runs() == Some(second));
     assert_eq!(fronts[1].record.runs(), Some(first), "nothing passes a cut link");
--- a/crates/standins/shim/faults.c
+++ b/crates/standins/shim/faults.c
@@ -1,8 +1,9 @@
-/* System calls that fail, stall, or tell another time, for a process that is started with this library preloaded.
+/* Injects faults into the system calls of a process that is started with this library in LD_PRELOAD: calls fail, are
+ * interrupted or shortened, threads stall, connections are lost, files can't be written, the wall clock differs.
  *
- * A file of 64-bit words, named by DOORGRADE_FAULTS, is mapped and shared with the test that started the process:
- * the test writes what is to go wrong, this library counts what has happened. Chance comes from the seed in the file.
- * crates/standins/src/shim.rs is the other side and has the same places.
+ * DOORGRADE_FAULTS names a file of 64-bit slots, which is mapped and shared with the test that started the process. The
+ * test writes the settings, and this library counts the faults that it has injected. Random choices come from the seed in
+ * the file. The other side is crates/standins/src/shim.rs, which must use the same slots.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -21,69 +22,69 @@
 #include <time.h>
 #include <unistd.h>
 
-enum place {
+enum slot {
     /* Written by the test. */
     SEED = 0,
-    CLOCK_OFFSET_NS = 1,  /* added to the wall clock */
-    HOLD_MAIN = 2,        /* the main thread is held as it wakes from a wait */
-    HOLD_IO = 3,          /* a thread that waits for sockets is held as it wakes */
-    FAIL_PER_MILLE = 4,   /* of accept, socket, connect: fail for a moment */
-    INTERRUPT_PER_MILLE = 5, /* of waits for sockets: EINTR */
-    SHORT_PER_MILLE = 6,  /* of reads and writes on sockets: cut short */
-    LOSE_PER_MILLE = 7,   /* of reads on connections made from here: the connection is lost on the way */
-    STALL_PER_MILLE = 8,  /* of wakings of either thread: held for up to STALL_US */
+    CLOCK_OFFSET_NS = 1,     /* added to the wall clock */
+    HOLD_MAIN = 2,           /* while not 0, the main thread is held when it returns from a wait on a futex */
+    HOLD_IO = 3,             /* while not 0, a thread is held when it returns from epoll_wait */
+    FAIL_PER_MILLE = 4,      /* of accept4, socket, connect: fail with a transient error */
+    INTERRUPT_PER_MILLE = 5, /* of epoll_wait: fail with EINTR */
+    SHORT_PER_MILLE = 6,     /* of reads and writes on sockets: transfer less than possible */
+    LOSE_PER_MILLE = 7,      /* of reads on outgoing connections: the connection is lost */
+    STALL_PER_MILLE = 8,     /* of returns from a wait of either thread: delayed by up to STALL_US */
     STALL_US = 9,
-    DISK_ERRNO = 10,      /* writes and syncs of files fail with this, while it is not 0 */
+    DISK_ERRNO = 10,         /* while not 0, writes and syncs of files fail with this error */
     /* Written by this library. */
-    MAIN_HELD = 32,
-    IO_HELD = 33,
+    MAIN_HELD = 32,          /* 1 while the main thread is held */
+    IO_HELD = 33,            /* 1 while a thread is held after epoll_wait */
     ACCEPTED = 34,
-    RECEIVED = 35,        /* reads on sockets that brought something */
-    FAILED = 36,          /* calls that were made to fail */
+    RECEIVED = 35,           /* reads on sockets that returned data */
+    FAILED = 36,             /* calls that FAIL_PER_MILLE made fail */
     INTERRUPTED = 37,
-    CUT_SHORT = 38,
+    SHORTENED = 38,
     LOST = 39,
     STALLED = 40,
     DISK_FAILED = 41,
-    PLACES = 64,
+    SLOT_COUNT = 64,
 };
 
-/* However long a test takes, or if it dies: a held thread goes on after this. */
-#define LONGEST_HOLD_MS 20000
+/* A held thread continues after this time, in case the test has died. */
+#define MAX_HOLD_MS 20000
 
-static _Atomic int64_t *words;
-static _Atomic uint64_t chance;
+static _Atomic int64_t *slots;
+static _Atomic uint64_t rng_state;
 
-__attribute__((constructor)) static void start(void) {
+__attribute__((constructor)) static void map_slots(void) {
     const char *path = getenv("DOORGRADE_FAULTS");
     if (!path) return;
     int file = open(path, O_RDWR | O_CLOEXEC);
     if (file < 0) return;
-    void *at = mmap(NULL, PLACES * sizeof(int64_t), PROT_READ | PROT_WRITE, MAP_SHARED, file, 0);
+    void *mapped = mmap(NULL, SLOT_COUNT * sizeof(int64_t), PROT_READ | PROT_WRITE, MAP_SHARED, file, 0);
     close(file);
-    if (at != MAP_FAILED) {
-        words = at;
-        chance = (uint64_t)words[SEED];
+    if (mapped != MAP_FAILED) {
+        slots = mapped;
+        rng_state = (uint64_t)slots[SEED];
     }
 }
 
-static int64_t told(enum place place) { return words ? words[place] : 0; }
+static int64_t setting(enum slot slot) { return slots ? slots[slot] : 0; }
 
-static void count(enum place place) {
-    if (words) words[place]++;
+static void count(enum slot slot) {
+    if (slots) slots[slot]++;
 }
 
-/* splitmix64: one draw for each number taken from the counter. */
-static uint64_t draw(void) {
-    uint64_t z = atomic_fetch_add(&chance, 0x9e3779b97f4a7c15u) + 0x9e3779b97f4a7c15u;
+/* The next random number (splitmix64). */
+static uint64_t next_random(void) {
+    uint64_t z = atomic_fetch_add(&rng_state, 0x9e3779b97f4a7c15u) + 0x9e3779b97f4a7c15u;
     z = (z ^ (z >> 30)) * 0xbf58476d1ce4e5b9u;
     z = (z ^ (z >> 27)) * 0x94d049bb133111ebu;
     return z ^ (z >> 31);
 }
 
-static int happens(enum place per_mille) {
-    int64_t share = told(per_mille);
-    return share > 0 && (int64_t)(draw() % 1000) < share;
+static int fault_occurs(enum slot per_mille) {
+    int64_t probability = setting(per_mille);
+    return probability > 0 && (int64_t)(next_random() % 1000) < probability;
 }
 
 #define REAL(name) \
@@ -91,119 +92,122 @@
     if (!real) real = (__typeof__(&name))dlsym(RTLD_NEXT, #name)
 
 static void sleep_us(long us) {
-    struct timespec time = {us / 1000000, us % 1000000 * 1000};
-    int before = errno;
-    syscall(SYS_clock_nanosleep, CLOCK_MONOTONIC, 0, &time, NULL);
-    errno = before;
+    struct timespec duration = {us / 1000000, us % 1000000 * 1000};
+    int saved_errno = errno;
+    syscall(SYS_clock_nanosleep, CLOCK_MONOTONIC, 0, &duration, NULL);
+    errno = saved_errno;
 }
 
-static void hold(enum place while_set, enum place held) {
-    if (told(while_set)) {
-        words[held] = 1;
-        for (int ms = 0; told(while_set) && ms < LONGEST_HOLD_MS; ms++) sleep_us(1000);
-        words[held] = 0;
+/* Holds the calling thread while a setting is not 0, and may stall it. */
+static void hold_or_stall(enum slot while_set, enum slot held) {
+    if (setting(while_set)) {
+        slots[held] = 1;
+        for (int ms = 0; setting(while_set) && ms < MAX_HOLD_MS; ms++) sleep_us(1000);
+        slots[held] = 0;
     }
-    if (happens(STALL_PER_MILLE) && told(STALL_US) > 0) {
+    if (fault_occurs(STALL_PER_MILLE) && setting(STALL_US) > 0) {
         count(STALLED);
-        sleep_us((long)(draw() % (uint64_t)told(STALL_US)));
+        sleep_us((long)(next_random() % (uint64_t)setting(STALL_US)));
     }
 }
 
 static int is_main(void) { return (long)getpid() == gettid(); }
 
-static int fail_one_of(const int *errors, int size) {
-    if (!happens(FAIL_PER_MILLE)) return 0;
+/* Whether the call is to fail; then errno is one of these errors. */
+static int fail_with_one_of(const int *errors, int size) {
+    if (!fault_occurs(FAIL_PER_MILLE)) return 0;
     count(FAILED);
-    errno = errors[draw() % (uint64_t)size];
+    errno = errors[next_random() % (uint64_t)size];
     return 1;
 }
 
-/* Connections that were made from here, by descriptor. */
-#define MOST_FDS 4096
-static _Atomic char made_here[MOST_FDS];
+/* Whether a descriptor is a connection that this process has opened. */
+#define MAX_FDS 4096
+static _Atomic char outgoing[MAX_FDS];
 
 int accept4(int fd, struct sockaddr *at, socklen_t *size, int flags) {
     static const int errors[] = {ECONNABORTED, ENFILE, ENOBUFS, ENOMEM, EINTR};
     REAL(accept4);
-    if (fail_one_of(errors, 5)) return -1;
-    int got = real(fd, at, size, flags);
-    if (got >= 0) count(ACCEPTED);
-    if (got >= 0 && got < MOST_FDS) made_here[got] = 0;
-    return got;
+    if (fail_with_one_of(errors, 5)) return -1;
+    int result = real(fd, at, size, flags);
+    if (result >= 0) count(ACCEPTED);
+    if (result >= 0 && result < MAX_FDS) outgoing[result] = 0;
+    return result;
 }
 
 int socket(int family, int type, int protocol) {
     static const int errors[] = {ENFILE, ENOBUFS, ENOMEM};
     REAL(socket);
-    if (family == AF_INET && fail_one_of(errors, 3)) return -1;
+    if (family == AF_INET && fail_with_one_of(errors, 3)) return -1;
     return real(family, type, protocol);
 }
 
 int connect(int fd, const struct sockaddr *at, socklen_t size) {
     static const int errors[] = {EADDRNOTAVAIL, ENETUNREACH, ENOBUFS};
     REAL(connect);
-    if (at->sa_family == AF_INET && fail_one_of(errors, 3)) return -1;
-    if (fd >= 0 && fd < MOST_FDS) made_here[fd] = 1;
+    if (at->sa_family == AF_INET && fail_with_one_of(errors, 3)) return -1;
+    if (fd >= 0 && fd < MAX_FDS) outgoing[fd] = 1;
     return real(fd, at, size);
 }
 
-int epoll_wait(int fd, struct epoll_event *events, int most, int timeout) {
+int epoll_wait(int fd, struct epoll_event *events, int max_events, int timeout) {
     REAL(epoll_wait);
-    if (happens(INTERRUPT_PER_MILLE)) {
+    if (fault_occurs(INTERRUPT_PER_MILLE)) {
         count(INTERRUPTED);
         errno = EINTR;
         return -1;
     }
-    int got = real(fd, events, most, timeout);
-    hold(HOLD_IO, IO_HELD);
-    return got;
+    int result = real(fd, events, max_events, timeout);
+    hold_or_stall(HOLD_IO, IO_HELD);
+    return result;
 }
 
-static size_t cut(size_t size) {
-    if (size < 2 || !happens(SHORT_PER_MILLE)) return size;
-    count(CUT_SHORT);
-    return 1 + draw() % (size - 1);
+/* The size to transfer: all of it, or a random part. */
+static size_t shorten(size_t size) {
+    if (size < 2 || !fault_occurs(SHORT_PER_MILLE)) return size;
+    count(SHORTENED);
+    return 1 + next_random() % (size - 1);
 }
 
-/* Nothing comes or goes over a connection that was lost on the way. */
-static int lose(int fd) {
+/* Whether the connection is lost; then it is closed with RST, and errno is that of a connection lost on the network. */
+static int lose_connection(int fd) {
     static const int errors[] = {ETIMEDOUT, EHOSTUNREACH, ECONNRESET};
-    if (fd < 0 || fd >= MOST_FDS || !made_here[fd] || !happens(LOSE_PER_MILLE)) return 0;
+    if (fd < 0 || fd >= MAX_FDS || !outgoing[fd] || !fault_occurs(LOSE_PER_MILLE)) return 0;
     count(LOST);
     struct linger reset = {1, 0};
     setsockopt(fd, SOL_SOCKET, SO_LINGER, &reset, sizeof reset);
     syscall(SYS_shutdown, fd, SHUT_RDWR);
-    errno = errors[draw() % 3];
+    errno = errors[next_random() % 3];
     return 1;
 }
 
 ssize_t recv(int fd, void *to, size_t size, int flags) {
     REAL(recv);
-    ssize_t got = real(fd, to, cut(size), flags);
-    if (got > 0 && !(flags & MSG_PEEK)) {
-        if (lose(fd)) return -1;
+    ssize_t result = real(fd, to, shorten(size), flags);
+    if (result > 0 && !(flags & MSG_PEEK)) {
+        if (lose_connection(fd)) return -1;
         count(RECEIVED);
     }
-    return got;
+    return result;
 }
 
 ssize_t send(int fd, const void *from, size_t size, int flags) {
     REAL(send);
-    return real(fd, from, cut(size), flags);
+    return real(fd, from, shorten(size), flags);
 }
 
 int clock_gettime(clockid_t clock, struct timespec *to) {
     REAL(clock_gettime);
-    int got = real(clock, to);
-    if (got == 0 && clock == CLOCK_REALTIME && told(CLOCK_OFFSET_NS)) {
-        int64_t ns = to->tv_sec * INT64_C(1000000000) + to->tv_nsec + told(CLOCK_OFFSET_NS);
+    int result = real(clock, to);
+    if (result == 0 && clock == CLOCK_REALTIME && setting(CLOCK_OFFSET_NS)) {
+        int64_t ns = to->tv_sec * INT64_C(1000000000) + to->tv_nsec + setting(CLOCK_OFFSET_NS);
         to->tv_sec = ns / 1000000000;
         to->tv_nsec = ns % 1000000000;
     }
-    return got;
+    return result;
 }
 
-/* The standard library waits for other threads by this. */
+/* The Rust standard library waits for other threads through this function (SYS_futex). */
 long syscall(long number, ...) {
     static long (*real)(long, ...);
     if (!real) real = (long (*)(long, ...))dlsym(RTLD_NEXT, "syscall");
@@ -212,21 +216,21 @@
     long a[6];
     for (int i = 0; i < 6; i++) a[i] = va_arg(list, long);
     va_end(list);
-    long got = real(number, a[0], a[1], a[2], a[3], a[4], a[5]);
+    long result = real(number, a[0], a[1], a[2], a[3], a[4], a[5]);
     /* FUTEX_WAIT and FUTEX_WAIT_BITSET, private or not. */
-    int waits = number == SYS_futex && ((a[1] & 0x7f) == 0 || (a[1] & 0x7f) == 9);
-    if (waits && words && is_main()) {
-        int before = errno;
-        hold(HOLD_MAIN, MAIN_HELD);
-        errno = before;
+    int is_futex_wait = number == SYS_futex && ((a[1] & 0x7f) == 0 || (a[1] & 0x7f) == 9);
+    if (is_futex_wait && slots && is_main()) {
+        int saved_errno = errno;
+        hold_or_stall(HOLD_MAIN, MAIN_HELD);
+        errno = saved_errno;
     }
-    return got;
+    return result;
 }
 
 static int disk_fails(int fd) {
-    int64_t error = told(DISK_ERRNO);
-    struct stat of;
-    if (!error || fd <= 2 || fstat(fd, &of) != 0 || !S_ISREG(of.st_mode)) return 0;
+    int64_t error = setting(DISK_ERRNO);
+    struct stat info;
+    if (!error || fd <= 2 || fstat(fd, &info) != 0 || !S_ISREG(info.st_mode)) return 0;
     count(DISK_FAILED);
     errno = (int)error;
     return 1;
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -1,12 +1,27 @@
-//! Stand-ins on loopback for what a front talks to, with faults to inject and counts of all that was asked.
-//! Written from public specifications (HTTP/1.1, FastCGI 1.0, RFC 8586) and this project's own protocol pages;
-//! nobody's real server. Blocking code on threads: a stand-in is to be plain, not fast.
+//! Test doubles on loopback for everything that a front talks to. They can inject faults, and count what they are
+//! asked for:
+//!
+//! | Module | Imitates | Faults |
+//! |---|---|---|
+//! | [`member`] | a cache, a parent cache or the archive, over HTTP/1.1 | silence, slow, rejecting or failing responses, closed connections, crashes, overload during slow start |
+//! | [`manual_cache`] | a cache whose accepts, reads and responses the test controls one by one | connects that hang, silence, arbitrary responses, resets |
+//! | [`feed`] | the control feed: member list and purges | an outage, closed connections |
+//! | [`client`] | a web server in front of a front, over FastCGI | requests that are never read or are left |
+//! | [`links`] | the network between two processes, TCP and UDP | partitions, latency, jitter, low bandwidth, resets, loss, duplicates |
+//! | [`shim`] | the operating system below a process (`LD_PRELOAD`) | failing or interrupted system calls, stalls, a wrong clock, a failing disk |
+//! | [`process`] | nothing: runs one of this project's programs | SIGSTOP, SIGTERM, SIGKILL |
+//! | [`timeline`] | nothing: a schedule of faults as data, random by a seed | all of `links` and `process`, lost or old disks |
+//! | [`versions`] | fronts as the control service sees them, and the files of an installation | rejected configurations |
+//!
+//! They are written from public specifications (HTTP/1.1, FastCGI 1.0, RFC 8586) and this project's own protocol
+//! pages, and imitate no particular server. The code is blocking and uses threads: stand-ins should be simple rather
+//! than fast.
 #![forbid(unsafe_code)]
 
 pub mod client;
 pub mod feed;
-pub mod held;
 pub mod links;
+pub mod manual_cache;
 pub mod member;
 pub mod ports;
 pub mod process;
@@ -22,39 +37,39 @@
 
 pub use client::Client;
 pub use feed::Feed;
-pub use held::Held;
-pub use member::{Faults, Member, Role, Spec};
+pub use manual_cache::ManualCache;
+pub use member::{Faults, Member, MemberConfig, Role};
 
-/// Where each member listens, by id.
+/// The address that each member listens on, by its id.
 pub type Directory = Arc<Mutex<HashMap<String, SocketAddr>>>;
 
 pub fn unix_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
 }
 
-/// A stand-in's thread that panicked leaves what it held as it was; the test that made it will fail by itself.
+/// Locks also after a panic in another thread of the stand-in: the test notices the panic by its effects.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// A gate that answers wait at.
+/// Blocks the responses of a member while it is closed.
 #[derive(Default)]
 pub struct Gate {
-    /// Whether it is shut, and how many wait.
+    /// Whether the gate is closed, and how many responses wait at it.
     state: Mutex<(bool, usize)>,
-    moved: Condvar,
+    changed: Condvar,
 }
 
 impl Gate {
-    pub fn shut(&self, shut: bool) {
-        lock(&self.state).0 = shut;
-        self.moved.notify_all();
+    pub fn set_closed(&self, closed: bool) {
+        lock(&self.state).0 = closed;
+        self.changed.notify_all();
     }
 
-    pub(crate) fn pass(&self) {
+    pub(crate) fn wait_until_open(&self) {
         let mut state = lock(&self.state);
         state.1 += 1;
-        let mut state = self.moved.wait_while(state, |s| s.0).unwrap_or_else(PoisonError::into_inner);
+        let mut state = self.changed.wait_while(state, |s| s.0).unwrap_or_else(PoisonError::into_inner);
         state.1 -= 1;
     }
 
@@ -63,14 +78,15 @@
     }
 }
 
-/// The size of an object as it is told, in KB: 40 in the middle, one in forty under 8 or over 200, the same by each who asks.
-pub fn kb(key: &str) -> f64 {
+/// The size of an object in KB as clients report it, derived from its key alone. Log-normal with a median of 40 KB: one
+/// object in forty is below 8 KB, and one in forty above 200 KB.
+pub fn object_kb(key: &str) -> f64 {
     let mut rng = fastrand::Rng::with_seed(doorgrade::hash::text(key));
     let normal = (0..12).map(|_| rng.f64()).sum::<f64>() - 6.0;
     40.0 * (0.82 * normal).exp()
 }
 
-/// The bytes of an object's part, which the archive knows by heart.
-pub fn object(path: &str) -> Vec<u8> {
+/// The content of an object's part, derived from its path alone, so that the archive can serve any path.
+pub fn object_bytes(path: &str) -> Vec<u8> {
     format!("these are the bytes of {path}\n").repeat(200).into_bytes()
 }
--- a/crates/standins/src/member.rs
+++ b/crates/standins/src/member.rs
@@ -1,13 +1,17 @@
-//! A font cache, a trunk cache or the archive.
+//! A member of the cache hierarchy, over HTTP/1.1: a cache, a parent cache or the archive, which is the origin of all
+//! objects.
 //!
-//! A cache fills a miss from the member that the request names; a trunk cache from the first in the object's
-//! order of those it fills from; the archive knows all. What a fill has come through goes on in `CDN-Loop`, and a
-//! fill that comes round is cut with 508. A member that starts cold falls over when it is sent too much.
+//! A cache fills a miss from the member that the request names in `Miss-To`, a parent cache from the object's home among
+//! its configured fill sources, and the archive has every object. A fill carries the members that it has passed through
+//! in `CDN-Loop`, and is rejected with 508 when it comes back to one of them.
+//!
+//! Faults: [`Faults`] (slow, rejecting or failing responses, closed connections), [`Member::gate`] (no response at all),
+//! [`Member::kill`], and [`Cold`]: a member in slow start crashes under too many requests.
 
+mod config;
+mod copy_store;
 mod fill;
 mod serve;
-mod shelf;
-mod spec;
 
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::io;
@@ -16,168 +20,169 @@
 use std::sync::{Arc, Mutex};
 use std::time::Instant;
 
-use crate::{Directory, Gate, lock, object, unix_ms};
-use shelf::{Copy, Shelf};
-pub use spec::*;
+use crate::{Directory, Gate, lock, object_bytes, unix_ms};
+pub use config::*;
+use copy_store::{CopyStore, StoredCopy};
 
-/// What the threads of a member share.
+/// The state that a member's threads share.
 struct Inner {
-    spec: Spec,
-    started: Instant,
+    config: MemberConfig,
+    started_at: Instant,
     directory: Directory,
     gate: Gate,
     dead: AtomicBool,
     faults: Mutex<Faults>,
-    shelf: Mutex<Shelf>,
-    /// Copies that are renewed behind an answer just now.
-    renewing: Mutex<HashSet<String>>,
-    fills_from: Mutex<Vec<String>>,
-    /// Calls under way here, and how often each.
-    calls: Mutex<HashMap<String, usize>>,
-    /// What came to it in the window that counts while it is cold.
-    came: Mutex<VecDeque<Instant>>,
-    /// When each request came, and its path.
-    asked_at: Mutex<Vec<(u64, String)>>,
-    answered: Mutex<Vec<Answered>>,
-    lines: Mutex<HashMap<SocketAddr, Vec<TcpStream>>>,
-    /// Connections that came, by their numbers, until they end.
-    open: Mutex<HashMap<usize, TcpStream>>,
-    /// At the archive: how often each access came, by class and id.
-    ran: Mutex<HashMap<(String, String), usize>>,
-    works_on: AtomicUsize,
-    drained_at: AtomicU64,
-    after_drain: AtomicUsize,
+    store: Mutex<CopyStore>,
+    /// Paths of the copies that are being refreshed in the background.
+    refreshing: Mutex<HashSet<String>>,
+    fill_sources: Mutex<Vec<String>>,
+    /// How many requests of each `Call-Id` are in flight here.
+    calls_in_flight: Mutex<HashMap<String, usize>>,
+    /// When requests arrived within the window that counts while the member is cold.
+    recent_requests: Mutex<VecDeque<Instant>>,
+    /// When each request arrived, in milliseconds of the Unix clock, and its path.
+    request_log: Mutex<Vec<(u64, String)>>,
+    lookups: Mutex<Vec<Lookup>>,
+    /// Keep-alive connections to other members.
+    idle_connections: Mutex<HashMap<SocketAddr, Vec<TcpStream>>>,
+    /// Accepted connections that are open, by a sequence number.
+    open_connections: Mutex<HashMap<usize, TcpStream>>,
+    /// At the archive: how often each access arrived, by its class and `Call-Id`.
+    access_counts: Mutex<HashMap<(String, String), usize>>,
+    in_flight: AtomicUsize,
+    drain_deadline_ms: AtomicU64,
+    requests_after_drain: AtomicUsize,
     counts: Counts,
 }
 
-/// A member that runs, until it is killed.
+/// A member that runs until it is killed.
 pub struct Member {
     pub id: String,
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     inner: Arc<Inner>,
 }
 
 impl Member {
-    /// Listens, and tells the directory where.
-    pub fn start(spec: Spec, directory: &Directory) -> io::Result<Member> {
-        let listener = TcpListener::bind(&spec.at)?;
-        let at = listener.local_addr()?;
-        let id = spec.id.clone();
-        lock(directory).insert(id.clone(), at);
+    /// Starts to listen, and enters the address into the directory.
+    pub fn start(config: MemberConfig, directory: &Directory) -> io::Result<Member> {
+        let listener = TcpListener::bind(&config.listen)?;
+        let address = listener.local_addr()?;
+        let id = config.id.clone();
+        lock(directory).insert(id.clone(), address);
         let inner = Arc::new(Inner {
-            spec,
-            started: Instant::now(),
+            config,
+            started_at: Instant::now(),
             directory: directory.clone(),
             gate: Gate::default(),
             dead: AtomicBool::new(false),
             faults: Mutex::default(),
-            shelf: Mutex::default(),
-            renewing: Mutex::default(),
-            fills_from: Mutex::default(),
-            calls: Mutex::default(),
-            came: Mutex::default(),
-            asked_at: Mutex::default(),
-            answered: Mutex::default(),
-            lines: Mutex::default(),
-            open: Mutex::default(),
-            ran: Mutex::default(),
-            works_on: AtomicUsize::new(0),
-            drained_at: AtomicU64::new(u64::MAX),
-            after_drain: AtomicUsize::new(0),
+            store: Mutex::default(),
+            refreshing: Mutex::default(),
+            fill_sources: Mutex::default(),
+            calls_in_flight: Mutex::default(),
+            recent_requests: Mutex::default(),
+            request_log: Mutex::default(),
+            lookups: Mutex::default(),
+            idle_connections: Mutex::default(),
+            open_connections: Mutex::default(),
+            access_counts: Mutex::default(),
+            in_flight: AtomicUsize::new(0),
+            drain_deadline_ms: AtomicU64::new(u64::MAX),
+            requests_after_drain: AtomicUsize::new(0),
             counts: Counts::default(),
         });
-        let member = Member { id, at, inner: inner.clone() };
+        let member = Member { id, address, inner: inner.clone() };
         std::thread::spawn(move || {
             for (number, stream) in listener.incoming().enumerate() {
                 if inner.dead.load(SeqCst) {
-                    return; // The listener goes with it: connections are refused from now on.
+                    return; // Drops the listener: connections are refused from now on.
                 }
                 let Ok(stream) = stream else { continue };
                 let _ = stream.set_nodelay(true);
-                lock(&inner.open).extend(stream.try_clone().map(|open| (number, open)));
+                lock(&inner.open_connections).extend(stream.try_clone().map(|open| (number, open)));
                 let inner = inner.clone();
                 std::thread::spawn(move || {
                     let _ = inner.serve(&stream);
                     let _ = stream.shutdown(Shutdown::Both);
-                    lock(&inner.open).remove(&number);
+                    lock(&inner.open_connections).remove(&number);
                 });
             }
         });
         Ok(member)
     }
 
-    /// Silent while it is shut.
+    /// The member reads requests but sends no response while its gate is closed.
     pub fn gate(&self) -> &Gate {
         &self.inner.gate
     }
 
-    /// Changes what goes wrong from now on.
-    pub fn fault(&self, change: impl FnOnce(&mut Faults)) {
+    /// Changes the faults that the next requests meet.
+    pub fn update_faults(&self, change: impl FnOnce(&mut Faults)) {
         change(&mut lock(&self.inner.faults));
     }
 
-    /// What it has counted so far.
     pub fn counts(&self) -> &Counts {
         &self.inner.counts
     }
 
-    /// Requests that came.
-    pub fn asked(&self) -> usize {
-        self.inner.counts.asked.load(SeqCst)
+    /// The number of requests that arrived.
+    pub fn requests(&self) -> usize {
+        self.inner.counts.requests.load(SeqCst)
     }
 
-    /// When each request came, in milliseconds of the Unix clock, and for which path.
-    pub fn asked_at(&self) -> Vec<(u64, String)> {
-        lock(&self.inner.asked_at).clone()
+    /// When each request arrived, in milliseconds of the Unix clock, and its path.
+    pub fn request_log(&self) -> Vec<(u64, String)> {
+        lock(&self.inner.request_log).clone()
     }
 
-    /// What it could answer, in order.
-    pub fn answered(&self) -> Vec<Answered> {
-        lock(&self.inner.answered).clone()
+    /// The lookups so far, in order. Requests for cached copies alone that missed are not among them.
+    pub fn lookups(&self) -> Vec<Lookup> {
+        lock(&self.inner.lookups).clone()
     }
 
-    /// Hangs a trunk cache under these.
-    pub fn hang(&self, fills_from: &[&str]) {
-        *lock(&self.inner.fills_from) = fills_from.iter().map(|&s| s.to_owned()).collect();
+    /// Sets the members that a parent cache fills from.
+    pub fn set_fill_sources(&self, sources: &[&str]) {
+        *lock(&self.inner.fill_sources) = sources.iter().map(|&s| s.to_owned()).collect();
     }
 
-    /// It is told to fronts as draining from now on; what comes later than the grace is counted.
-    pub fn drained(&self, grace_ms: u64) {
-        self.inner.drained_at.store(unix_ms() + grace_ms, SeqCst);
+    /// Notes that fronts are told that this member drains. Requests that arrive after the grace period are counted.
+    pub fn set_draining(&self, grace_ms: u64) {
+        self.inner.drain_deadline_ms.store(unix_ms() + grace_ms, SeqCst);
     }
 
-    /// Requests that came later than its grace.
-    pub fn asked_after_drain(&self) -> usize {
-        self.inner.after_drain.load(SeqCst)
+    /// The number of requests that arrived after the grace period of a drain.
+    pub fn requests_after_drain(&self) -> usize {
+        self.inner.requests_after_drain.load(SeqCst)
     }
 
-    /// Holds this object from now on, as if it had been filled so long ago.
+    /// Stores a copy of this object, as if it had been filled `age_ms` ago.
     pub fn preload(&self, path: &str, age_ms: u64) {
-        let copy = Copy { bytes: Arc::new(object(path)), made_at: unix_ms().saturating_sub(age_ms) };
-        lock(&self.inner.shelf).put(path, copy, self.inner.spec.keeps);
+        let copy =
+            StoredCopy { bytes: Arc::new(object_bytes(path)), made_at_ms: unix_ms().saturating_sub(age_ms) };
+        lock(&self.inner.store).put(path, copy, self.inner.config.max_copies);
     }
 
-    /// How many accesses of a class came to it more than once.
-    pub fn run_twice(&self, class: &str) -> usize {
-        let ran = lock(&self.inner.ran);
-        ran.iter().filter(|((of, _), times)| of == class && **times > 1).count()
+    /// At the archive: the number of accesses of a class that arrived more than once.
+    pub fn accesses_run_twice(&self, class: &str) -> usize {
+        let counts = lock(&self.inner.access_counts);
+        counts.iter().filter(|((of, _), times)| of == class && **times > 1).count()
     }
 
-    /// Drops the copies of a purged object: of all its parts, in each class.
+    /// Removes the copies of all parts of a purged object, in every class.
     pub fn purge(&self, key: &str) {
-        let shelf = &mut lock(&self.inner.shelf);
-        shelf.copies.retain(|path, _| path.split('/').nth(3) != Some(key));
+        let store = &mut lock(&self.inner.store);
+        store.copies.retain(|path, _| path.split('/').nth(3) != Some(key));
     }
 
-    /// Dies as a process does: its connections end, new ones are refused.
+    /// Imitates the death of the process: closes all connections, and refuses new ones.
     pub fn kill(&self) {
         self.inner.dead.store(true, SeqCst);
-        let _ = TcpStream::connect(self.at);
-        lock(&self.inner.open).drain().for_each(|(_, s)| drop(s.shutdown(Shutdown::Both)));
-        lock(&self.inner.lines).clear();
+        let _ = TcpStream::connect(self.address);
+        lock(&self.inner.open_connections).drain().for_each(|(_, s)| drop(s.shutdown(Shutdown::Both)));
+        lock(&self.inner.idle_connections).clear();
     }
 
-    /// Whether it was killed, or fell over.
+    /// Whether the member was killed or has crashed.
     pub fn is_dead(&self) -> bool {
         self.inner.dead.load(SeqCst)
     }
--- a/crates/standins/src/member/fill.rs
+++ b/crates/standins/src/member/fill.rs
@@ -1,4 +1,4 @@
-//! Fills and renewals: from whom, over which connection, and what comes of them.
+//! Fills and background refreshes: the choice of a source, the connections to it, and the result.
 
 use std::io::{self, BufReader};
 use std::net::{SocketAddr, TcpStream};
@@ -11,46 +11,48 @@
 use doorgrade_hierarchy::homes::{Home, home_of};
 
 use super::Inner;
-use super::shelf::Copy;
+use super::copy_store::StoredCopy;
 use crate::wire::{self, Head};
 use crate::{lock, unix_ms};
 
-/// What came of a fill, or of a look at what is held. The text is the answer's `Detail`.
-pub enum Had {
-    Copy(Copy, &'static str),
-    /// Nothing is held, or nobody is there to fill from.
-    Lacks,
+/// The result of a lookup or a fill. The letter is sent as the response's `Detail`.
+pub enum LookupResult {
+    Copy(StoredCopy, &'static str),
+    /// No copy is stored, and there is no source to fill from, or the request does not permit a fill.
+    NotCached,
     Failed(&'static str),
-    /// The fill has come round: through whom.
-    Cut(String),
+    /// The fill was rejected as a forwarding loop: the members of the cycle.
+    Loop(String),
 }
 
 impl Inner {
-    /// Fetches a copy anew behind an answer, for which nobody waits: only in the last fifth of its fresh time, as the
-    /// protocol's page has it, and one at a time. What comes is not to be in its own last fifth.
-    pub fn renew(self: &Arc<Self>, head: &Head, fresh: u64, made_at: u64) -> bool {
-        let due = unix_ms() >= made_at + fresh - fresh / 5;
-        if !due || !lock(&self.renewing).insert(head.path.clone()) {
+    /// Starts a refresh of a copy in the background, which no client waits for. As the protocol specifies, a copy is
+    /// refreshed only in the last fifth of its max age, and once at a time. The new copy must not be in its own last
+    /// fifth either.
+    pub fn refresh(self: &Arc<Self>, head: &Head, max_age_ms: u64, made_at_ms: u64) -> bool {
+        let due = unix_ms() >= made_at_ms + max_age_ms - max_age_ms / 5;
+        if !due || !lock(&self.refreshing).insert(head.path.clone()) {
             return false;
         }
-        self.counts.renewed.fetch_add(1, SeqCst);
+        self.counts.refreshes.fetch_add(1, SeqCst);
         let (inner, mut head) = (self.clone(), head.clone());
-        let most = head.number("no-older-than");
-        let most = if most == 0 { fresh - fresh / 5 } else { most.min(fresh - fresh / 5) };
-        head.fields.insert("no-older-than".into(), most.to_string());
+        let limit = head.number("no-older-than");
+        let limit =
+            if limit == 0 { max_age_ms - max_age_ms / 5 } else { limit.min(max_age_ms - max_age_ms / 5) };
+        head.fields.insert("no-older-than".into(), limit.to_string());
         std::thread::spawn(move || {
             inner.fill(&head);
-            lock(&inner.renewing).remove(&head.path);
+            lock(&inner.refreshing).remove(&head.path);
         });
         true
     }
 
-    /// From whom a miss is filled.
+    /// The member that a miss is filled from.
     fn source(&self, head: &Head) -> Option<String> {
         if let Some(named) = head.field("miss-to") {
             return Some(named.to_owned());
         }
-        let mut sources = lock(&self.fills_from).clone();
+        let mut sources = lock(&self.fill_sources).clone();
         sources.retain(|s| lock(&self.directory).contains_key(s));
         let key = hash::text(&head.path);
         let homes: Vec<Home> = sources.iter().map(|s| Home::named(s, 1.0)).collect();
@@ -58,70 +60,72 @@
         sources.into_iter().find(|s| hash::text(s) == chosen)
     }
 
-    /// Asks the source and keeps what it gives.
-    pub fn fill(&self, head: &Head) -> Had {
-        let Some(source) = self.source(head) else { return Had::Lacks };
-        let via = match cdn_loop::forward_header(head.field("cdn-loop"), &self.spec.id) {
+    /// Fetches a copy from the source and stores it.
+    pub fn fill(&self, head: &Head) -> LookupResult {
+        let Some(source) = self.source(head) else { return LookupResult::NotCached };
+        let via = match cdn_loop::forward_header(head.field("cdn-loop"), &self.config.id) {
             Ok(via) => via,
-            Err(cut) => {
-                self.counts.rings.fetch_add(1, SeqCst);
-                return Had::Cut(match cut {
-                    LoopError::Cycle(ring) => ring.join(", "),
+            Err(error) => {
+                self.counts.loops_rejected.fetch_add(1, SeqCst);
+                return LookupResult::Loop(match error {
+                    LoopError::Cycle(cycle) => cycle.join(", "),
                     other => other.to_string(),
                 });
             }
         };
-        let Some(at) = lock(&self.directory).get(&source).copied() else { return Had::Failed("b") };
-        match self.ask(at, head, &via) {
-            Ok((answer, bytes)) => match answer.status {
+        let Some(address) = lock(&self.directory).get(&source).copied() else {
+            return LookupResult::Failed("b");
+        };
+        match self.fetch(address, head, &via) {
+            Ok((response, bytes)) => match response.status {
                 200 => {
-                    let copy = Copy { bytes: Arc::new(bytes), made_at: answer.number("made-at") };
+                    let copy = StoredCopy { bytes: Arc::new(bytes), made_at_ms: response.number("made-at") };
                     self.counts.fills.fetch_add(1, SeqCst);
-                    lock(&self.shelf).put(&head.path, copy.clone(), self.spec.keeps);
-                    let from_archive = answer.field("detail") == Some("o");
-                    Had::Copy(copy, if from_archive { "o" } else { "f" })
+                    lock(&self.store).put(&head.path, copy.clone(), self.config.max_copies);
+                    let from_archive = response.field("detail") == Some("o");
+                    LookupResult::Copy(copy, if from_archive { "o" } else { "f" })
                 }
-                404 => Had::Lacks,
-                508 => Had::Cut(answer.field("ring").unwrap_or("").to_owned()),
-                _ => Had::Failed("r"),
+                404 => LookupResult::NotCached,
+                508 => LookupResult::Loop(response.field("ring").unwrap_or("").to_owned()),
+                _ => LookupResult::Failed("r"),
             },
-            Err(_) => Had::Failed("b"),
+            Err(_) => LookupResult::Failed("b"),
         }
     }
 
-    /// Over a kept connection, or a new one where there is none or it has ended.
-    fn ask(&self, at: SocketAddr, head: &Head, via: &str) -> io::Result<(Head, Vec<u8>)> {
+    /// Sends the request over an idle connection, or over a new one if there is none or it has been closed.
+    fn fetch(&self, address: SocketAddr, head: &Head, via: &str) -> io::Result<(Head, Vec<u8>)> {
         let once = |stream: &TcpStream| -> io::Result<(Head, Vec<u8>)> {
             stream.set_read_timeout(Some(Duration::from_millis(head.number("call-ms").max(100))))?;
-            let age = head.field("no-older-than").unwrap_or("");
-            let call = head.field("call-id").unwrap_or("");
-            let wait = head.field("call-ms").unwrap_or("");
-            let only = if head.handling("local") { "only-if-cached" } else { "" };
+            let max_age = head.field("no-older-than").unwrap_or("");
+            let call_id = head.field("call-id").unwrap_or("");
+            let timeout_ms = head.field("call-ms").unwrap_or("");
+            let only_if_cached = if head.handling("local") { "only-if-cached" } else { "" };
             let fields = [
                 ("Host", "cache"),
-                ("Call-Id", call),
-                ("Call-Ms", wait),
-                ("No-Older-Than", age),
-                ("Cache-Control", only),
+                ("Call-Id", call_id),
+                ("Call-Ms", timeout_ms),
+                ("No-Older-Than", max_age),
+                ("Cache-Control", only_if_cached),
                 ("CDN-Loop", via),
             ];
             wire::write(stream, &format!("GET {} HTTP/1.1", head.path), &fields, b"")?;
             let mut reader = BufReader::new(stream.try_clone()?);
             wire::read(&mut reader)?.ok_or_else(|| io::ErrorKind::UnexpectedEof.into())
         };
-        let kept = lock(&self.lines).get_mut(&at).and_then(Vec::pop);
-        if let Some(stream) = kept
-            && let Ok(answer) = once(&stream)
+        let idle = lock(&self.idle_connections).get_mut(&address).and_then(Vec::pop);
+        if let Some(stream) = idle
+            && let Ok(response) = once(&stream)
         {
-            lock(&self.lines).entry(at).or_default().push(stream);
-            return Ok(answer);
+            lock(&self.idle_connections).entry(address).or_default().push(stream);
+            return Ok(response);
         }
-        let stream = TcpStream::connect_timeout(&at, Duration::from_millis(400))?;
+        let stream = TcpStream::connect_timeout(&address, Duration::from_millis(400))?;
         stream.set_nodelay(true)?;
-        let answer = once(&stream)?;
+        let response = once(&stream)?;
         if !self.dead.load(SeqCst) {
-            lock(&self.lines).entry(at).or_default().push(stream);
+            lock(&self.idle_connections).entry(address).or_default().push(stream);
         }
-        Ok(answer)
+        Ok(response)
     }
 }
--- a/crates/standins/src/member/serve.rs
+++ b/crates/standins/src/member/serve.rs
@@ -1,4 +1,4 @@
-//! Requests as they come: counted, refused, or answered from what is held or filled.
+//! Requests to a member: counted, then rejected, or answered from the store or by a fill.
 
 use std::io::{self, BufReader};
 use std::net::{Shutdown, TcpStream};
@@ -6,45 +6,55 @@
 use std::sync::atomic::Ordering::SeqCst;
 use std::time::Instant;
 
-use super::fill::Had;
-use super::shelf::Copy;
-use super::{Answered, Inner, Role};
+use super::copy_store::StoredCopy;
+use super::fill::LookupResult;
+use super::{Inner, Lookup, Role};
 use crate::wire::{self, Head};
-use crate::{lock, object, unix_ms};
+use crate::{lock, object_bytes, unix_ms};
+
+/// A request that passes here this often at the same time loops although it should have been rejected.
+const MAX_PASSES: usize = 2;
+/// A request that passes here more often fails, so that a loop which nobody detects ends.
+const MAX_PASSES_BEFORE_FAILURE: usize = 8;
+/// Responses may be this much older than the request allows: time passes between the lookup and the check.
+const AGE_TOLERANCE_MS: u64 = 50;
 
 impl Inner {
-    /// One connection, until it ends.
+    /// Serves one connection until it ends.
     pub fn serve(self: &Arc<Self>, stream: &TcpStream) -> io::Result<()> {
         let mut reader = BufReader::new(stream.try_clone()?);
         while let Some((head, _body)) = wire::read(&mut reader)? {
-            self.counts.asked.fetch_add(1, SeqCst);
-            lock(&self.asked_at).push((unix_ms(), head.path.clone()));
-            if unix_ms() > self.drained_at.load(SeqCst) {
-                self.after_drain.fetch_add(1, SeqCst);
+            self.counts.requests.fetch_add(1, SeqCst);
+            lock(&self.request_log).push((unix_ms(), head.path.clone()));
+            if unix_ms() > self.drain_deadline_ms.load(SeqCst) {
+                self.requests_after_drain.fetch_add(1, SeqCst);
             }
-            if self.falls() {
-                self.counts.fell.fetch_add(1, SeqCst);
+            if self.is_overloaded_while_cold() {
+                self.counts.crashes.fetch_add(1, SeqCst);
                 self.dead.store(true, SeqCst);
-                lock(&self.open).drain().for_each(|(_, s)| drop(s.shutdown(Shutdown::Both)));
+                lock(&self.open_connections).drain().for_each(|(_, s)| drop(s.shutdown(Shutdown::Both)));
                 return Ok(());
             }
-            self.gate.pass();
+            self.gate.wait_until_open();
             let faults = lock(&self.faults).clone();
-            let crowded = self.works_on.fetch_add(1, SeqCst) >= self.spec.at_once;
-            if !crowded {
-                let sends =
-                    self.spec.per_kb.mul_f64(crate::kb(head.path.split('/').nth(3).unwrap_or_default()));
-                std::thread::sleep(self.spec.lag + faults.slow + sends);
+            let overloaded = self.in_flight.fetch_add(1, SeqCst) >= self.config.max_in_flight;
+            if !overloaded {
+                let size_latency = self
+                    .config
+                    .latency_per_kb
+                    .mul_f64(crate::object_kb(head.path.split('/').nth(3).unwrap_or_default()));
+                std::thread::sleep(self.config.latency + faults.extra_latency + size_latency);
             }
-            self.works_on.fetch_sub(1, SeqCst);
-            if faults.reset {
+            self.in_flight.fetch_sub(1, SeqCst);
+            if faults.close_connections {
                 return Ok(());
             }
-            if faults.fails || faults.full || crowded {
+            if faults.fail || faults.full || overloaded {
                 self.counts.failed.fetch_add(1, SeqCst);
-                let first = if faults.full || crowded { "HTTP/1.1 503 Full" } else { "HTTP/1.1 500 Failed" };
-                let unrun = if faults.full || crowded { "1" } else { "" };
-                wire::write(stream, first, &[("Not-Begun", unrun)], b"")?;
+                let status_line =
+                    if faults.full || overloaded { "HTTP/1.1 503 Full" } else { "HTTP/1.1 500 Failed" };
+                let not_begun = if faults.full || overloaded { "1" } else { "" };
+                wire::write(stream, status_line, &[("Not-Begun", not_begun)], b"")?;
                 continue;
             }
             self.answer(stream, &head)?;
@@ -52,103 +62,111 @@
         Ok(())
     }
 
-    /// Whether it is cold and has been sent more than it stands.
-    fn falls(&self) -> bool {
-        let Some(cold) = self.spec.cold else { return false };
-        let age = self.started.elapsed();
-        if age >= cold.lasts {
+    /// Whether the member is in slow start and more requests have arrived than it survives.
+    fn is_overloaded_while_cold(&self) -> bool {
+        let Some(cold) = self.config.cold else { return false };
+        let age = self.started_at.elapsed();
+        if age >= cold.duration {
             return false;
         }
         let now = Instant::now();
-        let came = &mut lock(&self.came);
-        came.push_back(now);
-        while came.front().is_some_and(|&at| now - at > cold.window) {
-            came.pop_front();
+        let recent = &mut lock(&self.recent_requests);
+        recent.push_back(now);
+        while recent.front().is_some_and(|&at| now - at > cold.window) {
+            recent.pop_front();
         }
-        let share = cold.from + (1.0 - cold.from) * age.as_secs_f64() / cold.lasts.as_secs_f64();
-        let most = cold.multiple * share * cold.warm * cold.window.as_secs_f64();
-        age >= cold.window && came.len() as f64 > most.max(4.0)
+        let share =
+            cold.initial_share + (1.0 - cold.initial_share) * age.as_secs_f64() / cold.duration.as_secs_f64();
+        let limit = cold.crash_factor * share * cold.warm_per_s * cold.window.as_secs_f64();
+        age >= cold.window && recent.len() as f64 > limit.max(4.0)
     }
 
     fn answer(self: &Arc<Self>, stream: &TcpStream, head: &Head) -> io::Result<()> {
-        let call = head.field("call-id").unwrap_or("").to_owned();
-        let times = {
-            let calls = &mut lock(&self.calls);
-            let times = calls.entry(call.clone()).or_default();
-            *times += 1;
-            *times
+        let call_id = head.field("call-id").unwrap_or("").to_owned();
+        let passes = {
+            let calls = &mut lock(&self.calls_in_flight);
+            let passes = calls.entry(call_id.clone()).or_default();
+            *passes += 1;
+            *passes
         };
-        // Under way here for the third time: it has gone round whole, and round again.
-        if times > 2 && !call.is_empty() {
-            self.counts.turned_twice.fetch_add(1, SeqCst);
+        // The third pass of the same request: the second one should have been rejected as a loop.
+        if passes > MAX_PASSES && !call_id.is_empty() {
+            self.counts.loops_missed.fetch_add(1, SeqCst);
         }
-        let had = if times > 8 { Had::Failed("b") } else { self.look(head) };
+        let result =
+            if passes > MAX_PASSES_BEFORE_FAILURE { LookupResult::Failed("b") } else { self.look_up(head) };
         {
-            let calls = &mut lock(&self.calls);
-            if let Some(times) = calls.get_mut(&call) {
-                *times -= 1;
-                if *times == 0 {
-                    calls.remove(&call);
+            let calls = &mut lock(&self.calls_in_flight);
+            if let Some(passes) = calls.get_mut(&call_id) {
+                *passes -= 1;
+                if *passes == 0 {
+                    calls.remove(&call_id);
                 }
             }
         }
-        match had {
-            Had::Copy(copy, detail) => {
-                let age = unix_ms().saturating_sub(copy.made_at);
-                let most = head.number("no-older-than");
-                if most > 0 && age > most + 50 && detail != "s" {
+        match result {
+            LookupResult::Copy(copy, detail) => {
+                let age = unix_ms().saturating_sub(copy.made_at_ms);
+                let limit = head.number("no-older-than");
+                if limit > 0 && age > limit + AGE_TOLERANCE_MS && detail != "s" {
                     self.counts.too_old.fetch_add(1, SeqCst);
                 }
-                let (tag, mut made_at) = (format!("t{}", copy.made_at), copy.made_at.to_string());
-                // Between members it is always told: copies keep their age.
-                if !self.spec.tells_made && self.spec.role == Role::Cache {
+                let (tag, mut made_at) = (format!("t{}", copy.made_at_ms), copy.made_at_ms.to_string());
+                // Parents and the archive always send it: a cache's copy is as old as the one it was filled from.
+                if !self.config.sends_made_at && self.config.role == Role::Cache {
                     made_at.clear();
                 }
                 let fields = [("Detail", detail), ("Tag", &tag), ("Made-At", &made_at)];
                 wire::write(stream, "HTTP/1.1 200 OK", &fields, &copy.bytes)
             }
-            Had::Lacks => wire::write(stream, "HTTP/1.1 404 Not Found", &[("Detail", "l")], b""),
-            Had::Failed(detail) => {
+            LookupResult::NotCached => wire::write(stream, "HTTP/1.1 404 Not Found", &[("Detail", "l")], b""),
+            LookupResult::Failed(detail) => {
                 self.counts.failed.fetch_add(1, SeqCst);
                 wire::write(stream, "HTTP/1.1 500 Failed", &[("Detail", detail)], b"")
             }
-            Had::Cut(ring) => {
-                let fields = [("Not-Begun", "1"), ("Detail", "r"), ("Ring", &*ring)];
+            LookupResult::Loop(cycle) => {
+                let fields = [("Not-Begun", "1"), ("Detail", "r"), ("Ring", &*cycle)];
                 wire::write(stream, "HTTP/1.1 508 Loop Detected", &fields, b"")
             }
         }
     }
 
-    fn look(self: &Arc<Self>, head: &Head) -> Had {
-        let (path, renewal_asked) = (&head.path, head.handling("revalidate"));
-        if self.spec.role == Role::Archive {
+    fn look_up(self: &Arc<Self>, head: &Head) -> LookupResult {
+        let (path, refresh_requested) = (&head.path, head.handling("revalidate"));
+        if self.config.role == Role::Archive {
             self.counts.fills.fetch_add(1, SeqCst);
             let class = path.split('/').nth(2).unwrap_or("").to_owned();
-            let call = head.field("call-id").unwrap_or("").to_owned();
-            *lock(&self.ran).entry((class, call)).or_default() += 1;
-            return Had::Copy(Copy { bytes: Arc::new(object(path)), made_at: unix_ms() }, "o");
+            let call_id = head.field("call-id").unwrap_or("").to_owned();
+            *lock(&self.access_counts).entry((class, call_id)).or_default() += 1;
+            let copy = StoredCopy { bytes: Arc::new(object_bytes(path)), made_at_ms: unix_ms() };
+            return LookupResult::Copy(copy, "o");
         }
-        let fresh = path.split('/').nth(2).and_then(|class| self.spec.fresh_ms.get(class)).copied();
-        let most = match head.number("no-older-than") {
-            0 => fresh.unwrap_or(u64::MAX),
-            asked => asked.min(fresh.unwrap_or(u64::MAX)),
+        let max_age = path.split('/').nth(2).and_then(|class| self.config.max_age_ms.get(class)).copied();
+        let limit = match head.number("no-older-than") {
+            0 => max_age.unwrap_or(u64::MAX),
+            requested => requested.min(max_age.unwrap_or(u64::MAX)),
         };
-        let kept = lock(&self.shelf).get(path);
-        if let Some(copy) = kept.filter(|c| unix_ms().saturating_sub(c.made_at) <= most) {
+        let stored = lock(&self.store).get(path);
+        if let Some(copy) = stored.filter(|c| unix_ms().saturating_sub(c.made_at_ms) <= limit) {
             self.counts.hits.fetch_add(1, SeqCst);
-            let mut renewed = false;
-            if renewal_asked {
-                self.counts.renewal_asked.fetch_add(1, SeqCst);
-                renewed = fresh.is_some_and(|fresh| self.renew(head, fresh, copy.made_at));
+            let mut refresh_started = false;
+            if refresh_requested {
+                self.counts.refreshes_requested.fetch_add(1, SeqCst);
+                refresh_started = max_age.is_some_and(|max_age| self.refresh(head, max_age, copy.made_at_ms));
             }
-            lock(&self.answered).push(Answered { at_ms: unix_ms(), hit: true, renewal_asked, renewed });
-            return Had::Copy(copy, "h");
+            lock(&self.lookups).push(Lookup {
+                at_ms: unix_ms(),
+                hit: true,
+                refresh_requested,
+                refresh_started,
+            });
+            return LookupResult::Copy(copy, "h");
         }
         if head.field("cache-control") == Some("only-if-cached") {
-            return Had::Lacks;
+            return LookupResult::NotCached;
         }
-        let answered = Answered { at_ms: unix_ms(), hit: false, renewal_asked, renewed: false };
-        lock(&self.answered).push(answered);
+        let lookup = Lookup { at_ms: unix_ms(), hit: false, refresh_requested, refresh_started: false };
+        lock(&self.lookups).push(lookup);
         self.fill(head)
     }
 }
--- a/crates/standins/src/process.rs
+++ b/crates/standins/src/process.rs
@@ -1,4 +1,4 @@
-//! A program of this project's as a process: started, stopped in its tracks, woken, killed; its log read.
+//! Runs a program of this project as a child process: start, signals, and its log from standard error.
 
 use std::io::{self, BufRead, BufReader};
 use std::process::{Child, Command, Stdio};
@@ -9,15 +9,16 @@
 
 use crate::lock;
 
+/// A child process. It is killed on drop.
 pub struct Process {
     child: Child,
-    /// Its number is not this child's any more.
+    /// The child was waited for, so that its process id may belong to another process by now.
     reaped: bool,
     log: Arc<(Mutex<Vec<String>>, Condvar)>,
 }
 
 impl Process {
-    /// Its standard error is its log.
+    /// Starts the command and collects its standard error as its log.
     pub fn start(command: &mut Command) -> io::Result<Process> {
         let mut child = command.stdin(Stdio::null()).stderr(Stdio::piped()).spawn()?;
         let log: Arc<(Mutex<Vec<String>>, Condvar)> = Arc::default();
@@ -38,51 +39,55 @@
     }
 
     fn signal(&self, signal: Signal) {
-        let number = i32::try_from(self.child.id()).ok().filter(|_| !self.reaped);
-        let _ = number.and_then(Pid::from_raw).map(|p| kill_process(p, signal));
+        let pid = i32::try_from(self.child.id()).ok().filter(|_| !self.reaped);
+        let _ = pid.and_then(Pid::from_raw).map(|p| kill_process(p, signal));
     }
 
-    pub fn stop(&self) {
+    /// Sends SIGSTOP.
+    pub fn suspend(&self) {
         self.signal(Signal::STOP);
     }
 
-    pub fn wake(&self) {
+    /// Sends SIGCONT.
+    pub fn resume(&self) {
         self.signal(Signal::CONT);
     }
 
+    /// Sends SIGHUP.
     pub fn hang_up(&self) {
         self.signal(Signal::HUP);
     }
 
+    /// Sends SIGTERM.
     pub fn terminate(&self) {
         self.signal(Signal::TERM);
     }
 
-    /// SIGKILL; it is gone when this returns.
+    /// Sends SIGKILL and waits for the end of the process.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         self.reaped |= self.child.wait().is_ok();
     }
 
-    pub fn alive(&mut self) -> bool {
+    pub fn is_running(&mut self) -> bool {
         self.reaped |= !matches!(self.child.try_wait(), Ok(None));
         !self.reaped
     }
 
-    pub fn lines(&self) -> Vec<String> {
+    pub fn log_lines(&self) -> Vec<String> {
         lock(&self.log.0).clone()
     }
 
-    /// The first line that has this in it, as soon as there is one.
-    pub fn line(&self, text: &str, within: Duration) -> Option<String> {
-        let end = Instant::now() + within;
+    /// Waits for the first log line that contains `text`.
+    pub fn wait_for_log(&self, text: &str, timeout: Duration) -> Option<String> {
+        let deadline = Instant::now() + timeout;
         let mut lines = lock(&self.log.0);
         loop {
             if let Some(found) = lines.iter().find(|l| l.contains(text)) {
                 return Some(found.clone());
             }
-            let left = end.checked_duration_since(Instant::now())?;
-            lines = self.log.1.wait_timeout(lines, left).unwrap_or_else(PoisonError::into_inner).0;
+            let remaining = deadline.checked_duration_since(Instant::now())?;
+            lines = self.log.1.wait_timeout(lines, remaining).unwrap_or_else(PoisonError::into_inner).0;
         }
     }
 }
--- a/crates/standins/src/shim.rs
+++ b/crates/standins/src/shim.rs
@@ -1,5 +1,5 @@
-//! Faults of the system under a process of this project's: a library that is preloaded makes its system calls fail,
-//! its threads stall and its wall clock step. What goes wrong is set while the process runs.
+//! Faults of the operating system below one of this project's programs. A preloaded library (`shim/faults.c`) makes system
+//! calls fail, threads stall and the wall clock differ. The faults can be changed while the process runs.
 
 use std::ffi::OsString;
 use std::fs::{File, OpenOptions};
@@ -12,46 +12,49 @@
 use std::time::{Duration, Instant};
 
 const SOURCE: &str = include_str!("../shim/faults.c");
-const WORD: usize = std::mem::size_of::<i64>();
-const PLACES: usize = 64;
+const SLOT_BYTES: usize = std::mem::size_of::<i64>();
+const SLOT_COUNT: usize = 64;
 
-/// What a test sets. The numbers are the places in the shared file, as in `shim/faults.c`.
+/// A setting that the test writes. The numbers are the slots in the shared file, as in `shim/faults.c`.
 #[derive(Clone, Copy, Debug)]
 pub enum Fault {
+    /// The seed of all random choices.
     Seed = 0,
     /// Nanoseconds that are added to the wall clock.
     ClockOffsetNs = 1,
-    /// While it is 1, the main thread is held as it wakes from a wait.
+    /// While this is 1, the main thread is held when it returns from a wait on a futex.
     HoldMain = 2,
-    /// While it is 1, a thread that waits for sockets is held as it wakes.
+    /// While this is 1, a thread is held when it returns from `epoll_wait`.
     HoldIo = 3,
-    /// Of the calls of accept, socket and connect, so many in a thousand fail.
+    /// How many in a thousand calls of `accept4`, `socket` and `connect` fail.
     FailPerMille = 4,
-    /// Of the waits for sockets, so many in a thousand are interrupted.
+    /// How many in a thousand calls of `epoll_wait` are interrupted.
     InterruptPerMille = 5,
-    /// Of the reads and writes on sockets, so many in a thousand are cut short.
+    /// How many in a thousand reads and writes on sockets are shortened.
     ShortPerMille = 6,
-    /// Of the reads that bring something on connections made by the process, so many in a thousand find theirs lost.
+    /// How many in a thousand successful reads, on connections that the process opened, lose the connection.
     LosePerMille = 7,
-    /// Of the wakings of either thread, so many in a thousand are late, by [`Fault::StallUs`] at the most.
+    /// How many in a thousand returns from a wait, of either thread, are delayed by up to [`Fault::StallUs`].
     StallPerMille = 8,
+    /// The longest stall in microseconds.
     StallUs = 9,
-    /// Writes and syncs of files fail with this error, unless it is 0.
+    /// Writes and syncs of files fail with this error number, unless it is 0.
     DiskErrno = 10,
 }
 
-/// What the library counts.
+/// A value that the library writes.
 #[derive(Clone, Copy, Debug)]
-pub enum Seen {
-    /// 1 while the thread is held.
+pub enum Counter {
+    /// 1 while the main thread is held.
     MainHeld = 32,
+    /// 1 while a thread is held after `epoll_wait`.
     IoHeld = 33,
     Accepted = 34,
-    /// Reads on sockets that brought something.
+    /// Reads on sockets that returned data.
     Received = 35,
     Failed = 36,
     Interrupted = 37,
-    CutShort = 38,
+    Shortened = 38,
     Lost = 39,
     Stalled = 40,
     DiskFailed = 41,
@@ -59,45 +62,48 @@
 
 /// The faults of one process.
 pub struct Shim {
-    words: File,
+    slots: File,
     path: PathBuf,
 }
 
 impl Shim {
-    /// No faults yet. The process is to be started with [`Shim::environment`].
+    /// Starts without faults. The process must be started with [`Shim::environment`].
     pub fn new(seed: u64) -> io::Result<Shim> {
         static NUMBER: AtomicUsize = AtomicUsize::new(0);
         let number = NUMBER.fetch_add(1, Ordering::SeqCst);
         let path = std::env::temp_dir().join(format!("doorgrade-faults-{}-{number}", std::process::id()));
-        let words = OpenOptions::new().read(true).write(true).create(true).truncate(true).open(&path)?;
-        words.set_len((PLACES * WORD) as u64)?;
-        let shim = Shim { words, path };
+        let slots = OpenOptions::new().read(true).write(true).create(true).truncate(true).open(&path)?;
+        slots.set_len((SLOT_COUNT * SLOT_BYTES) as u64)?;
+        let shim = Shim { slots, path };
         shim.set(Fault::Seed, seed as i64)?;
         Ok(shim)
     }
 
-    /// What the process needs in its environment.
+    /// The environment variables that the process needs.
     pub fn environment(&self) -> io::Result<Vec<(&'static str, OsString)>> {
         let library = library()?.as_os_str().to_owned();
         Ok(vec![("LD_PRELOAD", library), ("DOORGRADE_FAULTS", self.path.as_os_str().to_owned())])
     }
 
     pub fn set(&self, fault: Fault, value: i64) -> io::Result<()> {
-        self.words.write_all_at(&value.to_ne_bytes(), (fault as usize * WORD) as u64)
+        self.slots.write_all_at(&value.to_ne_bytes(), (fault as usize * SLOT_BYTES) as u64)
     }
 
-    pub fn seen(&self, what: Seen) -> io::Result<i64> {
-        let mut word = [0; WORD];
-        self.words.read_exact_at(&mut word, (what as usize * WORD) as u64)?;
-        Ok(i64::from_ne_bytes(word))
+    pub fn read(&self, counter: Counter) -> io::Result<i64> {
+        let mut slot = [0; SLOT_BYTES];
+        self.slots.read_exact_at(&mut slot, (counter as usize * SLOT_BYTES) as u64)?;
+        Ok(i64::from_ne_bytes(slot))
     }
 
-    /// Waits until a count has come to this.
-    pub fn until(&self, what: Seen, least: i64, within: Duration) -> io::Result<()> {
-        let begun = Instant::now();
-        while self.seen(what)? < least {
-            if begun.elapsed() > within {
-                return Err(io::Error::new(io::ErrorKind::TimedOut, format!("{what:?} is not {least}")));
+    /// Waits until a counter has reached `min`.
+    pub fn wait_for(&self, counter: Counter, min: i64, timeout: Duration) -> io::Result<()> {
+        let started_at = Instant::now();
+        while self.read(counter)? < min {
+            if started_at.elapsed() > timeout {
+                return Err(io::Error::new(
+                    io::ErrorKind::TimedOut,
+                    format!("counter {counter:?} did not reach {min} within {timeout:?}"),
+                ));
             }
             std::thread::sleep(Duration::from_millis(1));
         }
@@ -111,10 +117,10 @@
     }
 }
 
-/// The library, compiled once for all tests of a process.
+/// The library, compiled once per test process.
 fn library() -> io::Result<&'static Path> {
     static LIBRARY: OnceLock<Result<PathBuf, String>> = OnceLock::new();
-    LIBRARY.get_or_init(compile).as_deref().map_err(|why| io::Error::other(why.clone()))
+    LIBRARY.get_or_init(compile).as_deref().map_err(|reason| io::Error::other(reason.clone()))
 }
 
 fn compile() -> Result<PathBuf, String> {
@@ -123,14 +129,14 @@
     let (source, library) = (folder.join("faults.c"), folder.join("faults.so"));
     std::fs::write(&source, SOURCE).map_err(|e| e.to_string())?;
     let compiler = std::env::var_os("CC").unwrap_or_else(|| "cc".into());
-    let out = Command::new(&compiler)
+    let output = Command::new(&compiler)
         .args(["-shared", "-fPIC", "-O2", "-Wall", "-Werror", "-o"])
         .args([&library, &source])
         .args(["-ldl", "-lpthread"])
         .output()
         .map_err(|e| format!("{}: {e}", compiler.to_string_lossy()))?;
-    match out.status.success() {
+    match output.status.success() {
         true => Ok(library),
-        false => Err(String::from_utf8_lossy(&out.stderr).into_owned()),
+        false => Err(String::from_utf8_lossy(&output.stderr).into_owned()),
     }
 }
