--- a/crates/standins/src/timeline.rs
+++ b/crates/standins/src/timeline.rs
@@ -1,5 +1,5 @@
-//! Faults as data: what happens to links, processes and disks, and when. A time line is a file of JSON lines, so that
-//! a run that broke something can be kept and played again; one can be drawn from a seed.
+//! A schedule of faults as data: what happens to links, processes and disks, and when. A timeline can be stored as JSON
+//! lines, so that a run which found a fault can be repeated, and can be generated from a seed.
 
 use std::collections::HashMap;
 use std::io;
@@ -9,71 +9,68 @@
 use fastrand::Rng;
 use serde::{Deserialize, Serialize};
 
-use crate::links::{ANY, Links, Way};
+use crate::links::{ANY, LinkConditions, Links};
 
+/// A fault, or its end. The names in JSON are part of the file format.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum What {
-    /// From now on, what goes from the one to the other (`*` for any) fares like this.
-    Way {
+pub enum Action {
+    /// Sets the network conditions from one name to another, either of which may be [`ANY`].
+    #[serde(rename = "way")]
+    SetLink {
         from: String,
         to: String,
-        way: Way,
+        #[serde(rename = "way")]
+        conditions: LinkConditions,
     },
-    /// Open connections between the two end in the middle.
-    Reset {
-        from: String,
-        to: String,
-    },
-    /// All links are whole again.
+    /// Resets the open connections from one name to another.
+    Reset { from: String, to: String },
+    /// Ends the faults of all links.
     Heal,
     /// SIGKILL.
-    Kill {
-        process: String,
-    },
-    /// SIGSTOP, and SIGCONT.
-    Stop {
-        process: String,
-    },
-    Wake {
-        process: String,
-    },
-    /// It is started again, as whoever plays the line does that.
-    Start {
-        process: String,
-    },
-    /// Its disk is lost; a copy is put aside; the copy comes back in place of what is there.
-    DiskLost {
-        process: String,
-    },
-    DiskKept {
-        process: String,
-    },
-    DiskBack {
-        process: String,
-    },
+    Kill { process: String },
+    /// SIGSTOP.
+    #[serde(rename = "stop")]
+    Suspend { process: String },
+    /// SIGCONT.
+    #[serde(rename = "wake")]
+    Resume { process: String },
+    /// Starts a killed process again, in the way of the caller of [`Timeline::play`].
+    Start { process: String },
+    /// Deletes what the process has stored.
+    #[serde(rename = "disk_lost")]
+    DeleteDisk { process: String },
+    /// Takes a backup of what the process has stored.
+    #[serde(rename = "disk_kept")]
+    BackUpDisk { process: String },
+    /// Replaces what the process has stored by the backup.
+    #[serde(rename = "disk_back")]
+    RestoreDisk { process: String },
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Step {
-    /// From the line's begin.
+    /// Since the start of the timeline.
     pub at_ms: u64,
-    pub what: What,
+    #[serde(rename = "what")]
+    pub action: Action,
 }
 
+/// Steps in order of time.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Timeline(pub Vec<Step>);
 
 impl Timeline {
-    pub fn read(text: &str) -> Result<Timeline, String> {
+    /// Reads JSON lines.
+    pub fn parse(text: &str) -> Result<Timeline, String> {
         let lines = (1..).zip(text.lines()).filter(|(_, line)| !line.trim().is_empty());
         let step = |(n, line): (usize, &str)| {
-            serde_json::from_str(line).map_err(|e| format!("time line, line {n}: {e}"))
+            serde_json::from_str(line).map_err(|e| format!("timeline, line {n}: {e}"))
         };
         Ok(Timeline(lines.map(step).collect::<Result<Vec<Step>, _>>()?).sorted())
     }
 
-    pub fn write(&self) -> String {
+    pub fn to_json_lines(&self) -> String {
         let line = |step: &Step| serde_json::to_string(step).unwrap_or_default() + "\n";
         self.0.iter().map(line).collect()
     }
@@ -83,107 +80,120 @@
         self
     }
 
-    /// Troubles by chance among these processes: deaths with a return, stalls, cuts of one way or both, slow and
-    /// lossy links. All is whole again, and everyone runs, at the end.
-    pub fn drawn(seed: u64, processes: &[String], until_ms: u64, troubles: usize) -> Timeline {
+    /// Random faults of these processes: kills with a restart, suspensions, partitions in one direction or both, slow links
+    /// and lossy ones. At the end all links are healed and all processes run.
+    pub fn random(seed: u64, processes: &[String], end_ms: u64, fault_count: usize) -> Timeline {
         let mut rng = Rng::with_seed(seed);
         let mut steps = Vec::new();
-        let mut put = |at_ms: u64, what: What| steps.push(Step { at_ms, what });
-        // One that is down or stopped is left alone until it is back.
-        let mut busy: HashMap<&str, u64> = HashMap::new();
-        let mut starts: Vec<u64> = (0..troubles).map(|_| rng.u64(0..until_ms * 3 / 4)).collect();
+        let mut add = |at_ms: u64, action: Action| steps.push(Step { at_ms, action });
+        // Until when a process is down or suspended; it meets no other fault meanwhile.
+        let mut down_until: HashMap<&str, u64> = HashMap::new();
+        let mut starts: Vec<u64> = (0..fault_count).map(|_| rng.u64(0..end_ms * 3 / 4)).collect();
         starts.sort_unstable();
-        for at in starts {
-            let Some(process) =
-                rng.choice(processes).filter(|p| busy.get(p.as_str()).is_none_or(|&b| b < at))
+        for start in starts {
+            let Some(process) = rng
+                .choice(processes)
+                .filter(|p| down_until.get(p.as_str()).is_none_or(|&until| until < start))
             else {
                 continue;
             };
             let other =
                 rng.choice(processes).filter(|o| *o != process).cloned().unwrap_or_else(|| ANY.into());
-            let end = rng.u64(at + 1..until_ms);
-            let (name, way) = (process.clone(), Way::default);
-            let ways = |a: &str, b: &str, way: Way| What::Way { from: a.into(), to: b.into(), way };
+            let end = rng.u64(start + 1..end_ms);
+            let (name, healthy) = (process.clone(), LinkConditions::default);
+            let set_link = |from: &str, to: &str, conditions: LinkConditions| Action::SetLink {
+                from: from.into(),
+                to: to.into(),
+                conditions,
+            };
             match rng.u8(0..6) {
                 0 => {
-                    put(at, What::Kill { process: name.clone() });
-                    put(end, What::Start { process: name });
-                    busy.insert(process, end);
+                    add(start, Action::Kill { process: name.clone() });
+                    add(end, Action::Start { process: name });
+                    down_until.insert(process, end);
                 }
                 1 => {
-                    put(at, What::Stop { process: name.clone() });
-                    put(end, What::Wake { process: name });
-                    busy.insert(process, end);
+                    add(start, Action::Suspend { process: name.clone() });
+                    add(end, Action::Resume { process: name });
+                    down_until.insert(process, end);
                 }
                 2 => {
-                    put(at, ways(&name, &other, Way { cut: true, ..way() }));
-                    put(end, ways(&name, &other, way()));
+                    add(start, set_link(&name, &other, LinkConditions { cut: true, ..healthy() }));
+                    add(end, set_link(&name, &other, healthy()));
                 }
                 3 => {
                     for (a, b) in [(&name, &other), (&other, &name)] {
-                        put(at, ways(a, b, Way { cut: true, ..way() }));
-                        put(end, ways(a, b, way()));
+                        add(start, set_link(a, b, LinkConditions { cut: true, ..healthy() }));
+                        add(end, set_link(a, b, healthy()));
                     }
                 }
                 4 => {
                     let (delay_ms, jitter_ms) = (rng.u64(1..300), rng.u64(0..300));
-                    put(at, ways(&name, ANY, Way { delay_ms, jitter_ms, ..way() }));
-                    put(end, ways(&name, ANY, way()));
+                    add(start, set_link(&name, ANY, LinkConditions { delay_ms, jitter_ms, ..healthy() }));
+                    add(end, set_link(&name, ANY, healthy()));
                 }
                 _ => {
-                    let (loss, twice) = (0.5 * rng.f64(), 0.3 * rng.f64());
-                    put(at, ways(ANY, &name, Way { loss, twice, jitter_ms: 20, ..way() }));
-                    put(end, ways(ANY, &name, way()));
+                    let (loss, duplication) = (0.5 * rng.f64(), 0.3 * rng.f64());
+                    add(
+                        start,
+                        set_link(
+                            ANY,
+                            &name,
+                            LinkConditions { loss, duplication, jitter_ms: 20, ..healthy() },
+                        ),
+                    );
+                    add(end, set_link(ANY, &name, healthy()));
                 }
             }
         }
-        put(until_ms, What::Heal);
+        add(end_ms, Action::Heal);
         Timeline(steps).sorted()
     }
 
-    /// Plays it in real time; what is not of links is left to `other`.
-    pub fn play(&self, begun: Instant, links: &Links, mut other: impl FnMut(&What)) {
+    /// Plays the timeline in real time. Actions other than those on links are passed to `other`.
+    pub fn play(&self, started_at: Instant, links: &Links, mut other: impl FnMut(&Action)) {
         for step in &self.0 {
-            let due = begun + Duration::from_millis(step.at_ms);
-            std::thread::sleep(due.saturating_duration_since(Instant::now()));
-            match &step.what {
-                What::Way { from, to, way } => links.set(from, to, way.clone()),
-                What::Reset { from, to } => links.reset(from, to),
-                What::Heal => links.heal(),
-                what => other(what),
+            let deadline = started_at + Duration::from_millis(step.at_ms);
+            std::thread::sleep(deadline.saturating_duration_since(Instant::now()));
+            match &step.action {
+                Action::SetLink { from, to, conditions } => links.set(from, to, conditions.clone()),
+                Action::Reset { from, to } => links.reset(from, to),
+                Action::Heal => links.heal(),
+                action => other(action),
             }
         }
     }
 }
 
-/// What a process keeps on disk, and one copy put aside.
+/// The file in which a process stores its data, and one backup of it.
 pub struct Disk {
-    at: PathBuf,
-    aside: PathBuf,
+    file: PathBuf,
+    backup: PathBuf,
 }
 
 impl Disk {
-    pub fn new(at: &Path) -> Disk {
-        let mut aside = at.as_os_str().to_owned();
-        aside.push(".aside");
-        Disk { at: at.to_owned(), aside: aside.into() }
+    pub fn new(file: &Path) -> Disk {
+        let mut backup = file.as_os_str().to_owned();
+        backup.push(".aside");
+        Disk { file: file.to_owned(), backup: backup.into() }
     }
 
-    pub fn lose(&self) -> io::Result<()> {
-        match std::fs::remove_file(&self.at) {
+    /// Deletes the file, if there is one.
+    pub fn delete(&self) -> io::Result<()> {
+        match std::fs::remove_file(&self.file) {
             Err(e) if e.kind() == io::ErrorKind::NotFound => Ok(()),
-            done => done,
+            result => result,
         }
     }
 
-    pub fn keep(&self) -> io::Result<()> {
-        std::fs::copy(&self.at, &self.aside).map(drop)
+    pub fn back_up(&self) -> io::Result<()> {
+        std::fs::copy(&self.file, &self.backup).map(drop)
     }
 
-    /// In one step, as if it had always been there.
-    pub fn put_back(&self) -> io::Result<()> {
-        let part = self.aside.with_extension("part");
-        std::fs::copy(&self.aside, &part)?;
-        std::fs::rename(part, &self.at)
+    /// Replaces the file by the backup atomically.
+    pub fn restore(&self) -> io::Result<()> {
+        let part = self.backup.with_extension("part");
+        std::fs::copy(&self.backup, &part)?;
+        std::fs::rename(part, &self.file)
     }
 }
--- a/crates/standins/src/wire.rs
+++ b/crates/standins/src/wire.rs
@@ -1,16 +1,17 @@
-//! HTTP/1.1 between stand-ins: one request at a time on a connection.
+//! A minimal HTTP/1.1 codec for the stand-ins: one request at a time per connection.
 
 use std::collections::HashMap;
 use std::io::{self, BufRead, BufReader, Read, Write};
 use std::net::TcpStream;
 
+/// The head of a request or a response.
 #[derive(Clone)]
 pub struct Head {
-    /// The path of a request; empty for an answer.
+    /// The path of a request; empty for a response.
     pub path: String,
-    /// The status of an answer.
+    /// The status of a response; 0 for a request.
     pub status: u16,
-    /// By their names in lower case.
+    /// By lower-case name.
     pub fields: HashMap<String, String>,
 }
 
@@ -19,41 +20,46 @@
         self.fields.get(name).map(String::as_str)
     }
 
+    /// A field as a number; 0 if it is absent or not a number.
     pub fn number(&self, name: &str) -> u64 {
         self.field(name).and_then(|v| v.parse().ok()).unwrap_or(0)
     }
 
-    /// Whether a word stands in `Handling`.
-    pub fn handling(&self, word: &str) -> bool {
-        self.field("handling").is_some_and(|h| h.split('+').any(|w| w == word))
+    /// Whether the field `Handling` contains this token.
+    pub fn handling(&self, token: &str) -> bool {
+        self.field("handling").is_some_and(|h| h.split('+').any(|t| t == token))
     }
 }
 
-const MOST_HEAD: u64 = 16 * 1024;
-const MOST_BODY: u64 = 1 << 20;
+const MAX_HEAD_BYTES: u64 = 16 * 1024;
+const MAX_BODY_BYTES: u64 = 1 << 20;
 
-fn bad(what: &'static str) -> io::Error {
-    io::Error::new(io::ErrorKind::InvalidData, what)
+fn invalid_data(message: &'static str) -> io::Error {
+    io::Error::new(io::ErrorKind::InvalidData, message)
 }
 
-/// A head and its body; none where the other side has ended the connection between two.
+/// Reads a message: its head and its body. `None` if the peer has closed the connection between two messages.
 pub fn read(reader: &mut BufReader<TcpStream>) -> io::Result<Option<(Head, Vec<u8>)>> {
     let mut text = Vec::new();
     while !text.ends_with(b"\r\n\r\n") {
-        let before = text.len();
-        let left = MOST_HEAD - before as u64;
-        if reader.by_ref().take(left).read_until(b'\n', &mut text)? == 0 {
-            return if text.is_empty() { Ok(None) } else { Err(bad("a head that ends too soon")) };
+        let length = text.len();
+        let remaining = MAX_HEAD_BYTES - length as u64;
+        if reader.by_ref().take(remaining).read_until(b'\n', &mut text)? == 0 {
+            return if text.is_empty() {
+                Ok(None)
+            } else {
+                Err(invalid_data("the head is incomplete or too long"))
+            };
         }
     }
     let mut fields = [httparse::EMPTY_HEADER; 48];
     let (path, status, fields) = if text.starts_with(b"HTTP/") {
-        let mut answer = httparse::Response::new(&mut fields);
-        answer.parse(&text).map_err(|_| bad("an answer's head"))?;
-        (String::new(), answer.code.unwrap_or(0), answer.headers)
+        let mut response = httparse::Response::new(&mut fields);
+        response.parse(&text).map_err(|_| invalid_data("the head of the response can't be parsed"))?;
+        (String::new(), response.code.unwrap_or(0), response.headers)
     } else {
         let mut request = httparse::Request::new(&mut fields);
-        request.parse(&text).map_err(|_| bad("a request's head"))?;
+        request.parse(&text).map_err(|_| invalid_data("the head of the request can't be parsed"))?;
         (request.path.unwrap_or("").to_owned(), 0, request.headers)
     };
     let field = |f: &httparse::Header<'_>| {
@@ -61,20 +67,25 @@
     };
     let head = Head { path, status, fields: fields.iter().map(field).collect() };
     let length = head.number("content-length");
-    if length > MOST_BODY {
-        return Err(bad("a body too long"));
+    if length > MAX_BODY_BYTES {
+        return Err(invalid_data("the body is too long"));
     }
     let mut body = vec![0; length as usize];
     reader.read_exact(&mut body)?;
     Ok(Some((head, body)))
 }
 
-/// A request or answer, in one piece.
-pub fn write(mut to: &TcpStream, first: &str, fields: &[(&str, &str)], body: &[u8]) -> io::Result<()> {
-    let mut text = format!("{first}\r\n");
+/// Writes a request or a response with a single write. Fields with an empty value are left out.
+pub fn write(
+    mut stream: &TcpStream,
+    start_line: &str,
+    fields: &[(&str, &str)],
+    body: &[u8],
+) -> io::Result<()> {
+    let mut text = format!("{start_line}\r\n");
     for (name, value) in fields.iter().filter(|f| !f.1.is_empty()) {
         text.push_str(&format!("{name}: {value}\r\n"));
     }
     text.push_str(&format!("Content-Length: {}\r\n\r\n", body.len()));
-    to.write_all(&[text.as_bytes(), body].concat())
+    stream.write_all(&[text.as_bytes(), body].concat())
 }
