--- a/crates/cli/tests/dark.rs
+++ b/crates/cli/tests/dark.rs
@@ -12,7 +12,7 @@
 use doorgrade_agent::process::{find, signal};
 use doorgrade_standins::process::Process;
 use doorgrade_standins::timeline::Disk;
-use doorgrade_standins::versions::{Place, SERVICE};
+use doorgrade_standins::versions::{Installation, SERVICE};
 use doorgrade_standins::{Client, Directory, Feed, Member, MemberConfig, Role};
 use helper::control::{Control, control};
 use helper::until;
@@ -23,7 +23,7 @@
 const LISTEN_MS: u64 = 4_000;
 
 struct Rig {
-    place: Place,
+    place: Installation,
     name: String,
     at: Vec<SocketAddr>,
     control: Option<Control>,
@@ -49,7 +49,7 @@
     /// The service, the agent, and fronts that all run the second of two versions. Beside the service's store lies a copy
     /// of it with the first one alone.
     fn new(name: &str) -> (Rig, String) {
-        let place = Place::new(name).unwrap();
+        let place = Installation::new(name).unwrap();
         let directory = Directory::default();
         let member =
             |id, role| Member::start(MemberConfig::new(id, "127.0.0.1:0", role), &directory).unwrap();
--- a/crates/cli/tests/helper/control.rs
+++ b/crates/cli/tests/helper/control.rs
@@ -6,7 +6,7 @@
 use std::process::{Child, Command, Stdio};
 use std::sync::{Arc, Mutex};
 
-use doorgrade_standins::versions::Place;
+use doorgrade_standins::versions::Installation;
 
 pub struct Control {
     pub process: Child,
@@ -31,18 +31,18 @@
 /// As the block `publication` has it, for tests that do not wait.
 pub const QUICK: &str = "  soak_ms = 50\n  answer_within_ms = 5000";
 
-pub fn control(place: &Place, at: &str, publication: &str) -> Control {
+pub fn control(place: &Installation, at: &str, publication: &str) -> Control {
     control_with(place, at, publication, Vec::new())
 }
 
 /// With further variables of its environment.
 pub fn control_with(
-    place: &Place,
+    place: &Installation,
     at: &str,
     publication: &str,
     environment: Vec<(&str, OsString)>,
 ) -> Control {
-    let file = place.control(at, "127.0.0.1:0", publication).unwrap();
+    let file = place.write_control_settings(at, "127.0.0.1:0", publication).unwrap();
     let mut command = Command::new(env!("CARGO_BIN_EXE_doorgrade"));
     command.envs(environment);
     let mut process = command.arg("control").arg("--file").arg(file).stderr(Stdio::piped()).spawn().unwrap();
--- a/crates/cli/tests/versions.rs
+++ b/crates/cli/tests/versions.rs
@@ -9,7 +9,7 @@
 use doorgrade_standins::client::AccessRequest;
 use doorgrade_standins::feed::member_record;
 use doorgrade_standins::shim::{Fault, Shim};
-use doorgrade_standins::versions::{Place, SERVICE};
+use doorgrade_standins::versions::{Installation, SERVICE};
 use doorgrade_standins::{Client, Directory, Feed, Member, MemberConfig, Role};
 use helper::control::{Control, QUICK, control, control_with};
 use helper::{Front, signal, start, until};
@@ -37,7 +37,7 @@
 "#;
 
 /// A front's settings, which have the commands' as well.
-fn settings(place: &Place, control: &Control) -> PathBuf {
+fn settings(place: &Installation, control: &Control) -> PathBuf {
     let text = format!(
         "versions {{\n  enabled = true\n  service = [\"{}\"]\n  server_name = \"{SERVICE}\"\n  station = \"hill\"\n  \
          certificate = \"n1.pem\"\n  key = \"n1.key\"\n  authority = \"fronts-ca.pem\"\n  seal_keys = \"seal-keys.hcl\"\n  \
@@ -63,7 +63,7 @@
 }
 
 struct Rig {
-    place: Place,
+    place: Installation,
     control: Control,
     settings: PathBuf,
     config: String,
@@ -78,7 +78,7 @@
     }
 
     fn with(name: &str, publication: &str, environment: Vec<(&str, OsString)>) -> Rig {
-        let place = Place::new(name).unwrap();
+        let place = Installation::new(name).unwrap();
         place.issue("n1", &place.fronts, &["n1"], 30).unwrap();
         let control = control_with(&place, "127.0.0.1:0", publication, environment);
         let settings = settings(&place, &control);
--- a/crates/control/tests/reports.rs
+++ b/crates/control/tests/reports.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use doorgrade_keys::server;
-use doorgrade_standins::versions::{Place, Puppet, Who, keys};
+use doorgrade_standins::versions::{Installation, StubFront, StubFrontConfig, keys};
 use doorgrade_stream::follow::AccessCounts;
 use doorgrade_stream::wire::{Reader, Writer};
 use doorgrade_stream::{FRONTS, MOST_WITH_CONTENT};
@@ -56,16 +56,23 @@
 fn reports_go_as_often_as_the_service_says_within_bounds_and_only_where_it_has_asked() {
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build().unwrap();
     runtime.block_on(async {
-        let place = Place::new("reports").unwrap();
+        let place = Installation::new("reports").unwrap();
         place.issue("n1", &place.fronts, &["n1"], 30).unwrap();
-        let tls = TlsAcceptor::from(server(&place.papers("control"), FRONTS).unwrap().made);
+        let tls = TlsAcceptor::from(server(&place.identity("control"), FRONTS).unwrap().made);
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let (service, papers) = (listener.local_addr().unwrap(), place.papers("n1"));
-        let who = Who { name: "n1", station: "hill", service, papers: &papers, keys: keys(&[1]), seed: 3 };
-        let front = Puppet::start(&who, std::sync::Arc::new(|_, _| Ok(()))).unwrap();
+        let (service, papers) = (listener.local_addr().unwrap(), place.identity("n1"));
+        let who = StubFrontConfig {
+            name: "n1",
+            station: "hill",
+            service,
+            identity: &papers,
+            keys: keys(&[1]),
+            seed: 3,
+        };
+        let front = StubFront::start(&who, std::sync::Arc::new(|_, _| Ok(()))).unwrap();
         let mut end = End::accept(&listener, &tls).await;
         assert_eq!(end.reports(Duration::from_millis(600)).await, [], "nobody has asked");
-        assert_eq!(front.record.lock().unwrap().counted, 0, "what nobody asks for is not counted either");
+        assert_eq!(front.record.lock().unwrap().counts_read, 0, "what nobody asks for is not counted either");
 
         front.record.lock().unwrap().counts = AccessCounts { asked: 930, answered: 920 };
         // One millisecond is out of bounds: a quarter of a second at the soonest.
--- a/crates/control/tests/service.rs
+++ b/crates/control/tests/service.rs
@@ -10,7 +10,9 @@
 use doorgrade_keys::rustls::pki_types::pem::PemObject;
 use doorgrade_keys::rustls::pki_types::{CertificateDer, ServerName};
 use doorgrade_keys::{Paths, client};
-use doorgrade_standins::versions::{Place, Puppet, SERVICE, Verdict, Who, keys, seal_key};
+use doorgrade_standins::versions::{
+    Installation, SERVICE, StubFront, StubFrontConfig, Verdict, keys, seal_key,
+};
 use doorgrade_stream::follow::Command;
 use doorgrade_stream::frame::frame;
 use doorgrade_stream::wire::{Reader, Writer};
@@ -35,13 +37,13 @@
 }
 
 struct Rig {
-    place: Place,
+    place: Installation,
     running: Option<Running>,
 }
 
 impl Rig {
     async fn start(name: &str, publication: &str) -> Rig {
-        let place = Place::new(name).unwrap();
+        let place = Installation::new(name).unwrap();
         let mut rig = Rig { place, running: None };
         rig.begin(publication).await;
         rig
@@ -52,7 +54,7 @@
         if let Some(running) = self.running.take() {
             running.stop().await;
         }
-        let file = self.place.control(&at, "127.0.0.1:0", publication).unwrap();
+        let file = self.place.write_control_settings(&at, "127.0.0.1:0", publication).unwrap();
         self.running = Some(Running::start(Settings::load(&file).unwrap()).await.unwrap());
     }
 
@@ -61,19 +63,26 @@
     }
 
     /// A front with a certificate of its station.
-    fn puppet(&self, name: &str, station: &str, verdict: Arc<Verdict>) -> Puppet {
+    fn puppet(&self, name: &str, station: &str, verdict: Arc<Verdict>) -> StubFront {
         let full = format!("{name}.{station}");
         if !self.place.file(&format!("{station}.pem")).exists() {
             self.place.issue(station, &self.place.fronts, &[&format!("*.{station}")], 30).unwrap();
         }
-        let papers = self.place.papers(station);
+        let papers = self.place.identity(station);
         let (service, keys) = (self.running().fronts, keys(&[1]));
-        let who = Who { name: &full, station, service, papers: &papers, keys, seed: full.len() as u64 };
-        Puppet::start(&who, verdict).unwrap()
+        let who = StubFrontConfig {
+            name: &full,
+            station,
+            service,
+            identity: &papers,
+            keys,
+            seed: full.len() as u64,
+        };
+        StubFront::start(&who, verdict).unwrap()
     }
 
     async fn asker(&self, prefix: &str) -> Result<Asker, String> {
-        Asker::at(self.running().operators, SERVICE, &self.place.papers(prefix)).await
+        Asker::at(self.running().operators, SERVICE, &self.place.identity(prefix)).await
     }
 
     async fn totals(&self) -> Totals {
@@ -108,12 +117,12 @@
 fn versions_reach_all_survive_a_restart_and_are_taken_back_by_a_new_number() {
     runtime().block_on(async {
         let mut rig = Rig::start("reach", FAST).await;
-        let fronts: Vec<Puppet> =
+        let fronts: Vec<StubFront> =
             (0..8).map(|n| rig.puppet(&format!("n{n}"), ["hill", "harbour"][n % 2], good())).collect();
         rig.until("all have come", |t| t.connected == 8).await;
         let Answer::Published(first) = rig.publish(DEBUG, 0).await else { panic!() };
         rig.until("the first is everyone's", |t| t.base == Some(first) && t.current == 8).await;
-        assert!(fronts.iter().all(|f| f.runs() == Some(first)));
+        assert!(fronts.iter().all(|f| f.applied_version() == Some(first)));
         // Somebody who has not seen the first publishes nothing; nor does one who only looks.
         assert_eq!(rig.publish(INFO, 0).await, Answer::NotPublished(NotPublished::Expected { last: 1 }));
         let ask = Ask::Publish { content: INFO.as_bytes().into(), note: "".into(), expects: 1 };
@@ -136,8 +145,8 @@
         assert_eq!((third.number, third.hash), (3, first.hash));
         rig.until("it is taken back", |t| t.base == Some(third) && t.current == 8).await;
         for front in fronts {
-            assert_eq!(front.runs(), Some(third));
-            assert_eq!(front.record.lock().unwrap().ran.len(), 3, "each is applied once");
+            assert_eq!(front.applied_version(), Some(third));
+            assert_eq!(front.record.lock().unwrap().applied.len(), 3, "each is applied once");
             assert_eq!(front.stop().await, 2);
         }
     });
@@ -151,7 +160,7 @@
             b"log { level = \"debug\" }\n" => Err(Reason::NeedsRestart("log.format".into())),
             _ => Ok(()),
         });
-        let fronts: Vec<Puppet> =
+        let fronts: Vec<StubFront> =
             (0..6).map(|n| rig.puppet(&format!("n{n}"), "hill", refuses.clone())).collect();
         rig.until("all have come", |t| t.connected == 6).await;
         let Answer::Published(good) = rig.publish(INFO, 0).await else { panic!() };
@@ -165,7 +174,7 @@
         assert_eq!(first.to_string(), "it changes what is only taken at a start: log.format");
         let touched = fronts.iter().filter(|f| !f.record.lock().unwrap().turned_down.is_empty()).count();
         assert_eq!(touched, 1);
-        assert!(fronts.iter().all(|f| f.runs() == Some(good)));
+        assert!(fronts.iter().all(|f| f.applied_version() == Some(good)));
         let rows = rig.asker("person").await.unwrap().fronts(Filter::All).await.unwrap();
         assert!(rows.iter().all(|r| r.state == State::Current && r.runs == Some(good)), "{rows:?}");
     });
@@ -195,7 +204,7 @@
         let rig = Rig::start("peers", FAST).await;
         let others = [rig.puppet("n1", "hill", good()), rig.puppet("n2", "harbour", good())];
         rig.until("both have come", |t| t.connected == 2).await;
-        let papers = rig.place.papers("hill");
+        let papers = rig.place.identity("hill");
         let soon = Duration::from_secs(5);
         // Each says what a good front would say first: all that differs is who says it.
         let comes = async |config: Arc<ClientConfig>, name: &str| -> bool {
@@ -223,10 +232,10 @@
         assert!(!comes(Arc::new(nobody), "n3.hill").await);
         // Of another authority: that of operators, who are nobody here.
         rig.place.issue("stranger", &rig.place.operators, &["*.hill"], 30).unwrap();
-        assert!(!comes(made(&rig.place.papers("stranger")), "n3.hill").await);
+        assert!(!comes(made(&rig.place.identity("stranger")), "n3.hill").await);
         // Expired.
         rig.place.issue("old", &rig.place.fronts, &["*.hill"], -1).unwrap();
-        assert!(!comes(made(&rig.place.papers("old")), "n3.hill").await);
+        assert!(!comes(made(&rig.place.identity("old")), "n3.hill").await);
         // Under a name that its certificate is not for.
         assert!(!comes(made(&papers), "n1.harbour").await);
         // With the protocol of operators.
@@ -292,7 +301,7 @@
         rig.until("the first runs", |t| t.base == Some(first) && t.current == 2).await;
         let new = || Keys::new(keys(&[1, 2]));
         for front in &fronts {
-            front.tell(Command::Keys(new())).await;
+            front.send(Command::Keys(new())).await;
         }
         // Dropping the old key at once is refused; with both the new one seals.
         rig.place.write("seal-keys.hcl", &seal_key(2)).unwrap();
@@ -313,7 +322,7 @@
         rig.place.write("control.pem", "spoilt").unwrap();
         rig.running().look().await;
         let late = rig.puppet("n3", "hill", good());
-        late.tell(Command::Keys(new())).await;
+        late.send(Command::Keys(new())).await;
         rig.until("one more comes", |t| t.connected == 3).await;
         for front in fronts {
             assert_eq!(front.stop().await, 1, "no connection was cut");
@@ -325,15 +334,21 @@
 #[test]
 fn what_a_go_between_alters_or_repeats_is_turned_down() {
     runtime().block_on(async {
-        let place = Place::new("between").unwrap();
+        let place = Installation::new("between").unwrap();
         place.issue("hill", &place.fronts, &["*.hill"], 30).unwrap();
-        let tls = doorgrade_keys::server(&place.papers("control"), FRONTS).unwrap().made;
+        let tls = doorgrade_keys::server(&place.identity("control"), FRONTS).unwrap().made;
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let papers = place.papers("hill");
+        let papers = place.identity("hill");
         let service = listener.local_addr().unwrap();
-        let who =
-            Who { name: "n1.hill", station: "hill", service, papers: &papers, keys: keys(&[1]), seed: 1 };
-        let front = Puppet::start(&who, good()).unwrap();
+        let who = StubFrontConfig {
+            name: "n1.hill",
+            station: "hill",
+            service,
+            identity: &papers,
+            keys: keys(&[1]),
+            seed: 1,
+        };
+        let front = StubFront::start(&who, good()).unwrap();
         let (stream, _) = listener.accept().await.unwrap();
         let stream = tokio_rustls::TlsAcceptor::from(tls).accept(stream).await.unwrap();
         let (reader, writer) = tokio::io::split(stream);
@@ -367,7 +382,7 @@
             };
             assert_eq!(said, expected);
         }
-        assert_eq!(front.runs(), None);
+        assert_eq!(front.applied_version(), None);
         // A later true one is taken; then one from before it, sealed as it was, is old news.
         let later = Id { number: 8, ..true_one };
         for (id, content, old) in [(later, DEBUG, false), (older, INFO, true)] {
@@ -384,6 +399,6 @@
                 }
             }
         }
-        assert_eq!(front.runs(), Some(later));
+        assert_eq!(front.applied_version(), Some(later));
     });
 }
--- a/crates/lab/src/scale/commands.rs
+++ b/crates/lab/src/scale/commands.rs
@@ -7,7 +7,7 @@
 use doorgrade_control::ask::Asker;
 use doorgrade_control::serve::Running;
 use doorgrade_control::settings::Settings;
-use doorgrade_standins::versions::{Place, Puppet, SERVICE, Who, keys};
+use doorgrade_standins::versions::{Installation, SERVICE, StubFront, StubFrontConfig, keys};
 use doorgrade_stream::frame::frame;
 use doorgrade_versions::Id;
 use doorgrade_versions::service::{Answer, Ask, Filter, Line, Totals};
@@ -56,16 +56,16 @@
 }
 
 struct Rig {
-    place: Place,
+    place: Installation,
     runtime: Runtime,
     running: Running,
-    followers: Vec<Puppet>,
+    followers: Vec<StubFront>,
 }
 
 impl Rig {
     fn start(size: usize, seed: u64) -> Result<Rig, String> {
         let io = |e: std::io::Error| e.to_string();
-        let place = Place::new("scale-commands").map_err(io)?;
+        let place = Installation::new("scale-commands").map_err(io)?;
         let stations = STATIONS.min(size);
         for n in 0..stations {
             let station = format!("station{n}");
@@ -73,23 +73,24 @@
         }
         let runtime =
             tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build().map_err(io)?;
-        let file = place.control("127.0.0.1:0", "127.0.0.1:0", PUBLICATION).map_err(io)?;
+        let file = place.write_control_settings("127.0.0.1:0", "127.0.0.1:0", PUBLICATION).map_err(io)?;
         let running = runtime.block_on(Running::start(Settings::load(&file)?))?;
         let mut rig = Rig { place, runtime, running, followers: Vec::new() };
         for n in 0..size {
             let _here = rig.runtime.enter();
             let station = format!("station{}", n % stations);
-            let (name, papers) = (format!("n{n:04}.{station}"), rig.place.papers(&station));
+            let (name, papers) = (format!("n{n:04}.{station}"), rig.place.identity(&station));
             let (service, keys) = (rig.running.fronts, keys(&[1]));
             let seed = seed.wrapping_mul(10_000).wrapping_add(n as u64);
-            let who = Who { name: &name, station: &station, service, papers: &papers, keys, seed };
-            rig.followers.push(Puppet::start(&who, Arc::new(|_: &Id, _: &[u8]| Ok(())))?);
+            let who =
+                StubFrontConfig { name: &name, station: &station, service, identity: &papers, keys, seed };
+            rig.followers.push(StubFront::start(&who, Arc::new(|_: &Id, _: &[u8]| Ok(())))?);
         }
         Ok(rig)
     }
 
     fn asker(&self) -> Result<Asker, String> {
-        self.runtime.block_on(Asker::at(self.running.operators, SERVICE, &self.place.papers("person")))
+        self.runtime.block_on(Asker::at(self.running.operators, SERVICE, &self.place.identity("person")))
     }
 
     fn ask(&self, asker: &mut Asker, ask: &Ask) -> Result<Answer, String> {
--- a/crates/lab/src/scale/control_rig.rs
+++ b/crates/lab/src/scale/control_rig.rs
@@ -8,7 +8,7 @@
 use doorgrade_control::ask::Asker;
 use doorgrade_standins::links::{LinkConditions, Links};
 use doorgrade_standins::process::Process;
-use doorgrade_standins::versions::{Place, SERVICE};
+use doorgrade_standins::versions::{Installation, SERVICE};
 use doorgrade_versions::Id;
 use doorgrade_versions::service::{Answer, Ask, Totals};
 use serde_json::json;
@@ -74,7 +74,7 @@
 
 /// Writes the files of the `n`th front of a station, which follows `service` and hears `feed`; `more` of its settings.
 pub fn files(
-    place: &Place,
+    place: &Installation,
     n: usize,
     station: &str,
     [service, feed]: [SocketAddr; 2],
@@ -100,7 +100,7 @@
 
 /// The service, and what stands between it and its fronts.
 pub struct ControlRig {
-    pub place: Place,
+    pub place: Installation,
     pub links: Links,
     program: PathBuf,
     /// Carries the streams; its threads are nobody's whose time is measured.
@@ -114,7 +114,7 @@
 impl ControlRig {
     /// Starts the service; `name` is of this rig's folder.
     pub fn start(name: &str, program: &Path, seed: u64) -> Result<ControlRig, Fault> {
-        let place = Place::new(name).map_err(fault)?;
+        let place = Installation::new(name).map_err(fault)?;
         place.write("shape.hcl", "").map_err(fault)?;
         let relays = tokio::runtime::Builder::new_multi_thread()
             .worker_threads(1)
@@ -140,7 +140,10 @@
     /// Kills the service if it runs, and starts it at the same address, with what its store has.
     pub fn restart(&mut self) -> Result<(), Fault> {
         drop(self.service.take());
-        let file = self.place.control(&self.at.to_string(), "127.0.0.1:0", PUBLICATION).map_err(fault)?;
+        let file = self
+            .place
+            .write_control_settings(&self.at.to_string(), "127.0.0.1:0", PUBLICATION)
+            .map_err(fault)?;
         let process = Process::start(Command::new(&self.program).arg("control").arg("--file").arg(file));
         let process = process.map_err(fault)?;
         let line = process
@@ -205,7 +208,7 @@
     /// Asks the service as an operator.
     pub fn operator(&self) -> Result<Operator, Fault> {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(fault)?;
-        let asker = runtime.block_on(Asker::at(self.operators, SERVICE, &self.place.papers("person")))?;
+        let asker = runtime.block_on(Asker::at(self.operators, SERVICE, &self.place.identity("person")))?;
         Ok(Operator { runtime, asker })
     }
 }
--- a/crates/lab/src/scale/rollouts/rig.rs
+++ b/crates/lab/src/scale/rollouts/rig.rs
@@ -10,7 +10,7 @@
 use doorgrade_control::ask::Asker;
 use doorgrade_keys::client;
 use doorgrade_standins::process::Process;
-use doorgrade_standins::versions::{Place, SERVICE};
+use doorgrade_standins::versions::{Installation, SERVICE};
 use doorgrade_standins::{Directory, Feed, Member, MemberConfig, Role};
 use doorgrade_stream::FRONTS;
 use doorgrade_versions::service::{Answer, Ask, Totals};
@@ -65,7 +65,7 @@
 
 pub struct Rig {
     pub runtime: tokio::runtime::Runtime,
-    place: Place,
+    place: Installation,
     service: Process,
     operators: SocketAddr,
     site: Site,
@@ -88,13 +88,13 @@
     /// `publication`: the service's settings of that block.
     pub fn start(name: &str, program: &Path, publication: &str, seed: u64) -> Result<Rig, String> {
         let io = |e: std::io::Error| e.to_string();
-        let place = Place::new(&format!("scale-{name}")).map_err(io)?;
+        let place = Installation::new(&format!("scale-{name}")).map_err(io)?;
         place.write("shape.hcl", "").map_err(io)?;
         for region in 0..REGIONS {
             let station = station(region);
             place.issue(&station, &place.fronts, &[&format!("*.{station}")], 30).map_err(io)?;
         }
-        let file = place.control("127.0.0.1:0", "127.0.0.1:0", publication).map_err(io)?;
+        let file = place.write_control_settings("127.0.0.1:0", "127.0.0.1:0", publication).map_err(io)?;
         let service = Process::start(Command::new(program).arg("control").arg("--file").arg(file));
         let service = service.map_err(io)?;
         let line = service.wait_for_log("fronts at ", Duration::from_secs(20));
@@ -158,7 +158,7 @@
     pub fn start_hollow(&mut self, count: usize) -> Result<(), String> {
         let mut tls = Vec::new();
         for region in 0..REGIONS {
-            let made = client(&self.place.papers(&station(region)), FRONTS).map_err(|t| t.to_string())?;
+            let made = client(&self.place.identity(&station(region)), FRONTS).map_err(|t| t.to_string())?;
             tls.push(made.made);
         }
         let _here = self.runtime.enter();
@@ -173,7 +173,7 @@
     }
 
     pub fn asker(&self) -> Result<Asker, String> {
-        self.runtime.block_on(Asker::at(self.operators, SERVICE, &self.place.papers("person")))
+        self.runtime.block_on(Asker::at(self.operators, SERVICE, &self.place.identity("person")))
     }
 
     pub fn totals(&self, asker: &mut Asker) -> Result<Totals, String> {
--- a/crates/lab/src/stream.rs
+++ b/crates/lab/src/stream.rs
@@ -17,7 +17,7 @@
 use doorgrade_control::ask::Asker;
 use doorgrade_control::serve::Running;
 use doorgrade_control::settings::Settings;
-use doorgrade_standins::versions::{Place, Puppet, SERVICE, Who, keys};
+use doorgrade_standins::versions::{Installation, SERVICE, StubFront, StubFrontConfig, keys};
 use doorgrade_standins::{Client, Directory, Feed, Member, MemberConfig, Role};
 use doorgrade_versions::Id;
 use doorgrade_versions::service::{Answer, Ask, Filter, Totals};
@@ -85,7 +85,7 @@
 }
 
 /// A front's own settings: it follows the service at this address.
-fn settings(place: &Place, n: usize, service: &str) -> Result<PathBuf, String> {
+fn settings(place: &Installation, n: usize, service: &str) -> Result<PathBuf, String> {
     let station = format!("station{}", n % STATIONS);
     let text = format!(
         "hierarchy {{\n  enabled = true\n  shape = \"shape.hcl\"\n}}\nversions {{\n  enabled = true\n  \
@@ -98,7 +98,7 @@
 }
 
 struct Lab {
-    place: Place,
+    place: Installation,
     runtime: tokio::runtime::Runtime,
     running: Option<Running>,
     fronts_at: SocketAddr,
@@ -107,7 +107,7 @@
 
 impl Lab {
     fn asker(&self) -> Result<Asker, String> {
-        self.runtime.block_on(Asker::at(self.operators_at, SERVICE, &self.place.papers("person")))
+        self.runtime.block_on(Asker::at(self.operators_at, SERVICE, &self.place.identity("person")))
     }
 
     fn totals(&self, asker: &mut Asker) -> Result<Totals, String> {
@@ -151,7 +151,8 @@
             self.runtime.block_on(running.stop());
         }
         let at = self.fronts_at.to_string();
-        let file = self.place.control(&at, "127.0.0.1:0", publication).map_err(|e| e.to_string())?;
+        let file =
+            self.place.write_control_settings(&at, "127.0.0.1:0", publication).map_err(|e| e.to_string())?;
         let running = self.runtime.block_on(Running::start(Settings::load(&file)?))?;
         (self.fronts_at, self.operators_at) = (running.fronts, running.operators);
         self.running = Some(running);
@@ -196,7 +197,7 @@
     let program = rig::program(named)?;
     let puppets = followers.unwrap_or(if how.quick { 100 } else { 300 });
     let io = |e: std::io::Error| e.to_string();
-    let place = Place::new("lab-config").map_err(io)?;
+    let place = Installation::new("lab-config").map_err(io)?;
     place.write("shape.hcl", "").map_err(io)?;
     for n in 0..STATIONS {
         let station = format!("station{n}");
@@ -204,7 +205,7 @@
     }
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build().map_err(io)?;
     let quick = "  soak_ms = 100\n  answer_within_ms = 10000\n  canaries = 2\n  missing = 0.5\n  drop = 1.0";
-    let file = place.control("127.0.0.1:0", "127.0.0.1:0", quick).map_err(io)?;
+    let file = place.write_control_settings("127.0.0.1:0", "127.0.0.1:0", quick).map_err(io)?;
     let running = runtime.block_on(Running::start(Settings::load(&file)?))?;
     let (fronts_at, operators_at) = (running.fronts, running.operators);
     let mut lab = Lab { place, runtime, running: Some(running), fronts_at, operators_at };
@@ -222,14 +223,14 @@
         fronts.push(Some(start(n, &lab)?));
     }
     let (begun, mut figures) = (Instant::now(), Figures::default());
-    let mut others: Vec<Puppet> = Vec::new();
+    let mut others: Vec<StubFront> = Vec::new();
     for n in 0..puppets {
         let _here = lab.runtime.enter();
         let station = format!("station{}", n % STATIONS);
-        let (name, papers) = (format!("p{n}.{station}"), lab.place.papers(&station));
+        let (name, papers) = (format!("p{n}.{station}"), lab.place.identity(&station));
         let (service, keys, seed) = (fronts_at, keys(&[1]), how.seed.wrapping_add(1_000 + n as u64));
-        let who = Who { name: &name, station: &station, service, papers: &papers, keys, seed };
-        others.push(Puppet::start(&who, Arc::new(|_: &Id, _: &[u8]| Ok(())))?);
+        let who = StubFrontConfig { name: &name, station: &station, service, identity: &papers, keys, seed };
+        others.push(StubFront::start(&who, Arc::new(|_: &Id, _: &[u8]| Ok(())))?);
     }
     let all = FRONTS + puppets;
     let mut asker = lab.asker()?;
@@ -254,7 +255,7 @@
     let mut took: Vec<f64> = others
         .iter()
         .filter_map(|p| {
-            p.record.lock().ok()?.ran.iter().find(|r| r.0 == second).map(|r| (r.1 - at) as f64 / 1e4)
+            p.record.lock().ok()?.applied.iter().find(|r| r.0 == second).map(|r| (r.1 - at) as f64 / 1e4)
         })
         .collect();
     took.sort_by(f64::total_cmp);
@@ -338,7 +339,7 @@
     let stopped = loop {
         for puppet in &others {
             let mut record = puppet.record.lock().map_err(|e| e.to_string())?;
-            if record.ran.last().is_some_and(|r| r.0 == bad) {
+            if record.applied.last().is_some_and(|r| r.0 == bad) {
                 record.serves = Some(0.5);
             }
         }
--- a/crates/lab/tests/hollow.rs
+++ b/crates/lab/tests/hollow.rs
@@ -11,7 +11,7 @@
 use doorgrade_lab::scale::hollow::{Does, Threads, start};
 use doorgrade_standins::Feed;
 use doorgrade_standins::links::Links;
-use doorgrade_standins::versions::{Place, SERVICE};
+use doorgrade_standins::versions::{Installation, SERVICE};
 use doorgrade_versions::service::{Answer, Ask};
 
 /// For what is to come to be; a busy machine takes longer than an idle one.
@@ -28,14 +28,14 @@
 
 #[test]
 fn hollow_fronts_follow_versions_and_the_feed_and_one_that_is_cut_off_takes_the_version_once_healed() {
-    let place = Place::new("lab-hollow-test").unwrap();
+    let place = Installation::new("lab-hollow-test").unwrap();
     place.write("shape.hcl", "").unwrap();
     let regions = ["near", "far"];
     for region in regions {
         place.issue(region, &place.fronts, &[&format!("*.{region}")], 30).unwrap();
     }
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build().unwrap();
-    let file = place.control("127.0.0.1:0", "127.0.0.1:0", PUBLICATION).unwrap();
+    let file = place.write_control_settings("127.0.0.1:0", "127.0.0.1:0", PUBLICATION).unwrap();
     let service = runtime.block_on(Running::start(Settings::load(&file).unwrap())).unwrap();
     let links = Links::new(1);
     let feed = Feed::start("127.0.0.1:0").unwrap();
@@ -53,7 +53,8 @@
             start(&files, Does { stores: n == 0 }, handle, Some(handle)).unwrap()
         })
         .collect();
-    let mut asker = runtime.block_on(Asker::at(service.operators, SERVICE, &place.papers("person"))).unwrap();
+    let mut asker =
+        runtime.block_on(Asker::at(service.operators, SERVICE, &place.identity("person"))).unwrap();
     let mut publish = |text: String| {
         let begun = Instant::now();
         loop {
--- a/crates/standins/src/member/serve.rs
+++ b/crates/standins/src/member/serve.rs
@@ -138,8 +138,10 @@
             let class = path.split('/').nth(2).unwrap_or("").to_owned();
             let call_id = head.field("call-id").unwrap_or("").to_owned();
             *lock(&self.access_counts).entry((class, call_id)).or_default() += 1;
-            let copy = StoredCopy { bytes: Arc::new(object_bytes(path)), made_at_ms: unix_ms() };
-            return LookupResult::Copy(copy, "o");
+            return LookupResult::Copy(
+                StoredCopy { bytes: Arc::new(object_bytes(path)), made_at_ms: unix_ms() },
+                "o",
+            );
         }
         let max_age = path.split('/').nth(2).and_then(|class| self.config.max_age_ms.get(class)).copied();
         let limit = match head.number("no-older-than") {
--- a/crates/standins/src/versions.rs
+++ b/crates/standins/src/versions.rs
@@ -1,5 +1,6 @@
-//! For the service of versions: a folder with all the papers that an installation has, and fronts that are only the side
-//! that follows the service, with verdicts to choose and a record of what they ran.
+//! For tests of the control service: a folder with the certificates, keys and settings of an installation, and stub fronts.
+//! A stub front follows the service as a real one does, but serves no accesses. The test decides which versions it accepts,
+//! and reads which ones it has applied.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -22,47 +23,47 @@
 /// The name in the service's certificate.
 pub const SERVICE: &str = "control.doorgrade.test";
 
-/// A folder of papers, removed when this is dropped.
-pub struct Place {
+/// A folder with the certificates and keys of an installation. It is removed on drop.
+pub struct Installation {
     pub folder: PathBuf,
     pub fronts: Pair,
     pub operators: Pair,
 }
 
-impl Drop for Place {
+impl Drop for Installation {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
 
-/// Keys as a front has them.
+/// Seal keys with these numbers, as a front holds them.
 pub fn keys(numbers: &[u32]) -> Vec<(u32, Vec<u8>)> {
     numbers.iter().map(|&number| (number, vec![number as u8; 32])).collect()
 }
 
-/// As `doorgrade keys seal` prints it, with a secret that nobody would use.
+/// A seal key in the format that `doorgrade keys seal` prints, with a secret for tests alone.
 pub fn seal_key(number: u32) -> String {
     format!("key \"{number}\" {{ secret = \"{}\" }}\n", format!("{number:02x}").repeat(32))
 }
 
-impl Place {
-    /// `name`: of the folder, within that for temporary files.
-    pub fn new(name: &str) -> std::io::Result<Place> {
+impl Installation {
+    /// Creates the folder under the system's temporary directory.
+    pub fn new(name: &str) -> std::io::Result<Installation> {
         let folder = std::env::temp_dir().join(format!("doorgrade-{}-{name}", std::process::id()));
         let _ = std::fs::remove_dir_all(&folder);
         std::fs::create_dir_all(&folder)?;
         let made = |pair: Result<Pair, doorgrade_keys::Trouble>| pair.map_err(std::io::Error::other);
         let (fronts, operators) =
             (made(make::authority("fronts", 30))?, made(make::authority("operators", 30))?);
-        let place = Place { folder, fronts, operators };
-        place.write("fronts-ca.pem", &place.fronts.certificate)?;
-        place.write("operators-ca.pem", &place.operators.certificate)?;
-        // One for both doors: fronts and operators believe the authority that made it.
-        place.issue("control", &place.fronts, &[SERVICE], 30)?;
-        place.issue("person", &place.operators, &["first-shift"], 30)?;
-        place.issue("onlooker", &place.operators, &["visitor"], 30)?;
-        place.write("seal-keys.hcl", &seal_key(1))?;
-        Ok(place)
+        let installation = Installation { folder, fronts, operators };
+        installation.write("fronts-ca.pem", &installation.fronts.certificate)?;
+        installation.write("operators-ca.pem", &installation.operators.certificate)?;
+        // One certificate for both listeners: fronts and operators trust the authority that issued it.
+        installation.issue("control", &installation.fronts, &[SERVICE], 30)?;
+        installation.issue("person", &installation.operators, &["first-shift"], 30)?;
+        installation.issue("onlooker", &installation.operators, &["visitor"], 30)?;
+        installation.write("seal-keys.hcl", &seal_key(1))?;
+        Ok(installation)
     }
 
     pub fn write(&self, name: &str, text: &str) -> std::io::Result<()> {
@@ -75,8 +76,8 @@
         self.write(&format!("{prefix}.key"), &pair.key)
     }
 
-    /// The service's settings; `publication`: what stands in that block.
-    pub fn control(
+    /// Writes the service's settings, and returns the file. `publication` is the content of that block.
+    pub fn write_control_settings(
         &self,
         listen: &str,
         operators_listen: &str,
@@ -93,8 +94,9 @@
         Ok(self.folder.join("control.hcl"))
     }
 
-    /// The papers under a prefix, of somebody who believes the authority of fronts, as the service's certificate is its.
-    pub fn papers(&self, prefix: &str) -> Paths {
+    /// The files of the identity that was issued under a prefix. It trusts the fronts' authority, which has issued the
+    /// service's certificate.
+    pub fn identity(&self, prefix: &str) -> Paths {
         let at = |name: String| self.folder.join(name);
         Paths {
             certificate: at(format!("{prefix}.pem")),
@@ -110,35 +112,35 @@
 
 pub type Verdict = dyn Fn(&Id, &[u8]) -> Result<(), Reason> + Send + Sync;
 
-/// What one of these fronts has seen, and when.
+/// What a stub front has received from the service, and what it reports.
 #[derive(Default)]
 pub struct Record {
-    /// Versions brought into use, and when.
-    pub ran: Vec<(Id, Ticks)>,
+    /// Versions that were applied, and when.
+    pub applied: Vec<(Id, Ticks)>,
     pub turned_down: Vec<(Id, Reason)>,
     pub lost: Vec<String>,
     pub serves: Option<f32>,
-    /// What it says that it has served since it started, and how often it was asked for that.
+    /// The access counts since the start that it reports, and how often they were read.
     pub counts: AccessCounts,
-    pub counted: usize,
-    /// In the order of time: what is in use, and whether it was checked and found good.
+    pub counts_read: usize,
+    /// How often a version was applied that had not been checked and accepted before.
     pub bad_in_use: usize,
 }
 
-/// A front's side that follows the service and nothing else. Its store is its memory.
-pub struct Puppet {
+/// A front that follows the service and does nothing else. It stores versions in memory only.
+pub struct StubFront {
     pub record: Arc<Mutex<Record>>,
     commands: mpsc::Sender<Command>,
     task: tokio::task::JoinHandle<(u64, u64)>,
 }
 
-struct Runs {
+struct StubHost {
     record: Arc<Mutex<Record>>,
     verdict: Arc<Verdict>,
     good: BTreeMap<Id, bool>,
 }
 
-impl Host for Runs {
+impl Host for StubHost {
     fn check(&mut self, id: &Id, content: &Content) -> Result<(), Reason> {
         let verdict = (self.verdict)(id, content);
         self.good.insert(*id, verdict.is_ok());
@@ -148,7 +150,7 @@
     async fn apply(&mut self, id: &Id, _: &Content) -> Result<(), Reason> {
         let mut record = lock(&self.record);
         record.bad_in_use += usize::from(self.good.get(id) != Some(&true));
-        record.ran.push((*id, now()));
+        record.applied.push((*id, now()));
         Ok(())
     }
 
@@ -174,7 +176,7 @@
 
     fn counts(&mut self) -> AccessCounts {
         let mut record = lock(&self.record);
-        record.counted += 1;
+        record.counts_read += 1;
         record.counts
     }
 
@@ -183,45 +185,45 @@
     }
 }
 
-/// Who a puppet is, and whom it follows.
-pub struct Who<'a> {
+/// The identity of a stub front, and the service that it follows.
+pub struct StubFrontConfig<'a> {
     pub name: &'a str,
     pub station: &'a str,
     pub service: SocketAddr,
-    pub papers: &'a Paths,
+    pub identity: &'a Paths,
     pub keys: Vec<(u32, Vec<u8>)>,
     pub seed: u64,
 }
 
-impl Puppet {
-    /// On the runtime that this is called on.
-    pub fn start(who: &Who<'_>, verdict: Arc<Verdict>) -> Result<Puppet, String> {
-        let tls = client(who.papers, FRONTS).map_err(|t| t.to_string())?.made;
+impl StubFront {
+    /// Starts on the current Tokio runtime.
+    pub fn start(config: &StubFrontConfig<'_>, verdict: Arc<Verdict>) -> Result<StubFront, String> {
+        let tls = client(config.identity, FRONTS).map_err(|t| t.to_string())?.made;
         let name = ServerName::try_from(SERVICE).map_err(|e| e.to_string())?;
         let record = Arc::new(Mutex::new(Record::default()));
-        let host = Runs { record: record.clone(), verdict, good: BTreeMap::new() };
-        let to = To { at: vec![who.service], name };
-        let (keys, who_is) = (Keys::new(who.keys.clone()), (who.name, who.station));
+        let host = StubHost { record: record.clone(), verdict, good: BTreeMap::new() };
+        let to = To { at: vec![config.service], name };
+        let (keys, names) = (Keys::new(config.keys.clone()), (config.name, config.station));
         let (mut follow, first) = Follow::new(host, to, tls, |at, out| {
-            Front::start(at, who.seed, who_is, keys, Found::default(), Ok(()), out)
+            Front::start(at, config.seed, names, keys, Found::default(), Ok(()), out)
         });
-        let (commands, mut told) = mpsc::channel(4);
+        let (commands, mut received) = mpsc::channel(4);
         let task = tokio::spawn(async move {
-            follow.run(first, &mut told).await;
+            follow.run(first, &mut received).await;
             (follow.sent, follow.connections)
         });
-        Ok(Puppet { record, commands, task })
+        Ok(StubFront { record, commands, task })
     }
 
-    pub fn runs(&self) -> Option<Id> {
-        lock(&self.record).ran.last().map(|r| r.0)
+    pub fn applied_version(&self) -> Option<Id> {
+        lock(&self.record).applied.last().map(|r| r.0)
     }
 
-    pub async fn tell(&self, command: Command) {
+    pub async fn send(&self, command: Command) {
         let _ = self.commands.send(command).await;
     }
 
-    /// Ends it; the connections it made.
+    /// Stops the stub front. Returns the number of connections that it has made.
     pub async fn stop(self) -> u64 {
         let _ = self.commands.send(Command::Stop).await;
         self.task.await.map_or(0, |(_, connections)| connections)
--- a/crates/standins/tests/links.rs
+++ b/crates/standins/tests/links.rs
@@ -134,9 +134,11 @@
     assert_eq!(healthy.send_and_receive(20), (0..20).collect::<Vec<u8>>());
     let run = |seed| {
         let rig = datagram_rig(seed);
-        let lossy =
-            LinkConditions { loss: 0.3, duplication: 0.3, jitter_ms: 100, ..LinkConditions::default() };
-        rig.links.set("a", "b", lossy);
+        rig.links.set(
+            "a",
+            "b",
+            LinkConditions { loss: 0.3, duplication: 0.3, jitter_ms: 100, ..LinkConditions::default() },
+        );
         rig.send_and_receive(100)
     };
     let (one, same, other) = (run(5), run(5), run(6));
