--- a/crates/control/tests/reports.rs
+++ b/crates/control/tests/reports.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use doorgrade_keys::server;
-use doorgrade_standins::versions::{Installation, StubFront, StubFrontConfig, keys};
+use doorgrade_standins::versions::{Installation, StubConfig, StubFront, keys};
 use doorgrade_stream::follow::AccessCounts;
 use doorgrade_stream::wire::{Reader, Writer};
 use doorgrade_stream::{FRONTS, MOST_WITH_CONTENT};
@@ -61,14 +61,8 @@
         let tls = TlsAcceptor::from(server(&place.identity("control"), FRONTS).unwrap().made);
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let (service, papers) = (listener.local_addr().unwrap(), place.identity("n1"));
-        let who = StubFrontConfig {
-            name: "n1",
-            station: "hill",
-            service,
-            identity: &papers,
-            keys: keys(&[1]),
-            seed: 3,
-        };
+        let who =
+            StubConfig { name: "n1", station: "hill", service, identity: &papers, keys: keys(&[1]), seed: 3 };
         let front = StubFront::start(&who, std::sync::Arc::new(|_, _| Ok(()))).unwrap();
         let mut end = End::accept(&listener, &tls).await;
         assert_eq!(end.reports(Duration::from_millis(600)).await, [], "nobody has asked");
--- a/crates/control/tests/service.rs
+++ b/crates/control/tests/service.rs
@@ -10,9 +10,7 @@
 use doorgrade_keys::rustls::pki_types::pem::PemObject;
 use doorgrade_keys::rustls::pki_types::{CertificateDer, ServerName};
 use doorgrade_keys::{Paths, client};
-use doorgrade_standins::versions::{
-    Installation, SERVICE, StubFront, StubFrontConfig, Verdict, keys, seal_key,
-};
+use doorgrade_standins::versions::{Installation, SERVICE, StubConfig, StubFront, Verdict, keys, seal_key};
 use doorgrade_stream::follow::Command;
 use doorgrade_stream::frame::frame;
 use doorgrade_stream::wire::{Reader, Writer};
@@ -70,14 +68,8 @@
         }
         let papers = self.place.identity(station);
         let (service, keys) = (self.running().fronts, keys(&[1]));
-        let who = StubFrontConfig {
-            name: &full,
-            station,
-            service,
-            identity: &papers,
-            keys,
-            seed: full.len() as u64,
-        };
+        let who =
+            StubConfig { name: &full, station, service, identity: &papers, keys, seed: full.len() as u64 };
         StubFront::start(&who, verdict).unwrap()
     }
 
@@ -340,7 +332,7 @@
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
         let papers = place.identity("hill");
         let service = listener.local_addr().unwrap();
-        let who = StubFrontConfig {
+        let who = StubConfig {
             name: "n1.hill",
             station: "hill",
             service,
--- a/crates/lab/src/scale/commands.rs
+++ b/crates/lab/src/scale/commands.rs
@@ -7,7 +7,7 @@
 use doorgrade_control::ask::Asker;
 use doorgrade_control::serve::Running;
 use doorgrade_control::settings::Settings;
-use doorgrade_standins::versions::{Installation, SERVICE, StubFront, StubFrontConfig, keys};
+use doorgrade_standins::versions::{Installation, SERVICE, StubConfig, StubFront, keys};
 use doorgrade_stream::frame::frame;
 use doorgrade_versions::Id;
 use doorgrade_versions::service::{Answer, Ask, Filter, Line, Totals};
@@ -82,8 +82,7 @@
             let (name, papers) = (format!("n{n:04}.{station}"), rig.place.identity(&station));
             let (service, keys) = (rig.running.fronts, keys(&[1]));
             let seed = seed.wrapping_mul(10_000).wrapping_add(n as u64);
-            let who =
-                StubFrontConfig { name: &name, station: &station, service, identity: &papers, keys, seed };
+            let who = StubConfig { name: &name, station: &station, service, identity: &papers, keys, seed };
             rig.followers.push(StubFront::start(&who, Arc::new(|_: &Id, _: &[u8]| Ok(())))?);
         }
         Ok(rig)
--- a/crates/lab/src/stream.rs
+++ b/crates/lab/src/stream.rs
@@ -17,7 +17,7 @@
 use doorgrade_control::ask::Asker;
 use doorgrade_control::serve::Running;
 use doorgrade_control::settings::Settings;
-use doorgrade_standins::versions::{Installation, SERVICE, StubFront, StubFrontConfig, keys};
+use doorgrade_standins::versions::{Installation, SERVICE, StubConfig, StubFront, keys};
 use doorgrade_standins::{Client, Directory, Feed, Member, MemberConfig, Role};
 use doorgrade_versions::Id;
 use doorgrade_versions::service::{Answer, Ask, Filter, Totals};
@@ -229,7 +229,7 @@
         let station = format!("station{}", n % STATIONS);
         let (name, papers) = (format!("p{n}.{station}"), lab.place.identity(&station));
         let (service, keys, seed) = (fronts_at, keys(&[1]), how.seed.wrapping_add(1_000 + n as u64));
-        let who = StubFrontConfig { name: &name, station: &station, service, identity: &papers, keys, seed };
+        let who = StubConfig { name: &name, station: &station, service, identity: &papers, keys, seed };
         others.push(StubFront::start(&who, Arc::new(|_: &Id, _: &[u8]| Ok(())))?);
     }
     let all = FRONTS + puppets;
--- a/crates/standins/src/feed.rs
+++ b/crates/standins/src/feed.rs
@@ -1,7 +1,8 @@
 //! The control feed, which sends fronts the member list and purges as numbered events.
 //!
-//! A front connects and sends the number of the last event that it knows, and receives all later events and then an empty
-//! frame each second. Faults: an outage ([`Feed::set_down`]) and connections that are closed ([`Feed::close_connections`]).
+//! A front connects and sends the number of the last event that it knows, and receives all later events and then an
+//! empty frame each second. Faults: an outage ([`Feed::set_down`]) and connections that are closed
+//! ([`Feed::close_connections`]).
 
 use std::io::{self, Read, Write};
 use std::net::{Ipv4Addr, Shutdown, SocketAddr, TcpListener, TcpStream};
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -1,19 +1,22 @@
-//! Test doubles on loopback for everything that a front talks to. They can inject faults, and count what they are
-//! asked for:
+//! Test doubles on loopback for everything that a front talks to. They inject faults, and count the requests
+//! that they receive:
 //!
-//! | Module | Imitates | Faults |
-//! |---|---|---|
-//! | [`member`] | a cache, a parent cache or the archive, over HTTP/1.1 | silence, slow, rejecting or failing responses, closed connections, crashes, overload during slow start |
-//! | [`manual_cache`] | a cache whose accepts, reads and responses the test controls one by one | connects that hang, silence, arbitrary responses, resets |
-//! | [`feed`] | the control feed: member list and purges | an outage, closed connections |
-//! | [`client`] | a web server in front of a front, over FastCGI | requests that are never read or are left |
-//! | [`links`] | the network between two processes, TCP and UDP | partitions, latency, jitter, low bandwidth, resets, loss, duplicates |
-//! | [`shim`] | the operating system below a process (`LD_PRELOAD`) | failing or interrupted system calls, stalls, a wrong clock, a failing disk |
-//! | [`process`] | nothing: runs one of this project's programs | SIGSTOP, SIGTERM, SIGKILL |
-//! | [`timeline`] | nothing: a schedule of faults as data, random by a seed | all of `links` and `process`, lost or old disks |
-//! | [`versions`] | fronts as the control service sees them, and the files of an installation | rejected configurations |
+//! - [`member`]: a cache, a parent cache or the archive, over HTTP/1.1. Faults: no response, slow, rejecting or failing
+//!   responses, closed connections, a crash, and a crash from overload during slow start.
+//! - [`manual_cache`]: a cache that the test operates step by step. Faults: connections that are not established, and any
+//!   delay, response or reset that the test chooses.
+//! - [`feed`]: the control feed with the member list and purges. Faults: an outage, closed connections, invalid events.
+//! - [`client`]: a web server as the client of a front, over FastCGI. Tests can send any parameters and raw bytes.
+//! - [`links`]: the network between processes, TCP and UDP. Faults: partitions, delay, jitter, low bandwidth, resets,
+//!   lost, duplicated and reordered datagrams.
+//! - [`shim`]: the operating system below a process, by an `LD_PRELOAD` library. Faults: failing, interrupted and
+//!   shortened system calls, lost connections, stalled threads, a wrong wall clock, a disk that fails.
+//! - [`versions`]: the fronts that follow the control service. They accept or reject versions as the test decides.
 //!
-//! They are written from public specifications (HTTP/1.1, FastCGI 1.0, RFC 8586) and this project's own protocol
+//! [`process`] runs the project's programs and sends them signals, [`timeline`] is a schedule of faults as data, and
+//! [`ports`] finds free ports.
+//!
+//! The stand-ins are written from public specifications (HTTP/1.1, FastCGI 1.0, RFC 8586) and this project's own protocol
 //! pages, and imitate no particular server. The code is blocking and uses threads: stand-ins should be simple rather
 //! than fast.
 #![forbid(unsafe_code)]
@@ -78,8 +81,8 @@
     }
 }
 
-/// The size of an object in KB as clients report it, derived from its key alone. Log-normal with a median of 40 KB: one
-/// object in forty is below 8 KB, and one in forty above 200 KB.
+/// The size of an object in KB as clients report it, derived from its key alone. Log-normal with a median of 40 KB:
+/// one object in forty is below 8 KB, and one in forty above 200 KB.
 pub fn object_kb(key: &str) -> f64 {
     let mut rng = fastrand::Rng::with_seed(doorgrade::hash::text(key));
     let normal = (0..12).map(|_| rng.f64()).sum::<f64>() - 6.0;
--- a/crates/standins/src/links.rs
+++ b/crates/standins/src/links.rs
@@ -1,7 +1,7 @@
-//! The network between processes on loopback: TCP and UDP proxies that inject network faults. Each direction between two
-//! names has its own conditions, which can change while it is in use: partitions in one direction or both, latency,
-//! jitter, low bandwidth, connection resets, and lost, duplicated or reordered datagrams. Random choices come from a
-//! seed and are made in the order in which data arrives.
+//! The network between processes on loopback: TCP and UDP proxies that inject network faults. Each direction between
+//! two names has its own conditions, which can change while it is in use: partitions in one direction or both,
+//! latency, jitter, low bandwidth, connection resets, and lost, duplicated or reordered datagrams. Random choices come
+//! from a seed and are made in the order in which data arrives.
 //!
 //! A cut connection keeps what was written and delivers it once the link heals, as TCP retransmits; cut datagrams are
 //! lost. A new connection over a cut link is established, since the kernel completes the handshake, and stays silent.
@@ -26,7 +26,7 @@
 /// How often a blocked thread checks for changed conditions, resets and the end of the proxies.
 const POLL: Duration = Duration::from_millis(10);
 
-/// The network conditions in one pair.
+/// The network conditions in one direction between two names.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LinkConditions {
@@ -37,7 +37,7 @@
     pub jitter_ms: u64,
     /// The bandwidth of each connection; 0 for no limit.
     pub bytes_per_s: u64,
-    /// A connection is reset once it has carried this much in this pair.
+    /// A connection is reset once it has carried this much in this direction.
     #[serde(rename = "reset_after")]
     pub reset_after_bytes: Option<u64>,
     /// The shares of datagrams that are lost and that are delivered twice.
--- a/crates/standins/src/links/async_proxy.rs
+++ b/crates/standins/src/links/async_proxy.rs
@@ -1,6 +1,6 @@
-//! A TCP proxy with network faults for many connections at once: two tasks per connection on a Tokio runtime, in place of
-//! four threads. It shares the conditions and traffic counts of [`Links`], and applies `cut`, the delay and jitter, but not
-//! bandwidth or resets.
+//! A TCP proxy with network faults for many connections at once: two tasks per connection on a Tokio runtime, in place
+//! of four threads. It shares the conditions and traffic counts of [`Links`], and applies `cut`, the delay and jitter,
+//! but not bandwidth or resets.
 
 use std::io;
 use std::net::SocketAddr;
--- a/crates/standins/src/manual_cache.rs
+++ b/crates/standins/src/manual_cache.rs
@@ -28,8 +28,8 @@
         Ok(ManualCache { address: listener.local_addr()?, listener, backlog_fillers: Vec::new() })
     }
 
-    /// Keeps new connections from being established, by filling the backlog: the kernel drops their SYN, and the client
-    /// retransmits it after a second.
+    /// Keeps new connections from being established, by filling the backlog: the kernel drops their SYN, and the
+    /// client retransmits it after a second.
     pub fn block_connects(&mut self) -> io::Result<()> {
         self.backlog_fillers.push(TcpStream::connect(self.address)?);
         Ok(())
--- a/crates/standins/src/member.rs
+++ b/crates/standins/src/member.rs
@@ -1,12 +1,12 @@
 //! A member of the cache hierarchy, over HTTP/1.1: a cache, a parent cache or the archive, which is the origin of all
 //! objects.
 //!
-//! A cache fills a miss from the member that the request names in `Miss-To`, a parent cache from the object's home among
-//! its configured fill sources, and the archive has every object. A fill carries the members that it has passed through
-//! in `CDN-Loop`, and is rejected with 508 when it comes back to one of them.
+//! A cache fills a miss from the member that the request names in `Miss-To`, a parent cache from the object's home
+//! among its configured fill sources, and the archive has every object. A fill carries the members that it has passed
+//! through in `CDN-Loop`, and is rejected with 508 when it comes back to one of them.
 //!
-//! Faults: [`Faults`] (slow, rejecting or failing responses, closed connections), [`Member::gate`] (no response at all),
-//! [`Member::kill`], and [`Cold`]: a member in slow start crashes under too many requests.
+//! Faults: [`Faults`] (slow, rejecting or failing responses, closed connections), [`Member::gate`] (no response at
+//! all), [`Member::kill`], and [`Cold`]: a member in slow start crashes under too many requests.
 
 mod config;
 mod copy_store;
@@ -135,7 +135,7 @@
         lock(&self.inner.request_log).clone()
     }
 
-    /// The lookups so far, in order. Requests for cached copies alone that missed are not among them.
+    /// The lookups so far, in order, without `only-if-cached` requests that missed.
     pub fn lookups(&self) -> Vec<Lookup> {
         lock(&self.inner.lookups).clone()
     }
--- a/crates/standins/src/member/config.rs
+++ b/crates/standins/src/member/config.rs
@@ -58,8 +58,8 @@
     }
 }
 
-/// A member in slow start: its capacity grows linearly from `initial_share` of `warm_per_s` to all of it. It crashes when
-/// more than `crash_factor` times its current capacity arrives within `window`.
+/// A member in slow start: its capacity grows linearly from `initial_share` of `warm_per_s` to all of it. It crashes
+/// when more than `crash_factor` times its current capacity arrives within `window`.
 #[derive(Clone, Copy, Debug)]
 pub struct Cold {
     /// Requests per second that the member can handle once it is warm.
@@ -95,9 +95,9 @@
     pub refreshes: AtomicUsize,
     pub fills: AtomicUsize,
     pub failed: AtomicUsize,
-    /// Fills that were rejected because they came back to this member.
+    /// Fills that were rejected as a forwarding loop, see `LoopError`.
     pub loops_rejected: AtomicUsize,
-    /// Fills that came back a second time, so that loop detection has failed.
+    /// Fills that came back to this member twice, which loop detection should have prevented.
     pub loops_missed: AtomicUsize,
     /// Crashes from overload during slow start.
     pub crashes: AtomicUsize,
--- a/crates/standins/src/member/serve.rs
+++ b/crates/standins/src/member/serve.rs
@@ -12,7 +12,7 @@
 use crate::wire::{self, Head};
 use crate::{lock, object_bytes, unix_ms};
 
-/// A request that passes here this often at the same time loops although it should have been rejected.
+/// A request that loops is in flight here twice until the second pass is rejected; more means that it was not.
 const MAX_PASSES: usize = 2;
 /// A request that passes here more often fails, so that a loop which nobody detects ends.
 const MAX_PASSES_BEFORE_FAILURE: usize = 8;
@@ -89,7 +89,6 @@
             *passes += 1;
             *passes
         };
-        // The third pass of the same request: the second one should have been rejected as a loop.
         if passes > MAX_PASSES && !call_id.is_empty() {
             self.counts.loops_missed.fetch_add(1, SeqCst);
         }
--- a/crates/standins/src/shim.rs
+++ b/crates/standins/src/shim.rs
@@ -1,5 +1,5 @@
-//! Faults of the operating system below one of this project's programs. A preloaded library (`shim/faults.c`) makes system
-//! calls fail, threads stall and the wall clock differ. The faults can be changed while the process runs.
+//! Faults of the operating system below one of this project's programs. A preloaded library (`shim/faults.c`) makes
+//! system calls fail, threads stall and the wall clock differ. The faults can be changed while the process runs.
 
 use std::ffi::OsString;
 use std::fs::{File, OpenOptions};
--- a/crates/standins/src/timeline.rs
+++ b/crates/standins/src/timeline.rs
@@ -1,5 +1,5 @@
-//! A schedule of faults as data: what happens to links, processes and disks, and when. A timeline can be stored as JSON
-//! lines, so that a run which found a fault can be repeated, and can be generated from a seed.
+//! A schedule of faults as data: what happens to links, processes and disks, and when. A timeline can be stored as
+//! JSON lines, so that a run which found a fault can be repeated, and can be generated from a seed.
 
 use std::collections::HashMap;
 use std::io;
@@ -80,8 +80,8 @@
         self
     }
 
-    /// Random faults of these processes: kills with a restart, suspensions, partitions in one direction or both, slow links
-    /// and lossy ones. At the end all links are healed and all processes run.
+    /// Random faults of these processes: kills with a restart, suspensions, partitions in one direction or both, slow
+    /// links and lossy ones. At the end all links are healed and all processes run.
     pub fn random(seed: u64, processes: &[String], end_ms: u64, fault_count: usize) -> Timeline {
         let mut rng = Rng::with_seed(seed);
         let mut steps = Vec::new();
--- a/crates/standins/src/versions.rs
+++ b/crates/standins/src/versions.rs
@@ -1,6 +1,6 @@
-//! For tests of the control service: a folder with the certificates, keys and settings of an installation, and stub fronts.
-//! A stub front follows the service as a real one does, but serves no accesses. The test decides which versions it accepts,
-//! and reads which ones it has applied.
+//! For tests of the control service: a folder with the certificates, keys and settings of an installation, and stub
+//! fronts. A stub front follows the service as a real one does, but serves no accesses. The test decides which
+//! versions it accepts, and reads which ones it has applied.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -26,7 +26,9 @@
 /// A folder with the certificates and keys of an installation. It is removed on drop.
 pub struct Installation {
     pub folder: PathBuf,
+    /// The certificate authority of the fronts.
     pub fronts: Pair,
+    /// The certificate authority of the operators.
     pub operators: Pair,
 }
 
@@ -70,6 +72,7 @@
         std::fs::write(self.folder.join(name), text)
     }
 
+    /// Issues a certificate for these names, and writes it and its key to files with this prefix.
     pub fn issue(&self, prefix: &str, authority: &Pair, names: &[&str], days: i64) -> std::io::Result<()> {
         let pair = make::issue(authority, names, days).map_err(std::io::Error::other)?;
         self.write(&format!("{prefix}.pem"), &pair.certificate)?;
@@ -105,11 +108,13 @@
         }
     }
 
+    /// The path of a file in the folder.
     pub fn file(&self, name: &str) -> PathBuf {
         self.folder.join(name)
     }
 }
 
+/// Decides whether a stub front accepts a version.
 pub type Verdict = dyn Fn(&Id, &[u8]) -> Result<(), Reason> + Send + Sync;
 
 /// What a stub front has received from the service, and what it reports.
@@ -117,8 +122,11 @@
 pub struct Record {
     /// Versions that were applied, and when.
     pub applied: Vec<(Id, Ticks)>,
+    /// Versions that were rejected.
     pub turned_down: Vec<(Id, Reason)>,
+    /// Why connections to the service were lost.
     pub lost: Vec<String>,
+    /// What it reports as the share of the requested benefit that it served within the soft limit.
     pub serves: Option<f32>,
     /// The access counts since the start that it reports, and how often they were read.
     pub counts: AccessCounts,
@@ -186,7 +194,7 @@
 }
 
 /// The identity of a stub front, and the service that it follows.
-pub struct StubFrontConfig<'a> {
+pub struct StubConfig<'a> {
     pub name: &'a str,
     pub station: &'a str,
     pub service: SocketAddr,
@@ -197,7 +205,7 @@
 
 impl StubFront {
     /// Starts on the current Tokio runtime.
-    pub fn start(config: &StubFrontConfig<'_>, verdict: Arc<Verdict>) -> Result<StubFront, String> {
+    pub fn start(config: &StubConfig<'_>, verdict: Arc<Verdict>) -> Result<StubFront, String> {
         let tls = client(config.identity, FRONTS).map_err(|t| t.to_string())?.made;
         let name = ServerName::try_from(SERVICE).map_err(|e| e.to_string())?;
         let record = Arc::new(Mutex::new(Record::default()));
--- a/crates/standins/tests/refresh.rs
+++ b/crates/standins/tests/refresh.rs
@@ -1,5 +1,5 @@
-//! A cache refreshes a copy in the background as the protocol specifies: in the last fifth of its max age, and once at a
-//! time.
+//! A cache refreshes a copy in the background as the protocol specifies: in the last fifth of its max age, and once at
+//! a time.
 
 use std::collections::HashMap;
 use std::io::{Read, Write};
