--- a/crates/standins/src/member/fill.rs
+++ b/crates/standins/src/member/fill.rs
@@ -15,7 +15,8 @@
 use crate::wire::{self, Head};
 use crate::{lock, unix_ms};
 
-/// The result of a lookup or a fill. The letter is sent as the response's `Detail`.
+/// The result of a lookup or a fill. The letter is sent as the response's `Detail`: `h` for a hit, `f` for a fill, `o`
+/// for an object or a fill from the archive, `r` if the source has failed the fill, `b` if it could not be reached.
 pub enum LookupResult {
     Copy(StoredCopy, &'static str),
     /// No copy is stored, and there is no source to fill from, or the request does not permit a fill.
