--- a/crates/lab/src/scale/control_rig.rs
+++ b/crates/lab/src/scale/control_rig.rs
@@ -6,9 +6,9 @@
 use std::time::{Duration, Instant};
 
 use doorgrade_control::ask::Asker;
-use doorgrade_standins::links::{Links, Way};
+use doorgrade_standins::links::{LinkConditions, Links};
 use doorgrade_standins::process::Process;
-use doorgrade_standins::versions::{Place, SERVICE};
+use doorgrade_standins::versions::{Installation, SERVICE};
 use doorgrade_versions::VersionId;
 use doorgrade_versions::service::{Request, Response, Totals};
 use serde_json::json;
@@ -74,7 +74,7 @@
 
 /// Writes the files of the `n`th front of a station, which follows `service` and hears `feed`; `more` of its settings.
 pub fn files(
-    place: &Place,
+    place: &Installation,
     n: usize,
     station: &str,
     [service, feed]: [SocketAddr; 2],
@@ -94,13 +94,13 @@
 }
 
 /// A way there, whose way back takes as long.
-pub fn one_way(round_trip_ms: u64) -> Way {
-    Way { delay_ms: round_trip_ms / 2, ..Way::default() }
+pub fn one_way(round_trip_ms: u64) -> LinkConditions {
+    LinkConditions { delay_ms: round_trip_ms / 2, ..LinkConditions::default() }
 }
 
 /// The service, and what stands between it and its fronts.
 pub struct ControlRig {
-    pub place: Place,
+    pub place: Installation,
     pub links: Links,
     program: PathBuf,
     /// Carries the streams; its threads are nobody's whose time is measured.
@@ -114,7 +114,7 @@
 impl ControlRig {
     /// Starts the service; `name` is of this rig's folder.
     pub fn start(name: &str, program: &Path, seed: u64) -> Result<ControlRig, Fault> {
-        let place = Place::new(name).map_err(fault)?;
+        let place = Installation::new(name).map_err(fault)?;
         place.write("shape.hcl", "").map_err(fault)?;
         let relays = tokio::runtime::Builder::new_multi_thread()
             .worker_threads(1)
@@ -140,12 +140,15 @@
     /// Kills the service if it runs, and starts it at the same address, with what its store has.
     pub fn restart(&mut self) -> Result<(), Fault> {
         drop(self.service.take());
-        let file = self.place.control(&self.at.to_string(), "127.0.0.1:0", PUBLICATION).map_err(fault)?;
+        let file = self
+            .place
+            .write_control_settings(&self.at.to_string(), "127.0.0.1:0", PUBLICATION)
+            .map_err(fault)?;
         let process = Process::start(Command::new(&self.program).arg("control").arg("--file").arg(file));
         let process = process.map_err(fault)?;
         let line = process
-            .line("fronts at ", WITHIN)
-            .ok_or_else(|| format!("the service does not start: {:?}", process.lines()))?;
+            .wait_for_log("fronts at ", WITHIN)
+            .ok_or_else(|| format!("the service does not start: {:?}", process.log_lines()))?;
         let address = |after: &str| {
             let rest = line.split_once(after).map_or("", |l| l.1);
             rest.split([',', ' ']).next().unwrap_or_default().parse::<SocketAddr>()
@@ -164,7 +167,7 @@
     /// A region, with its station's certificate, from which fronts reach the service in this round trip.
     pub fn region(&mut self, name: &str, round_trip_ms: u64) -> Result<(), Fault> {
         self.place.issue(name, &self.place.fronts, &[&format!("*.{name}")], 30).map_err(fault)?;
-        let at = self.links.stream_on(self.relays.handle(), name, CONTROL, self.at).map_err(fault)?;
+        let at = self.links.tcp_proxy_on(self.relays.handle(), name, CONTROL, self.at).map_err(fault)?;
         self.heal(name, round_trip_ms);
         self.regions.push((name.to_owned(), at));
         Ok(())
@@ -172,7 +175,7 @@
 
     /// Nothing passes between a region and the service.
     pub fn cut(&self, region: &str) {
-        self.links.part(&[region], &[CONTROL]);
+        self.links.partition(&[region], &[CONTROL]);
     }
 
     pub fn heal(&self, region: &str, round_trip_ms: u64) {
@@ -182,7 +185,7 @@
 
     /// Bytes between a region and the service, both ways, as the links counted them.
     pub fn bytes(&self, region: &str) -> usize {
-        self.links.passed(region, CONTROL).bytes + self.links.passed(CONTROL, region).bytes
+        self.links.traffic(region, CONTROL).bytes + self.links.traffic(CONTROL, region).bytes
     }
 
     /// Of all regions.
@@ -205,7 +208,7 @@
     /// Asks the service as an operator.
     pub fn operator(&self) -> Result<Operator, Fault> {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(fault)?;
-        let asker = runtime.block_on(Asker::at(self.operators, SERVICE, &self.place.papers("person")))?;
+        let asker = runtime.block_on(Asker::at(self.operators, SERVICE, &self.place.identity("person")))?;
         Ok(Operator { runtime, asker })
     }
 }
