--- a/crates/custody/src/coordinator.rs
+++ b/crates/custody/src/coordinator.rs
@@ -112,7 +112,7 @@
     creation_timeout: Ticks,
     entries: BTreeMap<RequestId, Entry>,
     timers: BTreeSet<(Ticks, RequestId)>,
-    /// Fronts that are taken for dead.
+    /// Fronts that this one considers dead.
     unreachable: BTreeSet<FrontId>,
     claim_queue: VecDeque<RequestId>,
     claims_in_flight: usize,
@@ -308,8 +308,8 @@
 
     // ---- other fronts
 
-    /// A front is taken for dead, or says that it is stopping: others take over the requests that it owns.
-    /// `records`: what this front's replica stores.
+    /// A front is considered dead, or reports that it is stopping: others take over the requests that it
+    /// owns. `records`: what this front's replica stores.
     pub fn front_down<'a>(
         &mut self,
         now: Ticks,
@@ -513,8 +513,8 @@
                 }
                 entry.views.insert(from, view);
                 let majority_rejected = entry.replicas.blocked(|f| entry.views.contains_key(&f));
-                // One replica stores this request, one stores another with the same id, and the third does not
-                // answer: the request with the smaller creation id stays.
+                // One replica stores this request, one stores another with the same id, and the third does
+                // not answer: the request with the smaller creation id stays.
                 let loses_tie = entry.views.values().any(|v| v.record.creation_id < entry.record.creation_id);
                 let tie_lost = now >= entry.started_at + 4 * RETRY_INTERVAL && loses_tie;
                 // A replica that stores this very request, but under another front's term, shows that it was
--- a/crates/custody/src/coordinator/timers.rs
+++ b/crates/custody/src/coordinator/timers.rs
@@ -9,6 +9,7 @@
 use crate::{RecordView, ReplicaRequest, RequestId, Term};
 
 impl Coordinator {
+    /// To be called when the earliest timer has expired; also starts queued claims.
     pub fn on_timers(&mut self, now: Ticks, effects: &mut Vec<Effect>) {
         while let Some(&(at, id)) = self.timers.first().filter(|t| t.0 <= now) {
             self.timers.remove(&(at, id));
@@ -57,8 +58,7 @@
                 self.set_timer(id, at);
             }
             Phase::Waiting => {
-                // Queued once: it stays in the queue until there is room, or nobody is to be told of it any
-                // more.
+                // Queued once: it stays in the queue until a claim can be made or the retention time is over.
                 let at = entry.deadline.max(now).saturating_add(OUTCOME_RETENTION);
                 self.claim_queue.push_back(id);
                 self.set_timer(id, at);
--- a/crates/custody/src/restart.rs
+++ b/crates/custody/src/restart.rs
@@ -4,10 +4,10 @@
 //! it has not. So a front votes in a new incarnation only when a majority of the *other* fronts of the roster
 //! have stored that this incarnation has started; any later majority of them contains one that knows of it.
 //! When a front announces its next incarnation, that one reports an incarnation later than the newest in the
-//! announcing front's store, which shows that this store is outdated. A front that has forgotten something has no vote
-//! until nothing that it may have acknowledged can still be open, and until then its acknowledgements of
-//! other fronts' starts don't count. The fronts that keep running announce their incarnations again to one
-//! that has restarted, since it may have forgotten them.
+//! announcing front's store, which shows that this store is outdated. A front that has forgotten something
+//! has no vote until nothing that it may have acknowledged can still be open, and until then its
+//! acknowledgements of other fronts' starts don't count. The fronts that keep running announce their
+//! incarnations again to one that has restarted, since it may have forgotten them.
 //!
 //! Not covered: an older copy restored at one front while another has lost its disk and was cut off from the
 //! first for longer than anything is retained.
--- a/crates/custody/tests/model.rs
+++ b/crates/custody/tests/model.rs
@@ -1,6 +1,6 @@
 //! Every order of events of the smallest configuration, checked exhaustively: three fronts, all of them
 //! replicas, one unrepeatable request, its client, and the client's retry at another front. Messages arrive
-//! in any order, late, twice or never; any front takes any other for dead at any time; fronts crash and
+//! in any order, late, twice or never; any front may consider any other dead at any time; fronts crash and
 //! restart with or without their disks. The decisions are those of the crate; runs are counted at an origin
 //! that is independent of them.
 
--- a/crates/custody/tests/world.rs
+++ b/crates/custody/tests/world.rs
@@ -1,5 +1,5 @@
 //! Many fronts with requests in progress, in virtual time. Messages are lost, late, duplicated or cut off;
-//! fronts crash, pause, lose their disks or get older copies of them, and take each other for dead, rightly
+//! fronts crash, pause, lose their disks or get older copies of them, and consider each other dead, rightly
 //! and wrongly; clients retry at other fronts. The invariants are checked against counters at the origin,
 //! which shares nothing with the fronts.
 
@@ -541,7 +541,7 @@
 }
 
 #[test]
-fn partitions_that_take_each_other_for_dead_agree_on_one_run() {
+fn partitions_that_consider_each_other_dead_agree_on_one_run() {
     for seed in 0..60 {
         let mut w = World::new(seed, 6);
         w.access(0, 7, RepeatPolicy::Unrepeatable);
--- a/crates/fleet/src/fleet/orders.rs
+++ b/crates/fleet/src/fleet/orders.rs
@@ -30,7 +30,7 @@
                 && instance.phase.has_process()
                 && instance.phase != Phase::Stopping;
             if desired == DesiredState::Running {
-                // Ordered by a person: failures are counted anew.
+                // Explicitly ordered: the failure count and the backoff start over.
                 (instance.persisted.failures, instance.persisted.quarantined, instance.earliest_start) =
                     (0, false, self.now);
             }
--- a/crates/fleet/src/fleet/reports.rs
+++ b/crates/fleet/src/fleet/reports.rs
@@ -35,7 +35,7 @@
         let known = instance.persisted.process;
         let run = instance.persisted.run;
         if instance.persisted == PersistedState::default() && !processes.is_empty() {
-            // The journal was lost. Somebody wanted what is running, so it must not be stopped without
+            // The journal was lost. What is running was started on purpose, so it must not be stopped without
             // knowing more.
             (instance.persisted.desired, instance.persisted.revision, instance.desired_unknown) =
                 (DesiredState::Running, 1, true);
--- a/crates/fleet/src/instance.rs
+++ b/crates/fleet/src/instance.rs
@@ -248,8 +248,8 @@
             && (check == Check::Ready
                 || check == Check::NotReady && now >= self.phase_since + DRAIN_DETECTION_TIME)
         {
-            // Not ready for this long: somebody told it to drain, and that must last. An instance that is only
-            // starting is ready sooner.
+            // Not ready for this long: somebody told it to drain, and that must last. An instance that is
+            // only starting is ready sooner.
             self.desired_unknown = false;
             self.persisted.desired =
                 if check == Check::Ready { DesiredState::Running } else { DesiredState::Drained };
@@ -272,7 +272,8 @@
                 self.enter_phase(now, Phase::Draining);
             }
             (Phase::Starting, Check::NotReady) => self.drained = true,
-            // Not ready on its own: somebody else told it to stop, or it has just started.
+            // Not ready without being told to drain by this agent: somebody else stopped it, or it is not
+            // ready yet.
             (Phase::Ready, Check::NotReady) => self.enter_phase(now, Phase::Starting),
             (Phase::Ready | Phase::Draining, Check::Unresponsive)
                 if now >= self.last_answer_at + UNRESPONSIVE_TIMEOUT =>
--- a/crates/recall/src/lib.rs
+++ b/crates/recall/src/lib.rs
@@ -1,6 +1,6 @@
 //! What a front remembers over a restart, and what of it is still valid.
 //!
-//! A front that has restarted knows nothing and takes every copy for young. What it knew is in its own
+//! A front that has restarted knows nothing and treats every copy as young. What it knew is in its own
 //! snapshot ([`Snapshot`]), and running neighbours know about as much ([`PageFetcher`], [`PageServer`]).
 //! [`Memory`] decides for each entry whether it is worth keeping, for how long it is valid, what ends it
 //! sooner, and how imported entries are combined with those that the front has seen itself: they never
