--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -16,8 +16,8 @@
 use std::process::ExitCode;
 
 use clap::{Args, CommandFactory, Parser, Subcommand};
+use doorgrade_front::active_config::ConfigSources;
 use doorgrade_front::descriptors::Descriptors;
-use doorgrade_front::in_use::Place;
 use doorgrade_front::serve::serve;
 
 /// A front for caches of large objects behind thin links.
@@ -160,7 +160,7 @@
         None | Some(Command::Serve) => {
             let config = config.ok_or("PROXY_CONFIG is not set: expected the path of the configuration")?;
             let descriptors = Descriptors::at_start();
-            serve(Place { config, name, listen, settings, descriptors }).map(|()| End::Done)
+            serve(ConfigSources { config, name, listen, settings, descriptors }).map(|()| End::Done)
         }
         Some(Command::Check) => check::check(config, name, listen, settings),
         Some(Command::Shape(Shape::Show { file, table, json })) => shape::show(&of_shape(file)?, table, json),
--- a/crates/front/src/accept.rs
+++ b/crates/front/src/accept.rs
@@ -1,4 +1,4 @@
-//! Takes in clients' connections, so many at once and no more.
+//! Accepts clients' connections, up to a limit.
 
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -13,152 +13,163 @@
 
 use crate::conn::{self, ConnId, Event};
 
-/// Accepted connections are numbered from here on, those asked for from 0.
-pub const FIRST: ConnId = 1 << 63;
-
-/// The front that had the address before may still be on its way out: it ends within the longest hard limit (3 s at the
-/// most) and 0.7 s. Half as long again; whoever waits for this start is to hear of an address that stays taken.
-const TRIES: usize = 60;
-const BETWEEN: Duration = Duration::from_millis(100);
-/// How soon it is looked again whether there is a place, and what has failed is tried again.
-const FULL: Duration = Duration::from_millis(2);
-const FAILED: Duration = Duration::from_millis(5);
-/// Connections that may wait in the system's queue when no more are to come.
-const MOST_AFTER_END: usize = 1_024;
-
-fn bind(on: SocketAddr) -> std::io::Result<TcpListener> {
-    for tried in 0..TRIES {
-        match TcpListener::bind(on) {
+/// The first id of accepted connections; those to caches and the feed are numbered from 0.
+pub const FIRST_ACCEPTED: ConnId = 1 << 63;
+
+/// The front that had the address before may still be shutting down, within the longest hard limit (3 s at
+/// most) and 0.7 s. Half as long again, so that an address that stays in use is reported in time to whoever
+/// waits for this start.
+const BIND_TRIES: usize = 60;
+const BIND_RETRY_DELAY: Duration = Duration::from_millis(100);
+/// How soon to check again for a free slot, and to retry after a failure.
+const FULL_DELAY: Duration = Duration::from_millis(2);
+const ERROR_DELAY: Duration = Duration::from_millis(5);
+/// How many connections from the system's backlog are still accepted after the listener was told to close.
+const MAX_BACKLOG: usize = 1_024;
+
+fn bind(address: SocketAddr) -> std::io::Result<TcpListener> {
+    for attempt in 0..BIND_TRIES {
+        match TcpListener::bind(address) {
             Err(e) if e.kind() == ErrorKind::AddrInUse => {
-                if tried == 0 {
-                    tracing::warn!("{on} is in use: waits for it");
+                if attempt == 0 {
+                    tracing::warn!("{address} is in use; waiting for it");
                 }
-                std::thread::sleep(BETWEEN);
+                std::thread::sleep(BIND_RETRY_DELAY);
             }
             bound => return bound,
         }
     }
-    TcpListener::bind(on)
+    TcpListener::bind(address)
 }
 
-/// Clients' connections that hold a descriptor, counted where it is taken and given back.
-struct Descriptor(Arc<AtomicUsize>);
+/// Counts one open client connection for as long as it holds its descriptor.
+struct OpenCount(Arc<AtomicUsize>);
 
-impl Descriptor {
-    fn new(open: &Arc<AtomicUsize>) -> Descriptor {
+impl OpenCount {
+    fn new(open: &Arc<AtomicUsize>) -> OpenCount {
         open.fetch_add(1, Ordering::SeqCst);
-        Descriptor(open.clone())
+        OpenCount(open.clone())
     }
 }
 
-impl Drop for Descriptor {
+impl Drop for OpenCount {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::SeqCst);
     }
 }
 
-/// What listens, for whoever steers it.
+/// A handle on the listener.
 pub struct Acceptor {
     pub local: SocketAddr,
     waker: WaitIoWaker,
-    most: Arc<AtomicUsize>,
-    shut: Arc<AtomicBool>,
+    max_open: Arc<AtomicUsize>,
+    closing: Arc<AtomicBool>,
 }
 
 impl Acceptor {
-    /// How many clients' connections there may be at once. More wait in the system's queue, until the reducer has closed
-    /// one: what the feed, the caches and the ending need is never taken by clients.
-    pub fn set_most(&self, most: usize) {
-        self.most.store(most, Ordering::SeqCst);
+    /// Sets how many client connections may be open at once. Further ones wait in the system's backlog until
+    /// one is closed, so that clients never take descriptors that the feed, the caches or the shutdown need.
+    pub fn set_max_open(&self, max_open: usize) {
+        self.max_open.store(max_open, Ordering::SeqCst);
     }
 
-    /// No more are taken in: whoever comes is refused, and another process may have the address. Told by
-    /// [`Event::ListenerClosed`] once all that were accepted have been told.
+    /// Stops accepting: new connections are refused, and another process may bind the address.
+    /// [`Event::ListenerClosed`] follows once all accepted connections have been reported.
     pub fn close(&self) {
-        if !self.shut.swap(true, Ordering::SeqCst) {
+        if !self.closing.swap(true, Ordering::SeqCst) {
             self.waker.wakeup();
         }
     }
 }
 
-/// Whether a connection waits to be accepted: `accept` itself could be ended by nothing but a connection. Fails where the
-/// system does not tell.
-fn comes(listener: &TcpListener) -> std::io::Result<bool> {
-    let mut asked = [PollFd::new(listener.inner(), PollFlags::IN)];
-    Ok(poll(&mut asked, Some(&Timespec { tv_sec: 0, tv_nsec: 0 }))? > 0)
+/// Whether a connection waits to be accepted. Needed because a blocked `accept` could only be ended by a
+/// connection. Fails if the system does not tell.
+fn connection_waits(listener: &TcpListener) -> std::io::Result<bool> {
+    let mut poll_fds = [PollFd::new(listener.inner(), PollFlags::IN)];
+    Ok(poll(&mut poll_fds, Some(&Timespec { tv_sec: 0, tv_nsec: 0 }))? > 0)
 }
 
-/// Listens, and reports each connection as it comes up, until the listener is closed.
-pub fn listen(on: SocketAddr, most: usize, events: Sender<Event>) -> std::io::Result<Acceptor> {
-    let listener = bind(on)?;
+/// Listens, and reports each accepted connection until the listener is closed.
+pub fn listen(address: SocketAddr, max_open: usize, events: Sender<Event>) -> std::io::Result<Acceptor> {
+    let listener = bind(address)?;
     let local = listener.local_addr()?;
-    let (most, shut) = (Arc::new(AtomicUsize::new(most)), Arc::new(AtomicBool::new(false)));
-    let acceptor = Acceptor { local, waker: listener.waker(), most: most.clone(), shut: shut.clone() };
+    let (max_open, closing) = (Arc::new(AtomicUsize::new(max_open)), Arc::new(AtomicBool::new(false)));
+    let acceptor =
+        Acceptor { local, waker: listener.waker(), max_open: max_open.clone(), closing: closing.clone() };
     let open = Arc::default();
-    let queue = Queue { listener, next: FIRST, open, most, shut, left: MOST_AFTER_END, events };
-    conn::spawn(move || queue.run());
+    let accept_loop = AcceptLoop {
+        listener,
+        next: FIRST_ACCEPTED,
+        open,
+        max_open,
+        closing,
+        remaining: MAX_BACKLOG,
+        events,
+    };
+    conn::spawn(move || accept_loop.run());
     Ok(acceptor)
 }
 
-/// The system's queue of connections, as it is emptied.
-struct Queue {
+/// The loop that accepts connections.
+struct AcceptLoop {
     listener: TcpListener,
     next: ConnId,
     open: Arc<AtomicUsize>,
-    most: Arc<AtomicUsize>,
-    shut: Arc<AtomicBool>,
-    /// So many are still taken in once no more are to come.
-    left: usize,
+    max_open: Arc<AtomicUsize>,
+    closing: Arc<AtomicBool>,
+    /// How many more are accepted once the listener was told to close.
+    remaining: usize,
     events: Sender<Event>,
 }
 
-impl Queue {
-    /// Until the listener is to be closed and what had come before is taken in: a request may have been written there.
+impl AcceptLoop {
+    /// Runs until the listener is told to close and the backlog is accepted: requests may already have been
+    /// written to those connections.
     fn run(mut self) {
         loop {
-            let shut = self.shut.load(Ordering::SeqCst);
-            match comes(&self.listener) {
-                Ok(false) if shut => break,
+            let closing = self.closing.load(Ordering::SeqCst);
+            match connection_waits(&self.listener) {
+                Ok(false) if closing => break,
                 Ok(false) => {
                     self.listener.wait_io();
                 }
-                Ok(true) if shut && self.left == 0 => break,
-                Ok(true) if self.full() => may::coroutine::sleep(FULL),
+                Ok(true) if closing && self.remaining == 0 => break,
+                Ok(true) if self.is_full() => may::coroutine::sleep(FULL_DELAY),
                 Ok(true) => {
-                    self.left -= usize::from(shut);
+                    self.remaining -= usize::from(closing);
                     self.accept();
                 }
-                Err(_) => may::coroutine::sleep(FAILED),
+                Err(_) => may::coroutine::sleep(ERROR_DELAY),
             }
         }
-        let Queue { listener, events, .. } = self;
+        let AcceptLoop { listener, events, .. } = self;
         drop(listener);
         let _ = events.send(Event::ListenerClosed);
     }
 
-    fn full(&self) -> bool {
-        self.open.load(Ordering::SeqCst) >= self.most.load(Ordering::SeqCst)
+    fn is_full(&self) -> bool {
+        self.open.load(Ordering::SeqCst) >= self.max_open.load(Ordering::SeqCst)
     }
 
     fn accept(&mut self) {
         let stream = match self.listener.accept() {
             Ok((stream, _)) => stream,
             Err(e) => {
-                if conn::failed_here(&e) {
-                    let _ = self.events.send(Event::NoMeans);
+                if conn::is_local_failure(&e) {
+                    let _ = self.events.send(Event::AcceptFailed);
                 }
-                // Else a client that is gone again.
-                return may::coroutine::sleep(FAILED);
+                // Otherwise the client has disconnected already.
+                return may::coroutine::sleep(ERROR_DELAY);
             }
         };
-        let (conn, events, held) = (self.next, self.events.clone(), Descriptor::new(&self.open));
+        let (conn, events, open_count) = (self.next, self.events.clone(), OpenCount::new(&self.open));
         self.next += 1;
-        let (port, open) = conn::open(stream);
-        // From here, not from its coroutine: nothing comes after the word that the listener is closed.
-        let _ = events.send(Event::Accepted(conn, port));
+        let (handle, task) = conn::open(stream);
+        // Sent from here and not from the connection's coroutine, so that nothing follows `ListenerClosed`.
+        let _ = events.send(Event::Accepted(conn, handle));
         conn::spawn(move || {
-            open.serve(conn, &events);
-            drop(held);
+            task.serve(conn, &events);
+            drop(open_count);
         });
     }
 }
--- a/crates/front/src/answer.rs
+++ b/crates/front/src/answer.rs
@@ -1,48 +1,49 @@
-//! Answers on their way to a client: whole CGI responses, cut into records as the ring has room. No I/O.
+//! Responses on their way to a client: whole CGI responses, split into records as the buffer has room. No
+//! I/O.
 
 use std::collections::VecDeque;
 
 use crate::fastcgi;
-use crate::intake::MOST_OPEN;
-use crate::ring::Ring;
+use crate::intake::MAX_OPEN_REQUESTS;
+use crate::ring_buffer::RingBuffer;
 
-/// Content of one record, so that answers on one connection take turns.
-const TURN: usize = 16 * 1024;
+/// The most content of one record, so that responses on one connection alternate.
+const MAX_RECORD_CONTENT: usize = 16 * 1024;
 
-struct Answer {
+struct QueuedResponse {
     id: u16,
     head: Vec<u8>,
     body: Vec<u8>,
     written: usize,
-    /// Not of the request that is open under this id.
-    extra: bool,
+    /// Answers a duplicate under an id whose first request is still open.
+    duplicate: bool,
 }
 
-/// What a client's connection is still owed.
+/// What is still to be written to a client.
 #[derive(Default)]
 pub struct Outbox {
-    /// Replies to records of management.
-    plain: VecDeque<Vec<u8>>,
-    answers: VecDeque<Answer>,
+    /// Responses to management records.
+    records: VecDeque<Vec<u8>>,
+    responses: VecDeque<QueuedResponse>,
     /// Bytes of bodies held.
-    pub held: usize,
+    pub held_bytes: usize,
 }
 
-/// What an answer says.
+/// The content of a response.
 pub struct Reply<'a> {
     pub status: u16,
     pub tag: Option<&'a str>,
-    pub same: bool,
+    pub not_modified: bool,
     pub body: Vec<u8>,
 }
 
 impl Reply<'_> {
     pub fn bare(status: u16) -> Self {
-        Reply { status, tag: None, same: false, body: Vec::new() }
+        Reply { status, tag: None, not_modified: false, body: Vec::new() }
     }
 }
 
-fn reason(status: u16) -> &'static str {
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         400 => "Bad Request",
@@ -55,73 +56,80 @@
 
 impl Outbox {
     pub fn is_empty(&self) -> bool {
-        self.plain.is_empty() && self.answers.is_empty()
+        self.records.is_empty() && self.responses.is_empty()
     }
 
-    /// More waits than the requests a connection may have open give reason for.
-    pub fn crowded(&self) -> bool {
-        self.plain.len() + self.answers.len() > 2 * MOST_OPEN
+    /// More responses wait than the open requests of a connection can explain.
+    pub fn is_overfull(&self) -> bool {
+        self.records.len() + self.responses.len() > 2 * MAX_OPEN_REQUESTS
     }
 
-    pub fn put_plain(&mut self, bytes: Vec<u8>) {
-        self.plain.push_back(bytes);
+    pub fn push_record(&mut self, bytes: Vec<u8>) {
+        self.records.push_back(bytes);
     }
 
-    pub fn put(&mut self, id: u16, reply: Reply<'_>, extra: bool) {
-        let mut head = format!("Status: {} {}\r\n", reply.status, reason(reply.status));
+    pub fn push(&mut self, id: u16, reply: Reply<'_>, duplicate: bool) {
+        let mut head = format!("Status: {} {}\r\n", reply.status, reason_phrase(reply.status));
         if let Some(tag) = reply.tag {
             head.push_str(&format!("X-Etag: {tag}\r\n"));
         }
-        if reply.same {
+        if reply.not_modified {
             head.push_str("X-Notmod: 1\r\n");
         }
         head.push_str(&format!("Content-Length: {}\r\n\r\n", reply.body.len()));
-        self.held += reply.body.len();
-        self.answers.push_back(Answer { id, head: head.into(), body: reply.body, written: 0, extra });
+        self.held_bytes += reply.body.len();
+        self.responses.push_back(QueuedResponse {
+            id,
+            head: head.into(),
+            body: reply.body,
+            written: 0,
+            duplicate,
+        });
     }
 
-    /// Drops an answer that its client has given up, or what is left of it.
-    pub fn forget(&mut self, id: u16) {
-        if let Some(place) = self.answers.iter().position(|a| a.id == id && !a.extra)
-            && let Some(answer) = self.answers.remove(place)
+    /// Drops the rest of a response whose request the client has aborted.
+    pub fn remove(&mut self, id: u16) {
+        if let Some(index) = self.responses.iter().position(|a| a.id == id && !a.duplicate)
+            && let Some(response) = self.responses.remove(index)
         {
-            self.held -= answer.body.len();
+            self.held_bytes -= response.body.len();
         }
     }
 
-    /// Moves what fits into the ring; each answer that is whole in it is told to `done`.
-    pub fn fill(&mut self, ring: &mut Ring, mut done: impl FnMut(u16)) {
-        while let Some(bytes) = self.plain.front() {
-            if ring.free() < bytes.len() {
+    /// Moves what fits into the buffer, and calls `done` for each response that has been moved whole.
+    pub fn fill(&mut self, buffer: &mut RingBuffer, mut done: impl FnMut(u16)) {
+        while let Some(bytes) = self.records.front() {
+            if buffer.free() < bytes.len() {
                 return;
             }
-            ring.put(bytes);
-            self.plain.pop_front();
+            buffer.put(bytes);
+            self.records.pop_front();
         }
-        // The end of an answer takes an empty record and the record that ends it.
-        while ring.free() >= 2 * fastcgi::HEADER + 24
-            && let Some(mut answer) = self.answers.pop_front()
+        // A response ends with an empty record and an end-of-request record.
+        while buffer.free() >= 2 * fastcgi::HEADER + 24
+            && let Some(mut response) = self.responses.pop_front()
         {
-            let total = answer.head.len() + answer.body.len();
-            let count = (total - answer.written).min(TURN).min(ring.free() - fastcgi::HEADER);
+            let total = response.head.len() + response.body.len();
+            let count =
+                (total - response.written).min(MAX_RECORD_CONTENT).min(buffer.free() - fastcgi::HEADER);
             if count > 0 {
-                ring.put(&fastcgi::header(fastcgi::STDOUT, answer.id, count));
+                buffer.put(&fastcgi::header(fastcgi::STDOUT, response.id, count));
             }
-            let from_head = answer.head.get(answer.written..).unwrap_or_default();
+            let from_head = response.head.get(response.written..).unwrap_or_default();
             let from_head = &from_head[..from_head.len().min(count)];
-            ring.put(from_head);
-            let from = (answer.written + from_head.len()).saturating_sub(answer.head.len());
-            ring.put(&answer.body[from..from + count - from_head.len()]);
-            answer.written += count;
-            if answer.written < total || ring.free() < fastcgi::HEADER + 16 {
-                self.answers.push_back(answer);
+            buffer.put(from_head);
+            let from = (response.written + from_head.len()).saturating_sub(response.head.len());
+            buffer.put(&response.body[from..from + count - from_head.len()]);
+            response.written += count;
+            if response.written < total || buffer.free() < fastcgi::HEADER + 16 {
+                self.responses.push_back(response);
                 continue;
             }
-            ring.put(&fastcgi::header(fastcgi::STDOUT, answer.id, 0));
-            ring.put(&fastcgi::end_request(answer.id, fastcgi::COMPLETE));
-            self.held -= answer.body.len();
-            if !answer.extra {
-                done(answer.id);
+            buffer.put(&fastcgi::header(fastcgi::STDOUT, response.id, 0));
+            buffer.put(&fastcgi::end_request(response.id, fastcgi::COMPLETE));
+            self.held_bytes -= response.body.len();
+            if !response.duplicate {
+                done(response.id);
             }
         }
     }
--- a/crates/front/src/clock.rs
+++ b/crates/front/src/clock.rs
@@ -1,4 +1,4 @@
-//! Time, as the control side reads it too; and what is to happen when.
+//! The process's clock, shared with the control client, and a timer queue.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -7,32 +7,32 @@
 
 pub use doorgrade_control_client::clock::{heed_tests, now, unix};
 
-/// Things to do later, the earliest first, in the order asked where times are equal.
+/// A queue of timers, ordered by time, then by when they were set.
 pub struct Timers<T> {
     heap: BinaryHeap<Reverse<(Ticks, u64, T)>>,
-    asked: u64,
+    sequence: u64,
 }
 
 impl<T: Ord> Default for Timers<T> {
     fn default() -> Self {
-        Timers { heap: BinaryHeap::new(), asked: 0 }
+        Timers { heap: BinaryHeap::new(), sequence: 0 }
     }
 }
 
 impl<T: Ord> Timers<T> {
-    pub fn set(&mut self, at: Ticks, what: T) {
-        self.asked += 1;
-        self.heap.push(Reverse((at, self.asked, what)));
+    pub fn set(&mut self, at: Ticks, timer: T) {
+        self.sequence += 1;
+        self.heap.push(Reverse((at, self.sequence, timer)));
     }
 
     pub fn next(&self) -> Option<Ticks> {
         self.heap.peek().map(|Reverse((at, ..))| *at)
     }
 
-    pub fn due(&mut self, now: Ticks) -> Option<T> {
+    pub fn pop_due(&mut self, now: Ticks) -> Option<T> {
         if self.next()? > now {
             return None;
         }
-        self.heap.pop().map(|Reverse((.., what))| what)
+        self.heap.pop().map(|Reverse((.., timer))| timer)
     }
 }
--- a/crates/front/src/config.rs
+++ b/crates/front/src/config.rs
@@ -1,4 +1,4 @@
-//! The one place where the configuration is read, checked and given defaults. Messages name the faulty key.
+//! Reads and checks the configuration, and sets defaults. Error messages name the faulty key.
 
 use std::net::SocketAddr;
 
@@ -10,7 +10,7 @@
 use serde_json::value::RawValue;
 
 use crate::descriptors::Descriptors;
-use crate::feed::{Event, Names};
+use crate::feed::{Event, ZoneAndKindNames};
 
 #[derive(Deserialize)]
 struct File {
@@ -39,16 +39,16 @@
     }
 }
 
-/// What a running front takes from a file that replaces its own; all else waits for a start.
+/// What a running front applies of a configuration that replaces its own; everything else needs a restart.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Renewal {
+pub struct ReloadedConfig {
     pub feed: SocketAddr,
     pub limits: Limits,
     pub log: LevelFilter,
     /// The operators' files.
     pub files: Files,
-    /// The shape in them is all there is to be: it came with a version. A file's tells changes.
-    pub whole: bool,
+    /// The shape in `files` is complete, because it came with a version. A file holds changes.
+    pub full_shape: bool,
 }
 
 #[derive(Clone)]
@@ -58,43 +58,43 @@
     pub seed: u64,
     pub limits: Limits,
     pub feed: SocketAddr,
-    pub told: Told,
-    pub names: Names,
-    /// Events up to the start, and the number of the last.
+    pub platform: Told,
+    pub names: ZoneAndKindNames,
+    /// The events up to the start, and the number of the last one.
     pub known: (u64, Vec<Event>),
     pub log: LevelFilter,
-    /// The operators' files; all off until [`Config::with`] says otherwise.
+    /// The operators' files; all features are off until [`Config::with_files`].
     pub files: Files,
-    /// The shape in them came with a version.
-    pub whole: bool,
-    /// What this process may use of the descriptors that it is told of.
+    /// The shape in `files` is complete, because it came with a version.
+    pub full_shape: bool,
+    /// The descriptors that this process may use.
     pub descriptors: Descriptors,
 }
 
-const LEAST_SOCKETS: usize = version::LEAST_SOCKETS as usize;
-const LEAST_MEMORY_MB: usize = version::LEAST_MEMORY_MB as usize;
-const MOST: usize = version::MOST as usize;
+const MIN_SOCKETS: usize = version::LEAST_SOCKETS as usize;
+const MIN_MEMORY_MB: usize = version::LEAST_MEMORY_MB as usize;
+const MAX_LIMIT: usize = version::MOST as usize;
 
-/// The timers of coroutines take no more, and less could never be met; in tenths of a millisecond.
-const CONNECT_WITHIN: std::ops::RangeInclusive<u64> = 10..=600_000;
+/// The connect timeouts that coroutines support; less could never be met.
+const CONNECT_TIMEOUTS: std::ops::RangeInclusive<u64> = 10..=600_000;
 
-fn at<T>(key: &str, read: Result<T, impl std::fmt::Display>) -> Result<T, String> {
-    read.map_err(|e| format!("configuration: key '{key}': {e}"))
+fn with_key<T>(key: &str, result: Result<T, impl std::fmt::Display>) -> Result<T, String> {
+    result.map_err(|e| format!("configuration: key '{key}': {e}"))
 }
 
-/// Reads a part of the configuration; the message has the path of the key at fault below `key`.
-fn part<'a, T: Deserialize<'a>>(key: &str, text: &'a str) -> Result<T, String> {
+/// Parses a part of the configuration; errors name the path of the faulty key below `key`.
+fn parse_part<'a, T: Deserialize<'a>>(key: &str, text: &'a str) -> Result<T, String> {
     let mut json = serde_json::Deserializer::from_str(text);
     let read = serde_path_to_error::deserialize(&mut json).map_err(|e| match e.path().to_string() {
-        path if path == "." => at::<()>(key, Err(e.inner())).unwrap_err(),
-        path if key.is_empty() => at::<()>(&path, Err(e.inner())).unwrap_err(),
-        path => at::<()>(&format!("{key}.{path}"), Err(e.inner())).unwrap_err(),
+        path if path == "." => with_key::<()>(key, Err(e.inner())).unwrap_err(),
+        path if key.is_empty() => with_key::<()>(&path, Err(e.inner())).unwrap_err(),
+        path => with_key::<()>(&format!("{key}.{path}"), Err(e.inner())).unwrap_err(),
     })?;
-    at(key, json.end())?;
+    with_key(key, json.end())?;
     Ok(read)
 }
 
-fn filter(level: Level) -> LevelFilter {
+fn level_filter(level: Level) -> LevelFilter {
     match level {
         Level::Off => LevelFilter::OFF,
         Level::Error => LevelFilter::ERROR,
@@ -106,88 +106,95 @@
 }
 
 impl Config {
-    /// From the text of the file and what the environment says of name and address.
+    /// Reads the text of the file. `name` and `listen` come from the environment, and override the file.
     pub fn read(text: &str, name: Option<String>, listen: Option<String>) -> Result<Config, String> {
-        let file: File = part("", text)?;
+        let file: File = parse_part("", text)?;
         let name = name.or(file.name).ok_or("configuration: key 'name' is missing")?;
         let listen = listen.or(file.listen).ok_or("configuration: key 'listen' is missing")?;
         let seed = match file.seed {
-            Some(hex) => at("seed", u64::from_str_radix(&hex, 16))?,
+            Some(hex) => with_key("seed", u64::from_str_radix(&hex, 16))?,
             None => crate::clock::unix(),
         };
-        if file.limits.sockets < LEAST_SOCKETS {
-            return at("limits.sockets", Err(format!("{} is below {LEAST_SOCKETS}", file.limits.sockets)));
+        if file.limits.sockets < MIN_SOCKETS {
+            return with_key(
+                "limits.sockets",
+                Err(format!("{} is below {MIN_SOCKETS}", file.limits.sockets)),
+            );
         }
-        if file.limits.memory_mb < LEAST_MEMORY_MB {
-            return at(
+        if file.limits.memory_mb < MIN_MEMORY_MB {
+            return with_key(
                 "limits.memory_mb",
-                Err(format!("{} is below {LEAST_MEMORY_MB}", file.limits.memory_mb)),
+                Err(format!("{} is below {MIN_MEMORY_MB}", file.limits.memory_mb)),
             );
         }
-        let told = at("settings", doorgrade_settings::read(file.settings.get()))?;
-        if !CONNECT_WITHIN.contains(&told.connect_within) {
-            return at("settings.limits.connectTimeout", Err("is not from 1 ms to a minute"));
+        let platform = with_key("settings", doorgrade_settings::read(file.settings.get()))?;
+        if !CONNECT_TIMEOUTS.contains(&platform.connect_within) {
+            return with_key("settings.limits.connectTimeout", Err("must be from 1 ms to 1 min"));
         }
-        if told.offerings.is_empty() {
-            return at("settings.profiles", Err("is missing or empty"));
+        if platform.offerings.is_empty() {
+            return with_key("settings.profiles", Err("is missing or empty"));
         }
-        if told.settings.zone >= told.zones.len().max(1) {
-            return at("settings.zone", Err(format!("{} is no place in 'localities'", told.settings.zone)));
+        if platform.settings.zone >= platform.zones.len().max(1) {
+            return with_key(
+                "settings.zone",
+                Err(format!("{} is not an index of 'localities'", platform.settings.zone)),
+            );
         }
-        let names = Names { zones: told.zones.clone(), kinds: told.kinds.clone() };
-        let known = at("known", crate::feed::known(part("known", file.known.get())?, &names))?;
+        let names = ZoneAndKindNames { zones: platform.zones.clone(), kinds: platform.kinds.clone() };
+        let known =
+            with_key("known", crate::feed::events_at_start(parse_part("known", file.known.get())?, &names))?;
         Ok(Config {
             name,
-            listen: at("listen", listen.parse())?,
+            listen: with_key("listen", listen.parse())?,
             seed,
             limits: Limits {
-                memory_mb: file.limits.memory_mb.min(MOST),
-                sockets: file.limits.sockets.min(MOST),
+                memory_mb: file.limits.memory_mb.min(MAX_LIMIT),
+                sockets: file.limits.sockets.min(MAX_LIMIT),
             },
-            feed: at("feed", file.feed.parse())?,
-            told,
+            feed: with_key("feed", file.feed.parse())?,
+            platform,
             names,
             known,
-            log: file.log.map_or(Ok(LevelFilter::INFO), |level| at("log", level.parse()))?,
+            log: file.log.map_or(Ok(LevelFilter::INFO), |level| with_key("log", level.parse()))?,
             files: Files::default(),
-            whole: false,
+            full_shape: false,
             descriptors: Descriptors::default(),
         })
     }
 
-    /// On a machine that leaves this process so many descriptors, whatever it is told.
-    pub fn on(mut self, descriptors: Descriptors) -> Result<Config, String> {
+    /// Limits the sockets to the descriptors that the system leaves to this process.
+    pub fn with_descriptors(mut self, descriptors: Descriptors) -> Result<Config, String> {
         descriptors.check()?;
         self.descriptors = descriptors;
-        self.limits.sockets = descriptors.own(self.limits.sockets);
+        self.limits.sockets = descriptors.usable(self.limits.sockets);
         Ok(self)
     }
 
-    /// With what the operators' own files say, which goes before what the platform's does.
-    pub fn with(mut self, files: Files) -> Config {
-        self.log = files.settings.log.level.map_or(self.log, filter);
+    /// Applies the operators' files, which override the platform's configuration.
+    pub fn with_files(mut self, files: Files) -> Config {
+        self.log = files.settings.log.level.map_or(self.log, level_filter);
         self.files = files;
         self
     }
 
-    /// With what a version says, which goes before all files.
-    pub fn overlaid(mut self, version: &Version) -> Config {
-        self.log = version.level.map_or(self.log, filter);
+    /// Applies a version, which overrides all files.
+    pub fn with_version(mut self, version: &Version) -> Config {
+        self.log = version.level.map_or(self.log, level_filter);
         let Limits { memory_mb, sockets } = self.limits;
-        let own = |told: u64| self.descriptors.own(told as usize);
+        let usable = |sockets: u64| self.descriptors.usable(sockets as usize);
         self.limits = Limits {
-            memory_mb: version.memory_mb.map_or(memory_mb, |told| told as usize),
-            sockets: version.sockets.map_or(sockets, own),
+            memory_mb: version.memory_mb.map_or(memory_mb, |memory_mb| memory_mb as usize),
+            sockets: version.sockets.map_or(sockets, usable),
         };
         self.feed = version.feed.unwrap_or(self.feed);
         if let Some(shape) = &version.shape {
             self.files.shape.clone_from(shape);
-            self.whole = true;
+            self.full_shape = true;
         }
         self
     }
 
-    /// What of a version this front could only take with a new start, key by key.
+    /// The keys of a version that this front could only apply after a restart.
     pub fn needs_restart(&self, version: &Version) -> Vec<String> {
         let Some(told) = &version.hierarchy else { return Vec::new() };
         let Some(own) = &self.files.settings.hierarchy else {
@@ -207,22 +214,22 @@
         keys.into_iter().flatten().collect()
     }
 
-    /// What a running front takes of a configuration that replaces this one, and the keys that differ but
-    /// can't be taken before the next start. `known` is not needed: the feed repeats what was missed.
-    pub fn renewal(&self, new: Config) -> (Renewal, Vec<&'static str>) {
-        let (own, theirs) = (&new.files.settings, &self.files.settings);
-        let waits = [
+    /// What this front can apply of a configuration that replaces this one without a restart, and the keys
+    /// that differ but need one. `known` is not needed, as the feed repeats what was missed.
+    pub fn reload_from(&self, new: Config) -> (ReloadedConfig, Vec<&'static str>) {
+        let (new_settings, current) = (&new.files.settings, &self.files.settings);
+        let needs_restart = [
             ("name", new.name != self.name),
             ("listen", new.listen != self.listen),
-            ("settings", new.told != self.told),
-            ("log.format", own.log.format != theirs.log.format),
-            ("hierarchy", own.hierarchy != theirs.hierarchy),
-            ("versions", own.versions != theirs.versions),
-            ("neighbours", own.neighbours != theirs.neighbours),
-            ("recall", own.recall != theirs.recall),
+            ("settings", new.platform != self.platform),
+            ("log.format", new_settings.log.format != current.log.format),
+            ("hierarchy", new_settings.hierarchy != current.hierarchy),
+            ("versions", new_settings.versions != current.versions),
+            ("neighbours", new_settings.neighbours != current.neighbours),
+            ("recall", new_settings.recall != current.recall),
         ];
-        let waits = waits.into_iter().filter(|w| w.1).map(|w| w.0).collect();
-        let Config { feed, limits, log, files, whole, .. } = new;
-        (Renewal { feed, limits, log, files, whole }, waits)
+        let needs_restart = needs_restart.into_iter().filter(|w| w.1).map(|w| w.0).collect();
+        let Config { feed, limits, log, files, full_shape, .. } = new;
+        (ReloadedConfig { feed, limits, log, files, full_shape }, needs_restart)
     }
 }
--- a/crates/front/src/conn.rs
+++ b/crates/front/src/conn.rs
@@ -1,4 +1,4 @@
-//! The coroutine of one connection. It reads and writes as it is told, and reports; it decides nothing.
+//! The coroutine of one connection. It reads and writes as told, and reports events; it decides nothing.
 
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr};
@@ -12,142 +12,146 @@
 use may::net::TcpStream;
 
 use crate::clock;
-use crate::config::Renewal;
-use crate::reasons::Cut;
-use crate::ring::Ring;
+use crate::config::ReloadedConfig;
+use crate::reasons::IoEnd;
+use crate::ring_buffer::RingBuffer;
 
-pub use crate::awaiting::{Awaiting, Awaits};
+pub use crate::send_guard::{SendConditions, SendGuard};
 
 pub type ConnId = u64;
 
-/// What comes from outside, in the order in which it came.
+/// What happens outside the reducer, in order of arrival.
 pub enum Event {
-    /// A client's connection is up.
-    Accepted(ConnId, Port),
-    /// One that was asked for is up, or can't be made.
-    Connected(ConnId, io::Result<Port>),
-    /// Some bytes were read, or none will come any more.
-    Read { conn: ConnId, ring: Ring, ended: Option<Cut>, at: Ticks },
-    /// All of the ring was written, or no more can be.
-    Wrote { conn: ConnId, ring: Ring, failed: Option<Cut> },
-    /// The end of writing was sent to a client; nothing of what still comes is told.
+    /// A client has connected.
+    Accepted(ConnId, ConnHandle),
+    /// A connection that was requested is established, or failed.
+    Connected(ConnId, io::Result<ConnHandle>),
+    /// Data was read, or the connection has ended.
+    Read { conn: ConnId, buffer: RingBuffer, ended: Option<IoEnd>, received_at: Ticks },
+    /// The whole buffer was written, or the write has failed.
+    Wrote { conn: ConnId, buffer: RingBuffer, failed: Option<IoEnd> },
+    /// The sending side of a client's connection was shut down; data that still arrives is discarded.
     HalfClosed(ConnId),
-    /// The descriptor is given back.
+    /// The descriptor is free.
     Closed(ConnId),
-    /// Clients' connections can't be accepted: no descriptor, or no memory, is left.
-    NoMeans,
-    /// Nothing is listened to any more; all connections that came before have been told.
+    /// Clients' connections can't be accepted for lack of descriptors or memory.
+    AcceptFailed,
+    /// The listener is closed, and all connections accepted before have been reported.
     ListenerClosed,
-    /// The operators' word to stop.
+    /// Requested by SIGTERM.
     Stop,
-    /// Their word that clients are to go elsewhere, or need not any more.
+    /// Whether health checks are to report this front as unavailable, so that clients go elsewhere.
     Drain(bool),
-    /// Their word to take the configuration that has replaced the one in use.
-    Reload(Box<Renewal>),
-    /// What was known before the start, or is known to neighbours.
+    /// The files were read again after SIGHUP.
+    Reload(Box<ReloadedConfig>),
+    /// Fills and purges known from before the start, or to neighbours.
     Recall(Vec<doorgrade_recall::Fill>, Vec<doorgrade_recall::Purge>),
-    /// The same of a version, and where to say that it was taken.
-    Version(Box<Renewal>, tokio::sync::oneshot::Sender<()>),
+    /// A new configuration version, and where to report that it was applied.
+    Version(Box<ReloadedConfig>, tokio::sync::oneshot::Sender<()>),
 }
 
-enum Job {
-    Read(Ring),
-    Write(Ring),
-    /// To be written only while nothing has come, the other side has not ended it, and somebody waits for the answer.
-    Begin(Ring, Awaiting),
-    /// To be ended in order, unless something has come that was not told yet; or whatever has come.
+enum Command {
+    Read(RingBuffer),
+    Write(RingBuffer),
+    /// Written only if no data has arrived, the peer has not closed the connection, and the response is still
+    /// wanted.
+    StartRequest(RingBuffer, SendGuard),
+    /// Half-closes the connection. If `discard` is false, only if no data has arrived that was not reported
+    /// yet.
     HalfClose {
         discard: bool,
     },
 }
 
-/// Jobs of one connection that may wait at once: there is one ring a direction, and before an end that was dropped is
-/// seen, another may be asked for.
-const MOST_JOBS: usize = 4;
+/// The most commands of one connection that may wait: there is one buffer for each direction, and a second
+/// half-close may be requested before the coroutine has dropped the first.
+const MAX_COMMANDS: usize = 4;
 
-/// The other end of a connection's coroutine; dropped, it closes the connection.
-pub struct Port {
-    jobs: Option<SyncSender<Job>>,
+/// The handle of a connection's coroutine. Dropping it closes the connection.
+pub struct ConnHandle {
+    sender: Option<SyncSender<Command>>,
     waker: WaitIoWaker,
     stream: Weak<Stream>,
 }
 
-/// A connection's socket, and what others may know of it.
+/// A connection's socket, and the state that is shared with others.
 pub(crate) struct Stream {
     pub(crate) socket: TcpStream,
-    /// Something was read that is still on its way to the reducer.
-    pub(crate) unheard: AtomicBool,
+    /// Data was read that has not reached the reducer yet.
+    pub(crate) data_pending: AtomicBool,
 }
 
-impl Port {
-    pub fn read(&self, ring: Ring) {
-        self.ask(Job::Read(ring));
+impl ConnHandle {
+    pub fn read(&self, buffer: RingBuffer) {
+        self.send_command(Command::Read(buffer));
     }
 
-    /// What was read goes to the reducer now.
-    pub fn heard(&self) {
+    /// Called when the reducer is handed the data that was read.
+    pub fn data_delivered(&self) {
         if let Some(stream) = self.stream.upgrade() {
-            stream.unheard.store(false, Ordering::SeqCst);
+            stream.data_pending.store(false, Ordering::SeqCst);
         }
     }
 
-    pub fn write(&self, ring: Ring) {
-        self.ask(Job::Write(ring));
+    pub fn write(&self, buffer: RingBuffer) {
+        self.send_command(Command::Write(buffer));
     }
 
-    pub fn begin(&self, ring: Ring, awaiting: Awaiting) {
-        self.ask(Job::Begin(ring, awaiting));
+    pub fn start_request(&self, buffer: RingBuffer, guard: SendGuard) {
+        self.send_command(Command::StartRequest(buffer, guard));
     }
 
-    /// Who waits at this client's connection.
-    pub fn awaiting(&self, awaits: Awaits) -> Awaiting {
-        Awaiting { stream: self.stream.clone(), awaits }
+    /// A guard for a request of this client.
+    pub fn send_guard(&self, conditions: SendConditions) -> SendGuard {
+        SendGuard { stream: self.stream.clone(), conditions }
     }
 
-    /// Half-close: the end of writing is sent, then what still comes is read and dropped until the other side ends, or
-    /// this port is dropped. A plain close over unread bytes would reset the connection, and take with it answers that
-    /// the other side has not read yet. Only while nothing is being written. Told by [`Event::HalfClosed`]; where
-    /// something has come, that is told instead, and nothing is ended, unless nobody wants to hear it.
+    /// Shuts down the sending side, then reads and discards data until the peer closes the connection, or
+    /// this handle is dropped. Closing a socket with unread data would reset the connection, and the peer
+    /// could lose responses that it has not read yet. Only to be used while nothing is being written.
+    /// Reported by [`Event::HalfClosed`]. If data has arrived, that is reported instead and nothing is shut
+    /// down, unless `discard` is set.
     pub fn half_close(&self, discard: bool) {
-        self.ask(Job::HalfClose { discard });
+        self.send_command(Command::HalfClose { discard });
     }
 
-    /// One whose coroutine has ended is reported closed.
-    fn ask(&self, job: Job) {
-        if let Some(Err(TrySendError::Full(_))) = self.jobs.as_ref().map(|jobs| jobs.try_send(job)) {
-            tracing::error!("a connection has more to do than it can hold: it may hang");
+    /// If the coroutine has ended, [`Event::Closed`] was sent.
+    fn send_command(&self, command: Command) {
+        if let Some(Err(TrySendError::Full(_))) = self.sender.as_ref().map(|sender| sender.try_send(command))
+        {
+            tracing::error!("a connection's command queue is full; the connection may hang");
         }
         self.waker.wakeup();
     }
 }
 
-impl Drop for Port {
+impl Drop for ConnHandle {
     fn drop(&mut self) {
-        self.jobs = None;
+        self.sender = None;
         self.waker.wakeup();
     }
 }
 
-/// Starts a coroutine on the one worker.
+/// Starts a coroutine on the only worker thread.
 #[allow(unsafe_code)] // The crate's spawn asks for it: none of ours uses thread-locals or much stack.
-pub fn spawn(run: impl FnOnce() + Send + 'static) {
-    may::go!(run);
+pub fn spawn(body: impl FnOnce() + Send + 'static) {
+    may::go!(body);
 }
 
-pub fn connect(conn: ConnId, to: SocketAddr, within: Duration, events: Sender<Event>) {
-    spawn(move || match TcpStream::connect_timeout(&to, within) {
+pub fn connect(conn: ConnId, address: SocketAddr, timeout: Duration, events: Sender<Event>) {
+    spawn(move || match TcpStream::connect_timeout(&address, timeout) {
         Ok(stream) => {
-            let (port, line) = open(stream);
-            report(&events, Event::Connected(conn, Ok(port)));
-            line.serve(conn, &events);
+            let (handle, task) = open(stream);
+            report(&events, Event::Connected(conn, Ok(handle)));
+            task.serve(conn, &events);
         }
         Err(error) => report(&events, Event::Connected(conn, Err(error))),
     });
 }
 
-/// Whether a connection could not be made for want of something on this machine, a route included: the other side was
-/// not asked, and nothing is known of it.
-pub fn failed_here(error: &io::Error) -> bool {
+/// Whether a connection failed for lack of something on this machine, including a route: then the peer was
+/// not contacted, and nothing is known about it.
+pub fn is_local_failure(error: &io::Error) -> bool {
     const HERE: [i32; 9] = [
         libc::EMFILE,
         libc::ENFILE,
@@ -162,73 +166,76 @@
     error.raw_os_error().is_some_and(|number| HERE.contains(&number))
 }
 
-/// A connection that is up, and what its port asks for.
-pub struct Open {
+/// An established connection, and the commands from its handle.
+pub struct ConnTask {
     stream: Arc<Stream>,
-    asked: Receiver<Job>,
+    commands: Receiver<Command>,
 }
 
-pub fn open(stream: TcpStream) -> (Port, Open) {
-    // Answers are written whole; holding back a last small segment would only delay them.
+pub fn open(stream: TcpStream) -> (ConnHandle, ConnTask) {
+    // Responses are written whole, so delaying a last small segment would only cost time.
     let _ = stream.set_nodelay(true);
-    let (jobs, asked) = sync_channel(MOST_JOBS);
+    let (sender, commands) = sync_channel(MAX_COMMANDS);
     let waker = stream.waker();
-    let stream = Arc::new(Stream { socket: stream, unheard: AtomicBool::new(false) });
-    (Port { jobs: Some(jobs), waker, stream: Arc::downgrade(&stream) }, Open { stream, asked })
+    let stream = Arc::new(Stream { socket: stream, data_pending: AtomicBool::new(false) });
+    (
+        ConnHandle { sender: Some(sender), waker, stream: Arc::downgrade(&stream) },
+        ConnTask { stream, commands },
+    )
 }
 
-impl Open {
-    /// Runs the connection until its port is dropped, or it was ended in order; in a coroutine.
+impl ConnTask {
+    /// Runs the connection, in a coroutine, until its handle is dropped or it was half-closed and has ended.
     pub fn serve(self, conn: ConnId, events: &Sender<Event>) {
-        let Open { stream, asked } = self;
-        let mut pump = Pump {
+        let ConnTask { stream, commands } = self;
+        let mut conn_loop = ConnLoop {
             conn,
             stream: &stream,
-            asked: &asked,
+            commands: &commands,
             events,
             reading: None,
             writing: None,
-            beginning: None,
+            starting: None,
             half_closing: None,
         };
-        pump.run();
+        conn_loop.run();
         drop(stream);
         report(events, Event::Closed(conn));
     }
 }
 
-/// Fails only when the program is on its way out.
+/// Fails only while the process is exiting.
 fn report(events: &Sender<Event>, event: Event) {
     let _ = events.send(event);
 }
 
-/// What a connection's coroutine has in hand.
-struct Pump<'a> {
+/// The state of a connection's coroutine.
+struct ConnLoop<'a> {
     conn: ConnId,
     stream: &'a Stream,
-    asked: &'a Receiver<Job>,
+    commands: &'a Receiver<Command>,
     events: &'a Sender<Event>,
-    reading: Option<Ring>,
-    writing: Option<Ring>,
-    /// What is to be written begins a request, for whoever waits there.
-    beginning: Option<Awaiting>,
-    /// It is to be ended in order; whatever has come, if that is true.
+    reading: Option<RingBuffer>,
+    writing: Option<RingBuffer>,
+    /// The data to be written starts a request, under these conditions.
+    starting: Option<SendGuard>,
+    /// A half-close was requested; the value is its `discard`.
     half_closing: Option<bool>,
 }
 
-/// The port was dropped.
-struct Dropped;
+/// The handle was dropped.
+struct HandleDropped;
 
-impl Pump<'_> {
-    /// Until its port is dropped, or it was ended in order.
+impl ConnLoop<'_> {
+    /// Runs until the handle is dropped, or the connection was half-closed and has ended.
     fn run(&mut self) {
-        while self.take_jobs().is_ok() {
-            if let Some(awaiting) = self.beginning.take() {
-                self.begin(&awaiting);
+        while self.take_commands().is_ok() {
+            if let Some(guard) = self.starting.take() {
+                self.start_request(&guard);
             }
             self.write();
             self.read();
-            // With the ring on its way again something has come, and the reducer will hear of it.
+            // If the buffer for reading is not here, data has arrived and is on its way to the reducer.
             if self.writing.is_none()
                 && self.half_closing.take().is_some_and(|discard| discard || self.reading.is_some())
             {
@@ -238,70 +245,72 @@
         }
     }
 
-    /// In their order: several may wait, and what one asks for rests on those before it.
-    fn take_jobs(&mut self) -> Result<(), Dropped> {
+    /// In order: several may wait, and a command may depend on those before it.
+    fn take_commands(&mut self) -> Result<(), HandleDropped> {
         loop {
-            match self.asked.try_recv() {
-                Ok(Job::Read(ring)) => self.reading = Some(ring),
-                Ok(Job::Write(ring)) => self.writing = Some(ring),
-                Ok(Job::Begin(ring, awaiting)) => {
-                    (self.writing, self.beginning) = (Some(ring), Some(awaiting));
+            match self.commands.try_recv() {
+                Ok(Command::Read(buffer)) => self.reading = Some(buffer),
+                Ok(Command::Write(buffer)) => self.writing = Some(buffer),
+                Ok(Command::StartRequest(buffer, guard)) => {
+                    (self.writing, self.starting) = (Some(buffer), Some(guard));
                 }
-                // Asked for while the ring was on its way to the reducer with what had come: the connection was not at
-                // rest, whatever has been asked for since. The reducer ends it again if it still wants to.
-                Ok(Job::HalfClose { discard }) => {
+                // If the buffer for reading is on its way to the reducer with data, the connection was not
+                // idle when the half-close was requested, even if it is by now. The reducer requests it again
+                // if it still wants it.
+                Ok(Command::HalfClose { discard }) => {
                     self.half_closing = Some(discard).filter(|&discard| discard || self.reading.is_some());
                 }
                 Err(TryRecvError::Empty) => return Ok(()),
-                Err(TryRecvError::Disconnected) => return Err(Dropped),
+                Err(TryRecvError::Disconnected) => return Err(HandleDropped),
             }
         }
     }
 
-    /// Looks whether the connection is still good for a request: nothing has come, and it has not ended. Then whether
-    /// anybody waits for its answer: what the client said last may not have been read yet.
-    fn begin(&mut self, awaiting: &Awaiting) {
-        // With its ring for reading on the way to the reducer, something has come, too.
+    /// Checks that the connection is still good for a request: no data has arrived, and it has not ended.
+    /// Then checks that the response is still wanted: the client's latest data may not have been processed
+    /// yet.
+    fn start_request(&mut self, guard: &SendGuard) {
+        // If the buffer for reading is on its way to the reducer, data has arrived as well.
         let end = self.reading.as_mut().map(|into| (read(&self.stream.socket, into), !into.is_empty()));
-        let why = match &end {
+        let reason = match &end {
             Some((Err(e), false)) if e.kind() == ErrorKind::WouldBlock => {
-                if let Some(why) = awaiting.objection()
-                    && let Some(ring) = self.writing.take()
+                if let Some(reason) = guard.reason_not_to_send()
+                    && let Some(buffer) = self.writing.take()
                 {
-                    self.report(|conn| Event::Wrote { conn, ring, failed: Some(why) });
+                    self.report(|conn| Event::Wrote { conn, buffer, failed: Some(reason) });
                 }
                 return;
             }
-            Some((Err(e), false)) => Cut::of(e),
-            _ => Cut::SpokenOn,
+            Some((Err(e), false)) => IoEnd::of(e),
+            _ => IoEnd::UnexpectedData,
         };
-        if let Some(ring) = self.writing.take() {
-            self.report(|conn| Event::Wrote { conn, ring, failed: Some(why) });
+        if let Some(buffer) = self.writing.take() {
+            self.report(|conn| Event::Wrote { conn, buffer, failed: Some(reason) });
         }
-        if let Some(ring) = self.reading.take() {
-            self.report(|conn| Event::Read { conn, ring, ended: Some(why), at: clock::now() });
+        if let Some(buffer) = self.reading.take() {
+            self.report(|conn| Event::Read { conn, buffer, ended: Some(reason), received_at: clock::now() });
         }
     }
 
     fn write(&mut self) {
-        let Some(mut ring) = self.writing.take() else { return };
-        match write(&self.stream.socket, &mut ring) {
-            Ok(()) => self.report(|conn| Event::Wrote { conn, ring, failed: None }),
-            Err(e) if e.kind() == ErrorKind::WouldBlock => self.writing = Some(ring),
-            Err(e) => self.report(|conn| Event::Wrote { conn, ring, failed: Some(Cut::of(&e)) }),
+        let Some(mut buffer) = self.writing.take() else { return };
+        match write(&self.stream.socket, &mut buffer) {
+            Ok(()) => self.report(|conn| Event::Wrote { conn, buffer, failed: None }),
+            Err(e) if e.kind() == ErrorKind::WouldBlock => self.writing = Some(buffer),
+            Err(e) => self.report(|conn| Event::Wrote { conn, buffer, failed: Some(IoEnd::of(&e)) }),
         }
     }
 
     fn read(&mut self) {
-        let Some(mut ring) = self.reading.take() else { return };
-        let before = ring.len();
-        let end = read(&self.stream.socket, &mut ring).err();
-        let ended = end.filter(|e| e.kind() != ErrorKind::WouldBlock).as_ref().map(Cut::of);
-        if ring.len() > before || ended.is_some() {
-            self.stream.unheard.store(true, Ordering::SeqCst);
-            self.report(|conn| Event::Read { conn, ring, ended, at: clock::now() });
+        let Some(mut buffer) = self.reading.take() else { return };
+        let before = buffer.len();
+        let end = read(&self.stream.socket, &mut buffer).err();
+        let ended = end.filter(|e| e.kind() != ErrorKind::WouldBlock).as_ref().map(IoEnd::of);
+        if buffer.len() > before || ended.is_some() {
+            self.stream.data_pending.store(true, Ordering::SeqCst);
+            self.report(|conn| Event::Read { conn, buffer, ended, received_at: clock::now() });
         } else {
-            self.reading = Some(ring);
+            self.reading = Some(buffer);
         }
     }
 
@@ -310,23 +319,24 @@
     }
 }
 
-/// Sends the end of writing, then reads and drops what still comes until the other side ends, too, or its port is dropped.
-fn linger(pump: &Pump<'_>) {
-    let Pump { stream: Stream { socket: stream, .. }, asked, .. } = pump;
+/// Shuts down the sending side, then reads and discards data until the peer closes the connection or the
+/// handle is dropped.
+fn linger(conn_loop: &ConnLoop<'_>) {
+    let ConnLoop { stream: Stream { socket: stream, .. }, commands, .. } = conn_loop;
     if stream.shutdown(Shutdown::Write).is_err() {
         return;
     }
-    pump.report(Event::HalfClosed);
-    let mut dropped = Ring::new(2_048);
+    conn_loop.report(Event::HalfClosed);
+    let mut discarded = RingBuffer::new(2_048);
     loop {
-        // Its port is dropped when its time is up; jobs are no longer done.
-        while let Ok(_late) = asked.try_recv() {}
-        if matches!(asked.try_recv(), Err(TryRecvError::Disconnected)) {
+        // The handle is dropped when the timeout has passed; commands are no longer carried out.
+        while let Ok(_late) = commands.try_recv() {}
+        if matches!(commands.try_recv(), Err(TryRecvError::Disconnected)) {
             return;
         }
-        dropped.clear();
-        match read(stream, &mut dropped) {
-            // Whoever sends without end must not keep the one worker from all others.
+        discarded.clear();
+        match read(stream, &mut discarded) {
+            // A client that sends endlessly must not occupy the only worker.
             Ok(()) => may::coroutine::yield_now(),
             Err(e) if e.kind() == ErrorKind::WouldBlock => {
                 stream.wait_io();
@@ -336,11 +346,11 @@
     }
 }
 
-fn write(stream: &TcpStream, ring: &mut Ring) -> io::Result<()> {
-    while !ring.is_empty() {
-        match stream.inner().write(ring.front()) {
+fn write(stream: &TcpStream, buffer: &mut RingBuffer) -> io::Result<()> {
+    while !buffer.is_empty() {
+        match stream.inner().write(buffer.front()) {
             Ok(0) => return Err(ErrorKind::WriteZero.into()),
-            Ok(count) => ring.consume(count),
+            Ok(count) => buffer.consume(count),
             Err(e) if e.kind() == ErrorKind::Interrupted => {}
             Err(e) => return Err(e),
         }
@@ -348,12 +358,12 @@
     Ok(())
 }
 
-/// Reads until the ring is full or nothing is there; an error when nothing will come.
-fn read(stream: &TcpStream, ring: &mut Ring) -> io::Result<()> {
-    while ring.free() > 0 {
-        match stream.inner().read(ring.back()) {
+/// Reads until the buffer is full or no data is left; an error if the connection has ended.
+fn read(stream: &TcpStream, buffer: &mut RingBuffer) -> io::Result<()> {
+    while buffer.free() > 0 {
+        match stream.inner().read(buffer.back()) {
             Ok(0) => return Err(ErrorKind::UnexpectedEof.into()),
-            Ok(count) => ring.filled(count),
+            Ok(count) => buffer.filled(count),
             Err(e) if e.kind() == ErrorKind::Interrupted => {}
             Err(e) => return Err(e),
         }
--- a/crates/front/src/descriptors.rs
+++ b/crates/front/src/descriptors.rs
@@ -1,59 +1,59 @@
-//! How many file descriptors this process may use, and how many it was handed at its start.
+//! How many file descriptors this process may use, and how many it inherited.
 
 use doorgrade_operator::version::{LEAST_SOCKETS, MOST};
 
-/// What [`crate::bounds`] counts by itself: standard input, output and error.
+/// Counted by [`crate::bounds`] itself: standard input, output and error.
 const STANDARD: [&str; 3] = ["0", "1", "2"];
 
-/// What the machine lets this process have, less what it inherited.
+/// The descriptors that this process may open: the system's limit, less the inherited ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Descriptors {
-    /// The machine's limit on open files.
-    pub machine: usize,
-    /// Open at the start, beside the standard three.
+    /// The system's limit on open files.
+    pub limit: usize,
+    /// Open at the start, besides the standard three.
     pub inherited: usize,
 }
 
 impl Default for Descriptors {
     fn default() -> Self {
-        Descriptors { machine: MOST as usize, inherited: 0 }
+        Descriptors { limit: MOST as usize, inherited: 0 }
     }
 }
 
 impl Descriptors {
-    /// Looks at this process. To be called before it opens anything of its own.
+    /// Reads them for this process. To be called before it opens any file.
     pub fn at_start() -> Self {
-        let machine = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
+        let limit = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
         Descriptors {
-            machine: machine.map_or(MOST as usize, |most| usize::try_from(most).unwrap_or(usize::MAX)),
+            limit: limit.map_or(MOST as usize, |most| usize::try_from(most).unwrap_or(usize::MAX)),
             inherited: inherited(),
         }
     }
 
-    /// Of a limit that was told, what this front may open itself: the machine's goes before a higher one. Limits are
-    /// not raised: whoever set them meant it.
-    pub fn own(&self, told: usize) -> usize {
-        told.min(self.machine).saturating_sub(self.inherited)
+    /// How many of `limit` descriptors this front may open itself. The system's limit caps it, and is not
+    /// raised, since it was set on purpose.
+    pub fn usable(&self, wanted: usize) -> usize {
+        wanted.min(self.limit).saturating_sub(self.inherited)
     }
 
-    /// Fails where the machine leaves too few to serve with; the message says what to do.
+    /// Fails if the system's limit leaves too few to serve with.
     pub fn check(&self) -> Result<(), String> {
-        let Descriptors { machine, inherited } = self;
-        if self.own(*machine) >= LEAST_SOCKETS as usize {
+        let Descriptors { limit, inherited } = self;
+        if self.usable(*limit) >= LEAST_SOCKETS as usize {
             return Ok(());
         }
         Err(format!(
-            "the machine lets this process have {machine} descriptors, {inherited} of them were open at its start, and it \
+            "the machine lets this process have {limit} descriptors, {inherited} of them were open at its start, and it \
              needs {LEAST_SOCKETS} of its own at least: raise its limit of open files (ulimit -n, LimitNOFILE)"
         ))
     }
 }
 
-/// Open descriptors beside the standard ones; none where the system does not tell.
+/// Open descriptors besides the standard ones; 0 if the system does not list them.
 fn inherited() -> usize {
     let Ok(open) = std::fs::read_dir("/proc/self/fd") else { return 0 };
     let beside_standard =
         open.flatten().filter(|fd| !STANDARD.iter().any(|standard| fd.file_name() == *standard)).count();
-    // One of them is the folder that is being read.
+    // One of them is the directory that is being read.
     beside_standard.saturating_sub(1)
 }
--- a/crates/front/src/fastcgi.rs
+++ b/crates/front/src/fastcgi.rs
@@ -1,6 +1,6 @@
-//! FastCGI 1.0, as the page of the specification has it: records, name-value pairs. No I/O.
+//! FastCGI 1.0 as specified: records and name-value pairs. No I/O.
 
-use crate::ring::Ring;
+use crate::ring_buffer::RingBuffer;
 
 pub const BEGIN_REQUEST: u8 = 1;
 pub const ABORT_REQUEST: u8 = 2;
@@ -21,78 +21,78 @@
 
 pub const HEADER: usize = 8;
 
-/// A record's header, or that there is no reading it.
+/// A part of a record's content, as it has arrived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Piece {
+pub struct Fragment {
     pub kind: u8,
     pub id: u16,
-    /// Bytes of the record's content that lie in one piece at the front of the ring.
+    /// The bytes of content at the front of the buffer.
     pub len: usize,
-    /// The record has no content at all, or its content ends here.
+    /// The record has no content.
     pub empty: bool,
     pub last: bool,
 }
 
 #[derive(Debug)]
-pub struct Broken;
+pub struct InvalidRecord;
 
-/// Reads records in the pieces in which they arrive.
+/// Decodes records in the fragments in which they arrive.
 #[derive(Debug, Default)]
 pub struct Decoder {
     kind: u8,
     id: u16,
     content: usize,
     padding: usize,
-    inside: bool,
+    in_record: bool,
 }
 
 impl Decoder {
-    /// A record has begun and not ended.
-    pub fn inside(&self) -> bool {
-        self.inside
+    /// A record has started and not ended.
+    pub fn in_record(&self) -> bool {
+        self.in_record
     }
 
-    /// The next piece of content; the caller consumes `len` bytes of the ring before it asks again.
-    pub fn next(&mut self, ring: &mut Ring) -> Result<Option<Piece>, Broken> {
+    /// The next fragment; the caller consumes its `len` bytes from the buffer before the next call.
+    pub fn next(&mut self, buffer: &mut RingBuffer) -> Result<Option<Fragment>, InvalidRecord> {
         loop {
-            if self.inside && self.content > 0 {
-                let len = ring.front().len().min(self.content);
+            if self.in_record && self.content > 0 {
+                let len = buffer.front().len().min(self.content);
                 if len == 0 {
                     return Ok(None);
                 }
                 self.content -= len;
                 let last = self.content == 0;
-                return Ok(Some(Piece { kind: self.kind, id: self.id, len, empty: false, last }));
+                return Ok(Some(Fragment { kind: self.kind, id: self.id, len, empty: false, last }));
             }
             if self.padding > 0 {
-                let len = ring.len().min(self.padding);
-                ring.consume(len);
+                let len = buffer.len().min(self.padding);
+                buffer.consume(len);
                 self.padding -= len;
                 if self.padding > 0 {
                     return Ok(None);
                 }
             }
-            self.inside = false;
-            if ring.len() < HEADER {
+            self.in_record = false;
+            if buffer.len() < HEADER {
                 return Ok(None);
             }
-            let head = &ring.whole()[..HEADER];
+            let head = &buffer.contiguous()[..HEADER];
             if head[0] != 1 {
-                return Err(Broken);
+                return Err(InvalidRecord);
             }
             (self.kind, self.id) = (head[1], u16::from_be_bytes([head[2], head[3]]));
             (self.content, self.padding) =
                 (usize::from(u16::from_be_bytes([head[4], head[5]])), head[6].into());
-            self.inside = true;
-            ring.consume(HEADER);
+            self.in_record = true;
+            buffer.consume(HEADER);
             if self.content == 0 {
-                return Ok(Some(Piece { kind: self.kind, id: self.id, len: 0, empty: true, last: true }));
+                return Ok(Some(Fragment { kind: self.kind, id: self.id, len: 0, empty: true, last: true }));
             }
         }
     }
 }
 
-/// A record's header without padding; content is 65,535 bytes at most.
+/// The header of a record without padding, with at most 65,535 bytes of content.
 pub fn header(kind: u8, id: u16, content: usize) -> [u8; HEADER] {
     let ([i, d], [l, n]) = (id.to_be_bytes(), (content.min(0xffff) as u16).to_be_bytes());
     [1, kind, i, d, l, n, 0, 0]
@@ -116,8 +116,8 @@
     Some((u32::from_be_bytes(*four) & 0x7fff_ffff) as usize)
 }
 
-/// The next name and value; none where the bytes end within one.
-pub fn pair<'a>(bytes: &mut &'a [u8]) -> Option<(&'a [u8], &'a [u8])> {
+/// The next name and value; none if the bytes end within one.
+pub fn next_pair<'a>(bytes: &mut &'a [u8]) -> Option<(&'a [u8], &'a [u8])> {
     let (name, value) = (length(bytes)?, length(bytes)?);
     let (name, rest) = bytes.split_at_checked(name)?;
     let (value, rest) = rest.split_at_checked(value)?;
--- a/crates/front/src/intake.rs
+++ b/crates/front/src/intake.rs
@@ -1,26 +1,26 @@
-//! A client's connection as it is read: records become requests. No I/O.
+//! Reads a client's connection: decodes its records into requests. No I/O.
 
 use doorgrade::Ticks;
 use rustc_hash::FxHashMap;
 
 use crate::fastcgi::{self, Decoder};
 use crate::http;
-use crate::ring::Ring;
+use crate::ring_buffer::RingBuffer;
 
-/// Protocol facts: open requests on a connection, and what a write brings at most.
-pub const MOST_OPEN: usize = 32;
-pub const MOST_WRITE: usize = 48_000;
-/// All parameters of a request together; web servers send a few hundred bytes.
-const MOST_PARAMS: usize = 16 * 1024;
+/// By the protocol, the most open requests of a connection, and the longest body of a request.
+pub const MAX_OPEN_REQUESTS: usize = 32;
+pub const MAX_REQUEST_BODY: usize = 48_000;
+/// The most bytes of all parameters of a request; web servers send a few hundred.
+const MAX_PARAMS: usize = 16 * 1024;
 
-/// A request that can be used.
+/// A valid request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Request {
     pub offering: String,
     pub id: String,
-    /// The same as a number.
-    pub call: u64,
-    /// How long the client waits, in tenths of a millisecond.
+    /// `id` as a number.
+    pub numeric_id: u64,
+    /// How long the client waits.
     pub wait: Ticks,
     pub key: String,
     pub object: u64,
@@ -28,54 +28,54 @@
     pub group: u64,
     pub kb: f64,
     pub tag: Option<String>,
-    /// By which caches know a repeat, also a client's own under another id.
-    pub mark: Option<String>,
+    /// Identifies repeats of the access to caches, also when the client repeats it under another id.
+    pub repeat_id: Option<String>,
     pub body: Vec<u8>,
 }
 
-/// What a client has said.
+/// What a client has sent.
 #[derive(Debug, PartialEq)]
-pub enum Said {
-    Ask(u16, Box<Request>),
-    /// Whether the front is ready.
-    Check(u16),
-    /// A request that can't be used: its status, and why.
-    Unusable(u16, u16, &'static str),
-    /// One more request under an id that waits for its answer.
-    Twice(u16),
+pub enum ClientMessage {
+    Request(u16, Box<Request>),
+    /// A health check: whether the front is ready.
+    HealthCheck(u16),
+    /// An invalid request: its status, and the reason.
+    Invalid(u16, u16, &'static str),
+    /// A second request under the id of one that is still open.
+    DuplicateId(u16),
     Abort(u16),
-    /// A request that is over before it began, by this protocol status.
-    Over(u16, u8),
-    /// An answer to a record that manages the connection.
-    Reply(Vec<u8>),
+    /// A request that ends with this protocol status before it is read.
+    EndRequest(u16, u8),
+    /// The response to a management record.
+    ManagementResponse(Vec<u8>),
 }
 
 #[derive(Debug, Default)]
-struct Coming {
+struct PartialRequest {
     params: Vec<u8>,
     params_done: bool,
     body: Vec<u8>,
-    /// There was no room for it.
+    /// There was no room for its body.
     dropped: bool,
 }
 
-/// The reading half of a client's connection.
+/// The reading side of a client's connection.
 #[derive(Debug, Default)]
 pub struct Intake {
     decoder: Decoder,
-    /// Requests that are open; none where all of one has come.
-    open: FxHashMap<u16, Option<Coming>>,
-    /// Content of a record that is wanted whole.
-    small: Vec<u8>,
-    /// The connection is to be closed after what is open now.
-    pub last: bool,
-    /// What still comes is of no use: the rest of a request that is too long, or what follows bytes that are no record.
-    pub deaf: bool,
+    /// Open requests; none for those that have been received whole.
+    open: FxHashMap<u16, Option<PartialRequest>>,
+    /// The content of a record that is needed as a whole.
+    record: Vec<u8>,
+    /// The connection is closed once its open requests have been answered.
+    pub close_when_done: bool,
+    /// Further data is discarded: the rest of a request that is too long, or what follows an invalid record.
+    pub discarding: bool,
 }
 
 impl Intake {
-    /// Bytes of bodies that are still coming in.
-    pub fn held(&self) -> usize {
+    /// Bytes of requests that are still being received.
+    pub fn held_bytes(&self) -> usize {
         self.open.values().flatten().map(|c| c.body.len() + c.params.len()).sum()
     }
 
@@ -83,143 +83,153 @@
         self.open.len()
     }
 
-    /// Part of a request, or of a record, has come, and the rest is waited for.
-    pub fn unfinished(&self) -> bool {
-        !self.deaf && (self.decoder.inside() || self.open.values().any(Option::is_some))
+    /// Part of a request, or of a record, has arrived.
+    pub fn has_partial(&self) -> bool {
+        !self.discarding && (self.decoder.in_record() || self.open.values().any(Option::is_some))
     }
 
-    /// Nothing that still comes is of use: the connection ends with what has come whole.
-    pub fn stop(&mut self) {
-        (self.last, self.deaf) = (true, true);
-        self.open.retain(|_, coming| coming.is_none());
-        self.small.clear();
+    /// Discards all further data: the connection is closed once the requests received whole have been
+    /// answered.
+    pub fn discard_rest(&mut self) {
+        (self.close_when_done, self.discarding) = (true, true);
+        self.open.retain(|_, partial| partial.is_none());
+        self.record.clear();
     }
 
-    /// The request has been answered, or needs no answer.
-    pub fn end(&mut self, id: u16) {
+    /// The request has been answered, or needs no response.
+    pub fn finish(&mut self, id: u16) {
         self.open.remove(&id);
     }
 
-    /// The next thing said, if the ring holds it whole; bodies have this much room.
-    pub fn next(&mut self, ring: &mut Ring, room: usize) -> Result<Option<Said>, fastcgi::Broken> {
-        let most = self.held() + room;
-        while let Some(piece) = self.decoder.next(ring)? {
-            let said = self.piece(&piece, ring, most);
-            ring.consume(piece.len);
-            if let Some(said) = said? {
-                return Ok(Some(said));
+    /// The next message, if it is complete; bodies may take this much more room.
+    pub fn next(
+        &mut self,
+        buffer: &mut RingBuffer,
+        room: usize,
+    ) -> Result<Option<ClientMessage>, fastcgi::InvalidRecord> {
+        let max = self.held_bytes() + room;
+        while let Some(fragment) = self.decoder.next(buffer)? {
+            let message = self.fragment(&fragment, buffer, max);
+            buffer.consume(fragment.len);
+            if let Some(message) = message? {
+                return Ok(Some(message));
             }
         }
         Ok(None)
     }
 
-    fn piece(
+    fn fragment(
         &mut self,
-        piece: &fastcgi::Piece,
-        ring: &Ring,
-        most: usize,
-    ) -> Result<Option<Said>, fastcgi::Broken> {
-        let content = &ring.front()[..piece.len];
-        match (piece.kind, piece.id) {
-            (fastcgi::PARAMS | fastcgi::STDIN, id) if id > 0 => Ok(self.part_of(piece, content, most)),
-            (fastcgi::ABORT_REQUEST, id) if id > 0 && piece.last => {
-                Ok(self.open.remove(&id).map(|_| Said::Abort(id)))
+        fragment: &fastcgi::Fragment,
+        buffer: &RingBuffer,
+        max: usize,
+    ) -> Result<Option<ClientMessage>, fastcgi::InvalidRecord> {
+        let content = &buffer.front()[..fragment.len];
+        match (fragment.kind, fragment.id) {
+            (fastcgi::PARAMS | fastcgi::STDIN, id) if id > 0 => Ok(self.add_content(fragment, content, max)),
+            (fastcgi::ABORT_REQUEST, id) if id > 0 && fragment.last => {
+                Ok(self.open.remove(&id).map(|_| ClientMessage::Abort(id)))
             }
             (fastcgi::BEGIN_REQUEST, id) if id > 0 => {
-                let whole = self.gather(piece, content);
-                whole.map_or(Ok(None), |bytes| self.begin(id, &bytes))
+                let complete = self.collect_record(fragment, content);
+                complete.map_or(Ok(None), |bytes| self.begin(id, &bytes))
             }
-            // Records of management, known or not, get an answer.
+            // Each management record gets a response, known or not.
             (kind, 0) => {
-                let whole = self.gather(piece, content);
-                Ok(whole.map(|bytes| Said::Reply(managed(kind, &bytes))))
+                let complete = self.collect_record(fragment, content);
+                Ok(complete.map(|bytes| ClientMessage::ManagementResponse(management_response(kind, &bytes))))
             }
             _ => Ok(None),
         }
     }
 
-    fn gather(&mut self, piece: &fastcgi::Piece, content: &[u8]) -> Option<Vec<u8>> {
-        let room = MOST_PARAMS.saturating_sub(self.small.len());
-        self.small.extend_from_slice(&content[..content.len().min(room)]);
-        piece.last.then(|| std::mem::take(&mut self.small))
+    fn collect_record(&mut self, fragment: &fastcgi::Fragment, content: &[u8]) -> Option<Vec<u8>> {
+        let room = MAX_PARAMS.saturating_sub(self.record.len());
+        self.record.extend_from_slice(&content[..content.len().min(room)]);
+        fragment.last.then(|| std::mem::take(&mut self.record))
     }
 
-    fn begin(&mut self, id: u16, bytes: &[u8]) -> Result<Option<Said>, fastcgi::Broken> {
-        let &[high, low, flags, ..] = bytes else { return Err(fastcgi::Broken) };
+    fn begin(&mut self, id: u16, bytes: &[u8]) -> Result<Option<ClientMessage>, fastcgi::InvalidRecord> {
+        let &[high, low, flags, ..] = bytes else { return Err(fastcgi::InvalidRecord) };
         match self.open.get(&id) {
-            Some(None) => return Ok(Some(Said::Twice(id))),
-            // What belongs to which could not be told apart.
-            Some(Some(_)) => return Err(fastcgi::Broken),
+            Some(None) => return Ok(Some(ClientMessage::DuplicateId(id))),
+            // Records of the two could not be told apart.
+            Some(Some(_)) => return Err(fastcgi::InvalidRecord),
             None => {}
         }
         if u16::from_be_bytes([high, low]) != fastcgi::RESPONDER {
-            return Ok(Some(Said::Over(id, fastcgi::UNKNOWN_ROLE)));
+            return Ok(Some(ClientMessage::EndRequest(id, fastcgi::UNKNOWN_ROLE)));
         }
-        if self.open.len() >= MOST_OPEN {
-            return Ok(Some(Said::Over(id, fastcgi::OVERLOADED)));
+        if self.open.len() >= MAX_OPEN_REQUESTS {
+            return Ok(Some(ClientMessage::EndRequest(id, fastcgi::OVERLOADED)));
         }
-        self.last |= flags & fastcgi::KEEP_CONN == 0;
-        self.open.insert(id, Some(Coming::default()));
+        self.close_when_done |= flags & fastcgi::KEEP_CONN == 0;
+        self.open.insert(id, Some(PartialRequest::default()));
         Ok(None)
     }
 
-    fn part_of(&mut self, piece: &fastcgi::Piece, content: &[u8], most: usize) -> Option<Said> {
-        let full = self.held() + content.len() > most;
-        let slot = self.open.get_mut(&piece.id)?;
-        let coming = slot.as_mut()?;
-        let params = piece.kind == fastcgi::PARAMS;
-        if !piece.empty {
-            let (to, most) = match params {
-                true => (&mut coming.params, MOST_PARAMS),
-                false => (&mut coming.body, MOST_WRITE),
+    fn add_content(
+        &mut self,
+        fragment: &fastcgi::Fragment,
+        content: &[u8],
+        max: usize,
+    ) -> Option<ClientMessage> {
+        let no_room = self.held_bytes() + content.len() > max;
+        let slot = self.open.get_mut(&fragment.id)?;
+        let partial = slot.as_mut()?;
+        let params = fragment.kind == fastcgi::PARAMS;
+        if !fragment.empty {
+            let (to, max) = match params {
+                true => (&mut partial.params, MAX_PARAMS),
+                false => (&mut partial.body, MAX_REQUEST_BODY),
             };
-            if to.len() + content.len() > most {
-                // Answered now: the rest may be a thousand times as long, or never end.
+            if to.len() + content.len() > max {
+                // Rejected at once, since the rest may be very long or never end.
                 *slot = None;
-                self.stop();
-                return Some(Said::Unusable(piece.id, 413, "a request is too long"));
-            } else if full {
-                // Nothing was pushed, so trying again is harmless.
-                coming.dropped = true;
+                self.discard_rest();
+                return Some(ClientMessage::Invalid(fragment.id, 413, "a request is too long"));
+            } else if no_room {
+                // Nothing was pushed, so the client may safely retry.
+                partial.dropped = true;
             }
-            if coming.dropped {
-                (coming.params, coming.body) = (Vec::new(), Vec::new());
+            if partial.dropped {
+                (partial.params, partial.body) = (Vec::new(), Vec::new());
             } else {
                 to.extend_from_slice(content);
             }
             return None;
         }
         if params {
-            coming.params_done = true;
+            partial.params_done = true;
             return None;
         }
-        if !coming.params_done {
+        if !partial.params_done {
             return None;
         }
-        let whole = slot.take()?;
-        Some(match whole.dropped {
-            true => Said::Unusable(piece.id, 503, "no room for a request"),
-            false => read(piece.id, &whole.params, whole.body),
+        let complete = slot.take()?;
+        Some(match complete.dropped {
+            true => ClientMessage::Invalid(fragment.id, 503, "no room for a request"),
+            false => request_from(fragment.id, &complete.params, complete.body),
         })
     }
 }
 
-fn managed(kind: u8, bytes: &[u8]) -> Vec<u8> {
+fn management_response(kind: u8, bytes: &[u8]) -> Vec<u8> {
     if kind != fastcgi::GET_VALUES {
         let mut reply = fastcgi::header(fastcgi::UNKNOWN_TYPE, 0, 8).to_vec();
         reply.extend_from_slice(&[kind, 0, 0, 0, 0, 0, 0, 0]);
         return reply;
     }
     let (mut values, mut rest) = (Vec::new(), bytes);
-    while let Some((name, _)) = fastcgi::pair(&mut rest) {
+    while let Some((name, _)) = fastcgi::next_pair(&mut rest) {
         match name {
             b"FCGI_MPXS_CONNS" => fastcgi::put_pair(&mut values, name, b"1"),
             b"FCGI_MAX_REQS" => {
-                fastcgi::put_pair(&mut values, name, MOST_OPEN.to_string().as_bytes());
+                fastcgi::put_pair(&mut values, name, MAX_OPEN_REQUESTS.to_string().as_bytes());
             }
             _ => {}
         }
-        // The three names the specification knows, a few times over.
+        // Enough for the three names of the specification, several times over.
         if values.len() > 512 {
             break;
         }
@@ -229,26 +239,26 @@
     reply
 }
 
-fn read(id: u16, params: &[u8], body: Vec<u8>) -> Said {
-    match fields(params, body) {
-        Ok(Some(request)) => Said::Ask(id, Box::new(request)),
-        Ok(None) => Said::Check(id),
-        Err(why) => Said::Unusable(id, 400, why),
+fn request_from(id: u16, params: &[u8], body: Vec<u8>) -> ClientMessage {
+    match parse_fields(params, body) {
+        Ok(Some(request)) => ClientMessage::Request(id, Box::new(request)),
+        Ok(None) => ClientMessage::HealthCheck(id),
+        Err(reason) => ClientMessage::Invalid(id, 400, reason),
     }
 }
 
 fn hex(text: &str) -> Option<u64> {
-    let whole = text.len() == 16 && text.bytes().all(|b| b.is_ascii_hexdigit());
-    u64::from_str_radix(text, 16).ok().filter(|_| whole)
+    let complete = text.len() == 16 && text.bytes().all(|b| b.is_ascii_hexdigit());
+    u64::from_str_radix(text, 16).ok().filter(|_| complete)
 }
 
-/// The fields of a request; none if it only asks whether the front is ready.
-fn fields(params: &[u8], body: Vec<u8>) -> Result<Option<Request>, &'static str> {
+/// The fields of a request; none for a health check.
+fn parse_fields(params: &[u8], body: Vec<u8>) -> Result<Option<Request>, &'static str> {
     let mut rest = params;
     let [mut path, mut id, mut wait, mut key] = [None; 4];
-    let [mut part, mut group, mut kb, mut tag, mut mark] = [None; 5];
+    let [mut part, mut group, mut kb, mut tag, mut repeat_id] = [None; 5];
     while !rest.is_empty() {
-        let (name, value) = fastcgi::pair(&mut rest).ok_or("a request's parameters end too soon")?;
+        let (name, value) = fastcgi::next_pair(&mut rest).ok_or("a request's parameters are truncated")?;
         let slot = match name {
             b"SCRIPT_NAME" => &mut path,
             b"HTTP_REQ_ID" => &mut id,
@@ -258,37 +268,38 @@
             b"HTTP_X_BUCKET" => &mut group,
             b"HTTP_REQ_KB" => &mut kb,
             b"HTTP_X_ETAG" => &mut tag,
-            b"HTTP_REQ_TOKEN" => &mut mark,
+            b"HTTP_REQ_TOKEN" => &mut repeat_id,
             _ => continue,
         };
-        *slot = Some(std::str::from_utf8(value).map_err(|_| "a request's field is no text")?);
+        *slot = Some(std::str::from_utf8(value).map_err(|_| "a request's field is not UTF-8")?);
     }
     let path = path.ok_or("SCRIPT_NAME is missing")?;
     if path == "/check" {
         return Ok(None);
     }
     let offering = path.strip_prefix("/do/").ok_or("a request's path is unknown")?;
-    let (id, call) = id.and_then(|id| Some((id, hex(id)?))).ok_or("Req-Id is missing or unusable")?;
+    let (id, numeric_id) = id.and_then(|id| Some((id, hex(id)?))).ok_or("Req-Id is missing or unusable")?;
     let key = key.ok_or("Req-Key is missing")?;
     let number = |text: Option<&str>| text.map_or(Some(0), |t| t.parse::<u64>().ok());
     let wait = wait.and_then(|w| w.parse::<f64>().ok()).filter(|w| (1.0..=3_600_000.0).contains(w));
     let kb = kb.map_or(Some(0.0), |kb| kb.parse::<f64>().ok()).filter(|kb| (0.0..1e9).contains(kb));
-    // It goes on to caches as it is, or the access does not: without it a repeat would not be known.
-    if mark.is_some_and(|m| !http::plain(m)) {
+    // It is passed on to caches unchanged, or the request is rejected: without it caches would not recognise
+    // a repeat.
+    if repeat_id.is_some_and(|m| !http::is_plain_text(m)) {
         return Err("Req-Token is unusable");
     }
     Ok(Some(Request {
         offering: offering.into(),
         id: id.into(),
-        call,
+        numeric_id,
         wait: (wait.ok_or("Req-Wait-Ms is missing or unusable")? * 10.0) as Ticks,
         object: hex(key).ok_or("Req-Key is unusable")?,
         key: key.into(),
         part: number(part).and_then(|p| u32::try_from(p).ok()).ok_or("X-Seg is unusable")?,
         group: number(group).filter(|g| *g < 256).ok_or("X-Bucket is unusable")?,
         kb: kb.ok_or("Req-Kb is unusable")?,
-        tag: tag.filter(|t| http::plain(t)).map(Into::into),
-        mark: mark.map(Into::into),
+        tag: tag.filter(|t| http::is_plain_text(t)).map(Into::into),
+        repeat_id: repeat_id.map(Into::into),
         body,
     }))
 }
--- a/crates/front/src/phase.rs
+++ b/crates/front/src/phase.rs
@@ -1,35 +1,35 @@
-//! The program's phases, from start to exit.
+//! The phases of the process, from start to exit.
 
 use doorgrade::Ticks;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    /// The configuration is applied; nothing is listened to yet.
+    /// The configuration is applied; the listener is not open yet.
     Starting,
     Serving,
-    /// Told to stop: new accesses are still taken until the first time, all are ended by the second.
-    Leaving {
-        take_until: Ticks,
-        end_by: Ticks,
+    /// Told to stop: new accesses are accepted until `accept_until`, and all have ended by `deadline`.
+    Stopping {
+        accept_until: Ticks,
+        deadline: Ticks,
     },
-    /// Nothing is open any more; answers are still being written, and clients' connections ended in order.
+    /// No access is open; responses are still being written, and clients' connections half-closed.
     Closing {
-        end_by: Ticks,
+        deadline: Ticks,
     },
-    Gone,
+    Exited,
 }
 
 #[derive(Debug)]
 pub struct Phase(State);
 
 impl Phase {
-    /// After the word to stop, connections come for up to 0.4 s and accesses on open ones for 0.2 s more;
-    /// half as long again, since an access that comes late would be lost.
-    const TAKEN_FOR: Ticks = 9_000;
-    /// The hard stop comes this much after the longest hard limit (or [`Phase::LONGEST`]); 0.3 s are kept to
-    /// write the last answers.
+    /// After a stop is requested, clients connect for up to 0.4 s and send accesses on open connections for
+    /// 0.2 s more. Half as long again, since a late access would be lost.
+    const ACCEPT_DURATION: Ticks = 9_000;
+    /// The hard stop comes this much after the longest hard limit (or [`Phase::MAX_HARD_LIMIT`]); 0.3 s of it
+    /// are for writing the last responses.
     const GRACE: Ticks = 4_000;
-    const LONGEST: Ticks = 30_000;
+    const MAX_HARD_LIMIT: Ticks = 30_000;
 
     pub fn new() -> Self {
         Phase(State::Starting)
@@ -41,36 +41,40 @@
         }
     }
 
-    /// The word to stop has come: when to look at [`Phase::advance`] again.
-    pub fn leave(&mut self, now: Ticks, longest: Ticks) -> Option<[Ticks; 2]> {
+    /// Starts the shutdown. Returns when to call [`Phase::advance`] again.
+    pub fn stop(&mut self, now: Ticks, max_hard_limit: Ticks) -> Option<[Ticks; 2]> {
         if !matches!(self.0, State::Starting | State::Serving) {
             return None;
         }
-        let (take_until, end_by) = (now + Self::TAKEN_FOR, now + longest.min(Self::LONGEST) + Self::GRACE);
-        self.0 = State::Leaving { take_until: take_until.min(end_by), end_by };
-        Some([take_until.min(end_by), end_by])
+        let (accept_until, deadline) =
+            (now + Self::ACCEPT_DURATION, now + max_hard_limit.min(Self::MAX_HARD_LIMIT) + Self::GRACE);
+        self.0 = State::Stopping { accept_until: accept_until.min(deadline), deadline };
+        Some([accept_until.min(deadline), deadline])
     }
 
-    /// Moves on as time and open accesses allow. `connected`: clients' connections are not all ended yet, or more
-    /// may come.
+    /// Advances as time and open accesses allow. `connected`: clients are still connected, or may still
+    /// connect.
     pub fn advance(&mut self, now: Ticks, open: bool, connected: bool) {
         match self.0 {
-            State::Leaving { take_until, end_by } if now >= take_until && (!open || now >= end_by) => {
-                self.0 = State::Closing { end_by };
+            State::Stopping { accept_until, deadline }
+                if now >= accept_until && (!open || now >= deadline) =>
+            {
+                self.0 = State::Closing { deadline };
                 self.advance(now, open, connected);
             }
-            State::Closing { end_by } if !connected || now >= end_by + Self::GRACE / 2 => {
-                self.0 = State::Gone
+            State::Closing { deadline } if !connected || now >= deadline + Self::GRACE / 2 => {
+                self.0 = State::Exited
             }
             _ => {}
         }
     }
 
-    /// What comes whole from then on is declined, and clients' connections are ended as they come to rest.
-    pub fn takes(&self, now: Ticks) -> bool {
+    /// Whether new accesses are accepted. If not, requests are declined, and idle clients' connections
+    /// half-closed.
+    pub fn accepts(&self, now: Ticks) -> bool {
         match self.0 {
             State::Serving => true,
-            State::Leaving { take_until, .. } => now < take_until,
+            State::Stopping { accept_until, .. } => now < accept_until,
             _ => false,
         }
     }
@@ -79,16 +83,16 @@
         self.0 == State::Serving
     }
 
-    /// From this time on no access may be left open.
-    pub fn end_by(&self) -> Option<Ticks> {
+    /// The time by which every access has ended, once a stop was requested.
+    pub fn deadline(&self) -> Option<Ticks> {
         match self.0 {
-            State::Leaving { end_by, .. } | State::Closing { end_by } => Some(end_by),
+            State::Stopping { deadline, .. } | State::Closing { deadline } => Some(deadline),
             _ => None,
         }
     }
 
-    pub fn gone(&self) -> bool {
-        self.0 == State::Gone
+    pub fn exited(&self) -> bool {
+        self.0 == State::Exited
     }
 }
 
--- a/crates/front/src/push.rs
+++ b/crates/front/src/push.rs
@@ -1,4 +1,4 @@
-//! Connections to caches, kept by cache id, and one push's way over one of them. No I/O.
+//! Connections to caches, the pools of idle ones by cache, and the exchange of one push. No I/O.
 
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
@@ -8,39 +8,42 @@
 
 use crate::conn::ConnId;
 use crate::http::{self, Head};
-use crate::ring::Ring;
+use crate::ring_buffer::RingBuffer;
 
-/// A cache's whole answer to a push.
+/// How a push ended, with the cache's response if there is one.
 #[derive(Debug)]
-pub struct Got {
+pub struct PushEnd {
     pub outcome: Outcome,
-    pub note: CacheStatus,
+    pub cache_status: CacheStatus,
     pub status: u16,
     pub tag: Option<String>,
     pub body: Vec<u8>,
-    pub ring: Option<String>,
-    /// The Unix millisecond at which the origin gave out this copy, by its own word.
-    pub made_at: Option<u64>,
+    pub cycle: Option<String>,
+    /// When the origin sent this copy, in Unix milliseconds, as reported by the cache.
+    pub origin_sent_ms: Option<u64>,
 }
 
-impl Got {
-    /// An end that no answer tells of.
-    pub fn bare(outcome: Outcome) -> Self {
-        let (tag, body, ring, made_at) = (None, Vec::new(), None, None);
-        Got { outcome, note: CacheStatus::Untold, status: 0, tag, body, ring, made_at }
+impl PushEnd {
+    /// An end without a response.
+    pub fn without_response(outcome: Outcome) -> Self {
+        let (tag, body, cycle, origin_sent_ms) = (None, Vec::new(), None, None);
+        PushEnd { outcome, cache_status: CacheStatus::Untold, status: 0, tag, body, cycle, origin_sent_ms }
     }
 }
 
-/// What an answer proves. Without the mark that it never ran, it may have run. `have` is the client's own copy.
-fn outcome(head: &Head, have: Option<&str>) -> Outcome {
-    // An answer may be another request's: a copy that it names is current, and no other.
-    let names_it = have.is_some_and(|have| head.tag.as_deref().is_none_or(|named| named == have));
+/// What a response proves. Without the mark that it never ran, the access may have run. `client_tag` is the
+/// tag of the client's own copy.
+fn outcome(head: &Head, client_tag: Option<&str>) -> Outcome {
+    // The response may belong to another request, so 304 confirms only a copy whose tag it names, or the
+    // client's if it names none.
+    let confirms_copy =
+        client_tag.is_some_and(|client_tag| head.tag.as_deref().is_none_or(|named| named == client_tag));
     match (head.status, head.not_begun) {
         (200, _) => Outcome::Handled,
-        (304, _) if names_it => Outcome::Handled,
+        (304, _) if confirms_copy => Outcome::Handled,
         (404, _) => Outcome::Miss,
         (503, true) => Outcome::Full,
-        // The fill had come round in a ring, and was cut before anything was fetched.
+        // The fill returned to its start in a cycle, and was cut before anything was fetched.
         (504 | 508, true) => Outcome::NeverSent,
         (500..=599, _) => Outcome::Error,
         _ => Outcome::Broken,
@@ -48,187 +51,192 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum State {
+pub enum ConnState {
     Connecting,
     Busy,
     Idle,
 }
 
 /// A connection to a cache.
-pub struct Line {
+pub struct CacheConn {
     pub cache: u32,
-    /// Where that stood when the connection was asked for: it is of no use for one that has come in its place.
-    pub place: Place,
-    pub state: State,
-    /// The push it carries, or is made for.
-    pub carries: Option<(AccessId, usize)>,
+    /// The cache's endpoint when the connection was requested. If it changes, the connection is of no use.
+    pub endpoint: Endpoint,
+    pub state: ConnState,
+    /// The push that it carries, or is established for.
+    pub push: Option<(AccessId, usize)>,
     pub since: Ticks,
-    /// The ring for writing, while the coroutine does not have it.
-    pub out: Option<Ring>,
+    /// The buffer for writing, while the coroutine does not have it.
+    pub write_buffer: Option<RingBuffer>,
     request: Vec<u8>,
-    sent: usize,
-    /// How much the coroutine was handed of the request at first.
-    first: usize,
-    /// Nothing of the request is known to be written yet.
-    pub beginning: bool,
+    handed: usize,
+    /// How many bytes of the request the coroutine was handed first.
+    first_chunk: usize,
+    /// No byte of the request is known to be written yet.
+    pub starting: bool,
     /// It has carried a push before.
-    pub kept: bool,
-    /// The tag of the client's own copy, where the request has it.
-    have: Option<String>,
+    pub reused: bool,
+    /// The tag of the client's own copy, if the request names it.
+    client_tag: Option<String>,
     head: Option<Head>,
     body: Vec<u8>,
-    /// Waits for room for its answer's body.
-    pub parked: Option<Ring>,
+    /// The buffer for reading, while the response waits for room for its body.
+    pub parked: Option<RingBuffer>,
 }
 
-/// What reading has come to.
+/// The result of reading.
 pub enum Progress {
     More,
-    /// Its body needs more room than there is.
-    Needs,
-    Whole(Got, bool),
-    Broken(&'static str),
+    /// The body needs more room than there is.
+    NeedsRoom,
+    Complete(PushEnd, bool),
+    Invalid(&'static str),
 }
 
-impl Line {
-    pub fn new(cache: u32, place: Place, carries: (AccessId, usize), now: Ticks) -> Self {
-        Line {
+impl CacheConn {
+    pub fn new(cache: u32, endpoint: Endpoint, push: (AccessId, usize), now: Ticks) -> Self {
+        CacheConn {
             cache,
-            place,
-            state: State::Connecting,
-            carries: Some(carries),
+            endpoint,
+            state: ConnState::Connecting,
+            push: Some(push),
             since: now,
-            out: None,
+            write_buffer: None,
             request: Vec::new(),
-            sent: 0,
-            first: 0,
-            beginning: false,
-            kept: false,
-            have: None,
+            handed: 0,
+            first_chunk: 0,
+            starting: false,
+            reused: false,
+            client_tag: None,
             head: None,
             body: Vec::new(),
             parked: None,
         }
     }
 
-    pub fn begin(&mut self, request: Vec<u8>, have: Option<String>) {
-        (self.state, self.request, self.sent, self.have) = (State::Busy, request, 0, have);
-        (self.head, self.body, self.beginning) = (None, Vec::new(), true);
+    pub fn start(&mut self, request: Vec<u8>, client_tag: Option<String>) {
+        (self.state, self.request, self.handed, self.client_tag) = (ConnState::Busy, request, 0, client_tag);
+        (self.head, self.body, self.starting) = (None, Vec::new(), true);
     }
 
-    /// The next bytes to write, if there are any and the ring is here.
-    pub fn to_write(&mut self) -> Option<Ring> {
-        if self.sent == self.request.len() {
+    /// The buffer with the next bytes to write, if there are any and the buffer is here.
+    pub fn next_write(&mut self) -> Option<RingBuffer> {
+        if self.handed == self.request.len() {
             return None;
         }
-        let mut ring = self.out.take()?;
-        self.sent += ring.put(&self.request[self.sent..]);
-        self.first = if self.beginning { ring.len() } else { 0 };
-        if self.sent == self.request.len() {
-            (self.request, self.sent) = (Vec::new(), 0);
+        let mut buffer = self.write_buffer.take()?;
+        self.handed += buffer.put(&self.request[self.handed..]);
+        self.first_chunk = if self.starting { buffer.len() } else { 0 };
+        if self.handed == self.request.len() {
+            (self.request, self.handed) = (Vec::new(), 0);
         }
-        Some(ring)
+        Some(buffer)
     }
 
-    /// Writing has failed before any of the request went out: it can't have been read. Where a part went out before the
-    /// connection was lost, it may have been.
-    pub fn unwritten(&self, ring: &Ring) -> bool {
-        self.beginning && ring.len() == self.first
+    /// The write failed before any byte of the request was written, so the cache can't have read it. If a
+    /// part was written before the connection was lost, it may have.
+    pub fn nothing_written(&self, buffer: &RingBuffer) -> bool {
+        self.starting && buffer.len() == self.first_chunk
     }
 
     /// Nothing of the request was written, and none of it will be.
-    pub fn rest(&mut self, out: Ring, now: Ticks) {
-        (self.request, self.sent, self.beginning) = (Vec::new(), 0, false);
-        (self.out, self.state, self.since) = (Some(out), State::Idle, now);
+    pub fn reset_to_idle(&mut self, write_buffer: RingBuffer, now: Ticks) {
+        (self.request, self.handed, self.starting) = (Vec::new(), 0, false);
+        (self.write_buffer, self.state, self.since) = (Some(write_buffer), ConnState::Idle, now);
     }
 
-    /// Room that was reserved for the body.
-    pub fn held(&self) -> usize {
+    /// The room reserved for the body.
+    pub fn held_bytes(&self) -> usize {
         self.body.capacity()
     }
 
-    /// Takes what was read, as far as `room` for bodies goes.
-    pub fn take(&mut self, ring: &mut Ring, room: usize) -> Progress {
-        if self.beginning {
-            // From before the request, which the coroutine will not have written.
-            ring.clear();
+    /// Reads the response from the buffer; bodies may take this much more room.
+    pub fn read_response(&mut self, buffer: &mut RingBuffer, room: usize) -> Progress {
+        if self.starting {
+            // Data from before the request, which the coroutine will then not have written.
+            buffer.clear();
             return Progress::More;
         }
-        if self.state != State::Busy {
-            return if ring.is_empty() { Progress::More } else { Progress::Broken("it spoke unasked") };
+        if self.state != ConnState::Busy {
+            return if buffer.is_empty() {
+                Progress::More
+            } else {
+                Progress::Invalid("unexpected data on an idle connection")
+            };
         }
         while self.head.is_none() {
-            match http::head(ring.whole()) {
+            match http::parse_head(buffer.contiguous()) {
                 Ok(None) => return Progress::More,
                 Ok(Some((head, size))) => {
                     if head.length > room {
-                        return Progress::Needs;
+                        return Progress::NeedsRoom;
                     }
-                    ring.consume(size);
+                    buffer.consume(size);
                     if head.status >= 200 {
                         self.body = Vec::with_capacity(head.length);
                         self.head = Some(head);
                     }
                 }
-                Err(http::Broken(why)) => return Progress::Broken(why),
+                Err(http::InvalidResponse(reason)) => return Progress::Invalid(reason),
             }
         }
         let Some(head) = &self.head else { return Progress::More };
-        while self.body.len() < head.length && !ring.is_empty() {
-            let piece = ring.front();
+        while self.body.len() < head.length && !buffer.is_empty() {
+            let piece = buffer.front();
             let count = piece.len().min(head.length - self.body.len());
             self.body.extend_from_slice(&piece[..count]);
-            ring.consume(count);
+            buffer.consume(count);
         }
         if self.body.len() < head.length {
             return Progress::More;
         }
-        // What follows its end is nobody's; the answer itself is whole.
-        let more = !ring.is_empty();
-        let unsent = self.sent < self.request.len();
+        // Data after the end belongs to no request; the response itself is complete.
+        let extra = !buffer.is_empty();
+        let partly_handed = self.handed < self.request.len();
         let Some(head) = self.head.take() else { return Progress::More };
-        let got = Got {
-            outcome: outcome(&head, self.have.as_deref()),
-            note: head.note,
+        let push_end = PushEnd {
+            outcome: outcome(&head, self.client_tag.as_deref()),
+            cache_status: head.cache_status,
             status: head.status,
             tag: head.tag,
-            ring: head.ring.filter(|_| head.status == 508),
-            made_at: head.made_at,
+            cycle: head.cycle.filter(|_| head.status == 508),
+            origin_sent_ms: head.origin_sent_ms,
             body: std::mem::take(&mut self.body),
         };
-        Progress::Whole(got, head.closes || unsent || more)
+        Progress::Complete(push_end, head.close || partly_handed || extra)
     }
 }
 
-/// A cache, parent or origin as it is listed.
+/// The address and the start of a member, as listed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Place {
-    pub at: SocketAddr,
-    pub started: Option<Ticks>,
+pub struct Endpoint {
+    pub address: SocketAddr,
+    pub started_at: Option<Ticks>,
 }
 
-/// Idle connections, by cache id; of those that have rested the one used last is used first.
+/// Idle connections by cache. Of those idle for long enough, the one used last is reused first.
 #[derive(Default)]
 pub struct Pools {
     idle: FxHashMap<u32, Vec<(ConnId, Ticks)>>,
 }
 
 impl Pools {
-    /// An answer names no request. A cache that says one twice says it again within some milliseconds (protocol page):
-    /// what comes on a connection at rest breaks it, but behind a new request it would be taken for its answer. Two
-    /// clock ticks of an ordinary kernel and some more; at a hundred requests a second to one cache it takes two further
+    /// The shortest idle time before reuse. A response names no request, and a cache that sends one twice
+    /// repeats it within some milliseconds (by the protocol). On an idle connection the duplicate closes the
+    /// connection, but after a new request it would be taken for the response to it. This is two clock ticks
+    /// of an ordinary kernel and some more; at a hundred requests a second to one cache it costs two further
     /// connections.
-    pub const REST: Ticks = 200;
+    pub const MIN_IDLE: Ticks = 200;
 
     pub fn put(&mut self, cache: u32, conn: ConnId, now: Ticks) {
         self.idle.entry(cache).or_default().push((conn, now));
     }
 
-    /// One that has been idle since then.
+    /// A connection that became idle within this range of times.
     pub fn get(&mut self, cache: u32, since: RangeInclusive<Ticks>) -> Option<ConnId> {
         let conns = self.idle.get_mut(&cache)?;
-        let place = conns.iter().rposition(|(_, idle)| since.contains(idle))?;
-        Some(conns.remove(place).0)
+        let index = conns.iter().rposition(|(_, idle)| since.contains(idle))?;
+        Some(conns.remove(index).0)
     }
 
     pub fn remove(&mut self, cache: u32, conn: ConnId) {
@@ -237,7 +245,7 @@
         }
     }
 
-    /// All of one cache, which is gone or has started anew.
+    /// Removes all connections of a cache that has gone or restarted.
     pub fn drop_all(&mut self, cache: u32) -> impl Iterator<Item = ConnId> + use<> {
         self.idle.remove(&cache).unwrap_or_default().into_iter().map(|c| c.0)
     }
--- a/crates/front/src/reasons.rs
+++ b/crates/front/src/reasons.rs
@@ -1,68 +1,67 @@
-//! Why connections end and requests go unanswered, as the log has it, and how often each has happened.
+//! Why connections end and requests are rejected, for the log, with counts.
 
 use std::collections::BTreeMap;
 use std::fmt;
 
 use doorgrade::UnservedReason;
 
-/// Why nothing more comes over a connection, or goes out on it.
+/// Why reading from a connection ended or a write to it was not carried out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Cut {
-    /// The other side has ended it.
-    Ended,
-    /// The system's error, by its number.
-    Failed(i32),
-    /// Something had come before the first byte was written: the connection can't be trusted with a request.
-    SpokenOn,
-    /// The client for whom a request was to begin has left.
+pub enum IoEnd {
+    /// Closed by the peer.
+    PeerClosed,
+    /// The number of a system error.
+    OsError(i32),
+    /// Data had arrived before the first byte of a request was written, so the connection is out of step.
+    UnexpectedData,
+    /// The client that the request was for has disconnected.
     ClientLeft,
-    /// The client for whom a request was to begin has said something that was not heard yet.
-    Unheard,
-    /// The request that was to begin was made too long ago.
-    Stale,
+    /// The client that the request was for has sent data that was not processed yet.
+    ClientDataPending,
+    /// The request was built too long ago.
+    Expired,
 }
 
-impl Cut {
-    pub fn of(error: &std::io::Error) -> Cut {
-        error.raw_os_error().map_or(Cut::Ended, Cut::Failed)
+impl IoEnd {
+    pub fn of(error: &std::io::Error) -> IoEnd {
+        error.raw_os_error().map_or(IoEnd::PeerClosed, IoEnd::OsError)
     }
 }
 
-impl fmt::Display for Cut {
+impl fmt::Display for IoEnd {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Cut::Ended => f.write_str("ended by the other side"),
-            Cut::Failed(number) => write!(f, "{}", std::io::Error::from_raw_os_error(*number)),
-            Cut::SpokenOn => f.write_str("something had come on it"),
-            Cut::ClientLeft => f.write_str("its client has left"),
-            Cut::Unheard => f.write_str("its client has said something since"),
-            Cut::Stale => f.write_str("it was made too long ago"),
+            IoEnd::PeerClosed => f.write_str("closed by the peer"),
+            IoEnd::OsError(number) => write!(f, "{}", std::io::Error::from_raw_os_error(*number)),
+            IoEnd::UnexpectedData => f.write_str("unexpected data had arrived"),
+            IoEnd::ClientLeft => f.write_str("its client has left"),
+            IoEnd::ClientDataPending => f.write_str("its client has sent more data"),
+            IoEnd::Expired => f.write_str("the request is out of date"),
         }
     }
 }
 
-/// Why a client's connection ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ClientEnd {
-    /// The client has ended it, or it was lost on the way.
+    /// The client has closed it, or it was lost.
     Left,
     WriteFailed,
-    /// Something on it is no FastCGI, or a request without end.
-    Unreadable,
-    /// It sends on and reads nothing.
+    /// It sent invalid FastCGI, or a request beyond the size limits.
+    InvalidData,
+    /// It keeps sending without reading its responses.
     Flooding,
     /// It has not read what was written long ago.
     NotReading,
     Idle,
-    /// It owes the rest of a request for too long.
+    /// It has not completed a request for too long.
     Unfinished,
-    /// The client asked for one request only.
+    /// The client asked for it to be closed after its request.
     LastRequest,
-    /// Others need its place.
+    /// Its slot was needed for another client.
     Evicted,
-    /// The front ends.
+    /// The front is shutting down.
     FrontEnds,
-    /// It was ended in order, and the client has ended it, too, or took too long.
+    /// It was half-closed, and the client has closed it, too, or took too long.
     Closed,
 }
 
@@ -71,15 +70,15 @@
         f.write_str(match self {
             ClientEnd::Left => "the client left",
             ClientEnd::WriteFailed => "a write failed",
-            ClientEnd::Unreadable => "what comes can't be read",
-            ClientEnd::Flooding => "the client sends on and reads nothing",
+            ClientEnd::InvalidData => "invalid data received",
+            ClientEnd::Flooding => "the client keeps sending without reading",
             ClientEnd::NotReading => "the client does not read",
             ClientEnd::Idle => "idle",
             ClientEnd::Unfinished => "a request was never finished",
             ClientEnd::LastRequest => "its last request was answered",
             ClientEnd::Evicted => "others need its place",
-            ClientEnd::FrontEnds => "the front ends",
-            ClientEnd::Closed => "closed after its end",
+            ClientEnd::FrontEnds => "the front is shutting down",
+            ClientEnd::Closed => "closed after its half-close",
         })
     }
 }
@@ -87,74 +86,74 @@
 /// Why a connection to a cache, a parent or the origin ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CacheEnd {
-    /// At rest for so long that the other side may end it.
-    Rested,
-    /// Another needs its descriptor.
-    Displaced,
-    /// Its member is not listed any more, or stands elsewhere.
+    /// Idle for so long that the peer may close it.
+    Idle,
+    /// Its descriptor was needed for another connection.
+    Evicted,
+    /// Its member is no longer listed, or has another address.
     Unlisted,
-    /// The answer said so, or more followed it.
-    AfterAnswer,
-    /// It carried what must not run twice, for which a new one is taken each time.
+    /// The response announced it, or data followed the response.
+    AfterResponse,
+    /// It carried an unrepeatable access, which always takes a new connection.
     UsedOnce,
     Broken,
-    /// The attempt on it was given up.
-    GivenUp,
-    /// Lost before anything of a request was written on it.
-    LostAtRest,
-    /// It came up when nobody waited for it any more.
-    TooLate,
+    /// The push on it was ended.
+    PushEnded,
+    /// Lost before any byte of a request was written to it.
+    LostWhileIdle,
+    /// Established when no push waited for it any more.
+    EstablishedTooLate,
 }
 
 impl fmt::Display for CacheEnd {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            CacheEnd::Rested => "idle",
-            CacheEnd::Displaced => "another needs its descriptor",
+            CacheEnd::Idle => "idle",
+            CacheEnd::Evicted => "another needs its descriptor",
             CacheEnd::Unlisted => "its member has gone or moved",
-            CacheEnd::AfterAnswer => "the answer ended it",
+            CacheEnd::AfterResponse => "ended by its response",
             CacheEnd::UsedOnce => "used for one request only",
             CacheEnd::Broken => "broken",
-            CacheEnd::GivenUp => "the attempt was given up",
-            CacheEnd::LostAtRest => "lost before a request was written",
-            CacheEnd::TooLate => "came up too late",
+            CacheEnd::PushEnded => "its push ended",
+            CacheEnd::LostWhileIdle => "lost before a request was written",
+            CacheEnd::EstablishedTooLate => "established too late",
         })
     }
 }
 
-/// Why a request is answered without a cache's answer.
+/// Why a request is rejected without a response from a cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Refusal {
-    /// The front ends.
-    Ending,
+pub enum Rejection {
+    /// The front is shutting down.
+    ShuttingDown,
     /// No room for its body.
     NoRoom,
-    /// Its fields can't be used.
-    Unusable,
-    /// Its decisions say so.
-    Decided(UnservedReason),
+    /// Its fields are invalid.
+    Invalid,
+    /// By the decision module.
+    Unserved(UnservedReason),
 }
 
-impl fmt::Display for Refusal {
+impl fmt::Display for Rejection {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Refusal::Ending => f.write_str("the front ends"),
-            Refusal::NoRoom => f.write_str("no room"),
-            Refusal::Unusable => f.write_str("unusable"),
-            Refusal::Decided(why) => why.fmt(f),
+            Rejection::ShuttingDown => f.write_str("no longer accepting requests"),
+            Rejection::NoRoom => f.write_str("no room"),
+            Rejection::Invalid => f.write_str("unusable"),
+            Rejection::Unserved(reason) => reason.fmt(f),
         }
     }
 }
 
-/// How often each reason was met since the start.
+/// How often each reason has occurred since the start.
 #[derive(Debug, Default)]
 pub struct Counts {
     pub clients: BTreeMap<ClientEnd, u64>,
     pub caches: BTreeMap<CacheEnd, u64>,
-    pub refusals: BTreeMap<Refusal, u64>,
-    /// Further attempts of a request after one that failed.
+    pub rejections: BTreeMap<Rejection, u64>,
+    /// Further pushes of a request after one that failed.
     pub retries: u64,
-    /// Requests whose connection this front ended before their answer.
+    /// Requests whose connection was closed by this front before their response.
     pub lost: u64,
 }
 
@@ -165,7 +164,7 @@
         f.write_str("; caches': ")?;
         list(f, &self.caches)?;
         f.write_str("; refused: ")?;
-        list(f, &self.refusals)
+        list(f, &self.rejections)
     }
 }
 
@@ -173,9 +172,9 @@
     if counts.is_empty() {
         return f.write_str("none");
     }
-    for (place, (reason, count)) in counts.iter().enumerate() {
-        let before = if place == 0 { "" } else { ", " };
-        write!(f, "{before}{count} {reason}")?;
+    for (index, (reason, count)) in counts.iter().enumerate() {
+        let separator = if index == 0 { "" } else { ", " };
+        write!(f, "{separator}{count} {reason}")?;
     }
     Ok(())
 }
--- a/crates/front/src/reducer.rs
+++ b/crates/front/src/reducer.rs
@@ -1,12 +1,12 @@
-//! Every state change of the front. Takes one input, changes state, and asks for effects; no I/O inside.
+//! The state machine of the front: takes one input, changes its state, and emits effects. No I/O.
 
+mod admission;
 mod clients;
-mod outlet;
-mod places;
+mod control_feed;
+mod effects;
+mod hierarchy;
 mod pushes;
-mod sent;
-mod tiers;
-mod told;
+mod sent_push;
 mod trace;
 mod types;
 
@@ -23,376 +23,374 @@
 use crate::config::Config;
 use crate::conn::ConnId;
 use crate::feed;
-use crate::follow::Feed;
+use crate::feed_connection::FeedConnection;
 use crate::intake::Request;
 use crate::phase::Phase;
-use crate::push::{Line, Pools, State};
-use crate::reasons::{CacheEnd, ClientEnd, Counts, Cut};
-use crate::stamps::{Stamps, Told};
+use crate::push::{CacheConn, ConnState, Pools};
+use crate::reasons::{CacheEnd, ClientEnd, Counts, IoEnd};
+use crate::remote_times::{Arrival, RemoteTimes};
+use admission::{HalfCloseState, Shortage};
 use clients::Client;
 pub use doorgrade_control_client::Learned;
-use places::{Ending, Want};
-use tiers::Tiers;
-pub use types::{Effect, Input, Made, Most, Served};
-use types::{LINGER, Listener, SILENT, SWEEP, TOLD, Taken, Timer, UNFINISHED, UNREAD, Work};
+use hierarchy::Hierarchy;
+use types::{
+    CLIENT_IDLE_TIMEOUT, COUNTS_LOG_INTERVAL, HALF_CLOSE_TIMEOUT, Listener, OpenAccess, REQUEST_TIMEOUT,
+    SWEEP_INTERVAL, State, Timer, UNREAD_TIMEOUT,
+};
+pub use types::{ConnectResult, Effect, Input, Most, Served};
 
 pub struct Reducer {
     front: Front,
-    work: Work,
+    state: State,
 }
 
 impl Reducer {
     pub fn new(config: Config, now: Ticks) -> Self {
-        let tiers = Tiers::new(&config, now);
+        let hierarchy = Hierarchy::new(&config, now);
         let learned = config.files.settings.recall.as_ref().map(|_| Vec::new());
-        let Config { told, limits, known: (number, events), names, feed, seed, files, whole, .. } = config;
+        let Config { platform, limits, known: (last, events), names, feed, seed, files, full_shape, .. } =
+            config;
         let mut reducer = Reducer {
-            front: Front::new(&told.settings, seed),
-            work: Work {
+            front: Front::new(&platform.settings, seed),
+            state: State {
                 names,
-                offerings: told.offerings,
-                worths: told.settings.offerings.clone(),
-                flow_kb_per_s: told.settings.flow_kb_per_s,
+                offering_names: platform.offerings,
+                offerings: platform.settings.offerings.clone(),
+                flow_kb_per_s: platform.settings.flow_kb_per_s,
                 served: Served::default(),
                 bounds: Bounds::new(&limits),
-                idle: told.idle,
-                longest: told.longest,
-                feed_at: feed,
+                idle_timeout: platform.idle,
+                max_hard_limit: platform.longest,
+                feed_address: feed,
                 now,
                 phase: Phase::new(),
                 listener: Listener::Open,
-                drains: false,
+                draining: false,
                 timers: Timers::default(),
                 effects: Vec::new(),
                 clients: FxHashMap::default(),
-                arrivals: VecDeque::new(),
-                want: Want::default(),
-                lines: FxHashMap::default(),
+                waiting_clients: VecDeque::new(),
+                shortage: Shortage::default(),
+                cache_conns: FxHashMap::default(),
                 pools: Pools::default(),
-                places: FxHashMap::default(),
-                feed: Feed::new(number, now),
+                endpoints: FxHashMap::default(),
+                feed: FeedConnection::new(last, now),
                 accesses: FxHashMap::default(),
-                by_id: FxHashMap::default(),
+                access_by_id: FxHashMap::default(),
                 next_access: 0,
                 next_conn: 0,
                 closing: FxHashMap::default(),
-                ends: VecDeque::new(),
-                bodies: 0,
+                push_ends: VecDeque::new(),
+                body_bytes: 0,
                 parked: VecDeque::new(),
-                most: Most::default(),
+                peaks: Most::default(),
                 counts: Counts::default(),
-                told_at: now,
-                complaints: 0,
-                complained_at: 0,
-                stamps: Stamps::default(),
-                tiers,
+                counts_logged_at: now,
+                unlogged_warnings: 0,
+                warned_at: 0,
+                remote_times: RemoteTimes::default(),
+                hierarchy,
                 learned,
             },
         };
-        reducer.work.take_shape(&files.shape, whole);
-        tracing::info!(
-            "bounds: {:?}; {} events known up to number {number}",
-            reducer.work.bounds,
-            events.len()
-        );
+        reducer.state.apply_shape(&files.shape, full_shape);
+        tracing::info!("bounds: {:?}; {} events known up to {last}", reducer.state.bounds, events.len());
         let latest = events.iter().filter_map(feed::Event::latest).max().unwrap_or(now);
         for event in events {
-            reducer.hear(event, Told::AtStart { latest });
+            reducer.feed_event(event, Arrival::Startup { latest });
         }
-        reducer.settle();
+        reducer.deliver_push_ends();
         reducer
     }
 
-    /// When time must be told even if nothing happens.
+    /// When to send the next [`Input::Tick`], even if nothing happens until then.
     pub fn next_tick(&self) -> Option<Ticks> {
-        self.work.timers.next()
+        self.state.timers.next()
     }
 
     pub fn effects(&mut self) -> std::vec::Drain<'_, Effect> {
-        self.work.effects.drain(..)
+        self.state.effects.drain(..)
     }
 
     pub fn learned(&mut self) -> Vec<Learned> {
-        self.work.learned.as_mut().map(std::mem::take).unwrap_or_default()
+        self.state.learned.as_mut().map(std::mem::take).unwrap_or_default()
     }
 
-    pub fn learned_now(&self) -> usize {
-        self.work.learned.as_ref().map_or(0, Vec::len)
+    pub fn learned_count(&self) -> usize {
+        self.state.learned.as_ref().map_or(0, Vec::len)
     }
 
-    /// How many clients' connections may be let in.
-    pub fn clients(&self) -> usize {
-        self.work.bounds.accepted()
+    /// How many client connections may be open at once.
+    pub fn max_clients(&self) -> usize {
+        self.state.bounds.max_accepted()
     }
 
     pub fn served(&self) -> Served {
-        self.work.served
+        self.state.served
     }
 
-    pub fn most(&self) -> &Most {
-        &self.work.most
+    pub fn peaks(&self) -> &Most {
+        &self.state.peaks
     }
 
-    /// What the wall clock shows; times that others tell are read by it.
+    /// Sets what the wall clock shows, by which times of other machines are converted.
     pub fn set_wall(&mut self, now: Ticks, unix: Ticks) {
-        self.work.stamps.set_wall(now, unix);
+        self.state.remote_times.set_wall(now, unix);
     }
 
     pub fn input(&mut self, now: Ticks, input: Input) {
-        self.work.now = self.work.now.max(now);
-        if let Input::Read { at, .. } = &input {
-            let queued = self.work.now.saturating_sub(*at);
-            self.work.most.queued = self.work.most.queued.max(queued);
+        self.state.now = self.state.now.max(now);
+        if let Input::Read { received_at, .. } = &input {
+            let queued = self.state.now.saturating_sub(*received_at);
+            self.state.peaks.queued = self.state.peaks.queued.max(queued);
         }
         match input {
             Input::Listening => {
-                self.work.phase.serve();
-                self.work.connect_feed();
-                self.work.timers.set(self.work.now + SWEEP, Timer::Sweep);
+                self.state.phase.serve();
+                self.state.connect_feed();
+                self.state.timers.set(self.state.now + SWEEP_INTERVAL, Timer::Sweep);
             }
-            Input::Accepted(conn) => self.work.accepted(conn),
-            Input::Connected(conn, made) if self.work.feed.conn == Some(conn) => {
-                self.work.feed_connected(conn, made);
+            Input::Accepted(conn) => self.state.accepted(conn),
+            Input::Connected(conn, result) if self.state.feed.conn == Some(conn) => {
+                self.state.feed_connected(conn, result);
             }
-            Input::Connected(conn, made) => self.work.connected(conn, made),
-            Input::Read { conn, ring, ended, at } if self.work.clients.contains_key(&conn) => {
-                self.client_read(conn, ring, ended, at);
+            Input::Connected(conn, result) => self.state.connected(conn, result),
+            Input::Read { conn, buffer, ended, received_at } if self.state.clients.contains_key(&conn) => {
+                self.client_read(conn, buffer, ended, received_at);
             }
-            Input::Read { conn, ring, ended, .. } if self.work.feed.conn == Some(conn) => {
-                self.feed_read(conn, ring, ended);
+            Input::Read { conn, buffer, ended, .. } if self.state.feed.conn == Some(conn) => {
+                self.feed_read(conn, buffer, ended);
             }
-            Input::Read { conn, ring, ended, .. } => self.work.line_read(conn, ring, ended),
-            Input::Wrote { conn, ring, failed } if self.work.clients.contains_key(&conn) => {
-                self.client_wrote(conn, ring, failed);
+            Input::Read { conn, buffer, ended, .. } => self.state.cache_read(conn, buffer, ended),
+            Input::Wrote { conn, buffer, failed } if self.state.clients.contains_key(&conn) => {
+                self.client_wrote(conn, buffer, failed);
             }
-            Input::Wrote { conn, ring, failed: Some(Cut::ClientLeft) } => {
-                if let Some(client) = self.work.not_begun(conn, ring) {
+            Input::Wrote { conn, buffer, failed: Some(IoEnd::ClientLeft) } => {
+                if let Some(client) = self.state.release_unsent(conn, buffer) {
                     self.drop_client(client, ClientEnd::Left);
                 }
             }
-            Input::Wrote { conn, ring, failed: Some(why @ (Cut::Unheard | Cut::Stale)) } => {
-                self.work.begin_after_all(conn, ring, why == Cut::Unheard);
+            Input::Wrote {
+                conn,
+                buffer,
+                failed: Some(end @ (IoEnd::ClientDataPending | IoEnd::Expired)),
+            } => {
+                self.state.restart_request(conn, buffer, end == IoEnd::ClientDataPending);
             }
-            Input::Wrote { conn, ring, failed } => self.work.line_wrote(conn, ring, failed),
-            Input::HalfClosed(conn) => self.work.half_closed(conn),
+            Input::Wrote { conn, buffer, failed } => self.state.cache_wrote(conn, buffer, failed),
+            Input::HalfClosed(conn) => self.state.half_closed(conn),
             Input::Closed(conn) => self.closed(conn),
-            Input::NoMeans => self.work.make_room(),
-            Input::ListenerClosed => self.work.listener = Listener::Closed,
+            Input::AcceptFailed => self.state.accept_failed(),
+            Input::ListenerClosed => self.state.listener = Listener::Closed,
             Input::Tick => {}
-            Input::Reload(renewal) => self.work.reload(&renewal),
+            Input::Reload(config) => self.state.reload(&config),
             Input::Recall(fills, purges) => self.recall(&fills, &purges),
-            Input::Homes(taken, kept) => self.work.recall_homes(taken, kept),
+            Input::Homes(saved_at, lists) => self.state.restore_homes(saved_at, lists),
             Input::Drain(on) => {
-                if std::mem::replace(&mut self.work.drains, on) != on {
+                if std::mem::replace(&mut self.state.draining, on) != on {
                     tracing::info!(
                         "{}",
-                        if on { "clients are told to go elsewhere" } else { "clients are welcome again" }
+                        if on { "draining: health checks fail" } else { "no longer draining" }
                     );
                 }
             }
             Input::Stop => {
-                let Work { phase, timers, now, longest, .. } = &mut self.work;
-                for at in phase.leave(*now, *longest).into_iter().flatten() {
+                let State { phase, timers, now, max_hard_limit, .. } = &mut self.state;
+                for at in phase.stop(*now, *max_hard_limit).into_iter().flatten() {
                     timers.set(at, Timer::Phase);
                 }
-                if let Some(at) = phase.end_by() {
+                if let Some(at) = phase.deadline() {
                     self.front.set_shutdown_deadline(at);
                 }
                 tracing::info!("told to stop");
             }
         }
-        self.settle();
-        while let Some(timer) = self.work.due() {
+        self.deliver_push_ends();
+        while let Some(timer) = self.state.pop_due_timer() {
             self.timer(timer);
-            self.settle();
+            self.deliver_push_ends();
         }
-        if !self.work.arrivals.is_empty() {
-            self.work.admit();
+        if !self.state.waiting_clients.is_empty() {
+            self.state.admit();
         }
         self.advance();
     }
 
     fn timer(&mut self, timer: Timer) {
         match timer {
-            Timer::Module(key) => self.front.timer_fired(self.work.now, key, &mut self.work),
-            Timer::PushOver(access, push) => self.work.stop_push(access, push, Outcome::TimedOut),
-            Timer::FeedConnect => self.work.connect_feed(),
+            Timer::Decisions(key) => self.front.timer_fired(self.state.now, key, &mut self.state),
+            Timer::PushTimeout(access, push) => self.state.stop_push(access, push, Outcome::TimedOut),
+            Timer::FeedConnect => self.state.connect_feed(),
             Timer::Sweep => self.sweep(),
-            Timer::Lingered(conn) => {
-                let since = |c: &Client| match c.ending {
-                    Ending::Sent(since) => Some(since),
+            Timer::HalfCloseTimeout(conn) => {
+                let since = |c: &Client| match c.half_close {
+                    HalfCloseState::ShutDown(since) => Some(since),
                     _ => None,
                 };
-                let since = self.work.clients.get(&conn).and_then(since);
-                if since.is_some_and(|since| since + LINGER <= self.work.now) {
+                let since = self.state.clients.get(&conn).and_then(since);
+                if since.is_some_and(|since| since + HALF_CLOSE_TIMEOUT <= self.state.now) {
                     self.drop_client(conn, ClientEnd::Closed);
                 }
             }
             Timer::Phase => {
-                // Before the hard stop: every open access is ended now.
-                if self.work.phase.end_by().is_some_and(|at| at <= self.work.now) {
-                    self.front.stop(&mut self.work);
+                // Ends every open access before the hard stop.
+                if self.state.phase.deadline().is_some_and(|at| at <= self.state.now) {
+                    self.front.stop(&mut self.state);
                 }
             }
         }
     }
 
-    /// Tells the module of all ends of pushes, until there are none left.
-    fn settle(&mut self) {
-        while let Some((id, push, got)) = self.work.ends.pop_front() {
-            let (now, outcome, note) = (self.work.now, got.outcome, got.note);
-            let taken = self.work.accesses.get(&id);
-            let lag = taken.and_then(|t| t.sent.get(push)).map_or(0, |s| now.saturating_sub(s.at));
+    /// Reports all ends of pushes to the decision module, including those that this causes.
+    fn deliver_push_ends(&mut self) {
+        while let Some((id, push, push_end)) = self.state.push_ends.pop_front() {
+            let (now, outcome, cache_status) = (self.state.now, push_end.outcome, push_end.cache_status);
+            let open_access = self.state.accesses.get(&id);
+            let latency =
+                open_access.and_then(|t| t.pushes.get(push)).map_or(0, |s| now.saturating_sub(s.sent_at));
             if outcome == Outcome::Handled
-                && let Some((ms, taken)) = got.made_at.zip(taken)
-                && self.work.learned.is_some()
+                && let Some((ms, open_access)) = push_end.origin_sent_ms.zip(open_access)
+                && self.state.learned.is_some()
             {
-                let fill = fill(&self.work.offerings, &taken.request, ms, now);
-                self.work.learned.iter_mut().for_each(|learned| learned.push(Learned::Fill(fill)));
+                let fill = fill(&self.state.offering_names, &open_access.request, ms, now);
+                self.state.learned.iter_mut().for_each(|learned| learned.push(Learned::Fill(fill)));
             }
-            if outcome == Outcome::Handled && taken.is_some_and(|t| !t.done) {
-                let (tag, same) = (got.tag.as_deref(), got.status == 304);
-                self.work.answer(id, Reply { tag, same, body: got.body, ..Reply::bare(200) });
+            if outcome == Outcome::Handled && open_access.is_some_and(|t| !t.done) {
+                let (tag, not_modified) = (push_end.tag.as_deref(), push_end.status == 304);
+                self.state.answer(id, Reply { tag, not_modified, body: push_end.body, ..Reply::bare(200) });
             } else {
-                self.work.bodies = self.work.bodies.saturating_sub(got.body.len());
+                self.state.body_bytes = self.state.body_bytes.saturating_sub(push_end.body.len());
             }
-            let settled = self.work.accesses.get(&id).is_none_or(|t| t.done);
-            // Bytes from outside: a number that no clock holds is no time.
-            let made = got.made_at.and_then(|ms| ms.checked_mul(10));
-            let made = made.map(|at| self.work.stamps.local(now, at));
-            let ended = PushResult {
-                push,
-                outcome,
-                access_done: settled,
-                latency: lag,
-                cache_status: note,
-                origin_sent_at: made,
-            };
-            self.work.tell_tiers(id, &ended, got.ring.as_deref());
-            self.front.push_ended(now, id, &ended, &mut self.work);
-            self.work.tidy(id);
+            let access_done = self.state.accesses.get(&id).is_none_or(|t| t.done);
+            // The value comes from outside and may overflow.
+            let origin_sent_at = push_end.origin_sent_ms.and_then(|ms| ms.checked_mul(10));
+            let origin_sent_at = origin_sent_at.map(|at| self.state.remote_times.to_local(now, at));
+            let result = PushResult { push, outcome, access_done, latency, cache_status, origin_sent_at };
+            self.state.report_push_end(id, &result, push_end.cycle.as_deref());
+            self.front.push_ended(now, id, &result, &mut self.state);
+            self.state.remove_if_done(id);
         }
     }
 
     fn closed(&mut self, conn: ConnId) {
-        self.work.arrivals.retain(|&waits| waits != conn);
-        // One that was ended in order is closed when the other side has ended it, too.
-        if self.work.clients.contains_key(&conn) {
+        self.state.waiting_clients.retain(|&waiting| waiting != conn);
+        // A half-closed connection is reported closed once the client has closed it, too.
+        if self.state.clients.contains_key(&conn) {
             self.drop_client(conn, ClientEnd::Closed);
         }
-        self.work.closing.remove(&conn);
+        self.state.closing.remove(&conn);
     }
 
     fn advance(&mut self) {
-        let work = &mut self.work;
-        // Before it serves something may have happened, too: what was remembered is told.
-        if work.phase.end_by().is_none() {
+        let state = &mut self.state;
+        // Inputs before `Listening`, such as a recall, must not count as a shutdown.
+        if state.phase.deadline().is_none() {
             return;
         }
-        if !work.phase.takes(work.now) {
-            if work.listener == Listener::Open {
-                work.listener = Listener::Closing;
-                work.effects.push(Effect::StopListening);
-                let open = work.accesses.values().filter(|t| !t.done).count();
-                tracing::info!(
-                    "requests are declined from now on; {open} open, {} clients",
-                    work.clients.len()
-                );
+        if !state.phase.accepts(state.now) {
+            if state.listener == Listener::Open {
+                state.listener = Listener::Closing;
+                state.effects.push(Effect::StopListening);
+                let open = state.accesses.values().filter(|t| !t.done).count();
+                tracing::info!("requests are declined; {open} open, {} clients", state.clients.len());
             }
-            // Those that rest until the front ends them, too. Half a request may still become a whole one.
-            let rests = |c: &Client| c.owed_nothing() && !c.intake.unfinished();
-            let rest: Vec<_> = work.clients.iter().filter(|(_, c)| rests(c)).map(|(&conn, _)| conn).collect();
-            rest.into_iter().for_each(|conn| work.half_close(conn, ClientEnd::FrontEnds));
+            // Idle connections, until the front exits. One with a partial request may still complete it.
+            let is_idle = |c: &Client| c.is_idle() && !c.intake.has_partial();
+            let idle: Vec<_> = state.clients.iter().filter(|(_, c)| is_idle(c)).map(|(&c, _)| c).collect();
+            idle.into_iter().for_each(|conn| state.half_close(conn, ClientEnd::FrontEnds));
         }
-        let open = work.accesses.values().any(|t| !t.done);
-        let clients = work.clients.len() + work.arrivals.len();
-        let connected = clients > 0 || work.listener != Listener::Closed;
-        work.phase.advance(work.now, open, connected);
-        if work.phase.gone() {
-            work.effects.push(Effect::Exit);
+        let open = state.accesses.values().any(|t| !t.done);
+        let clients = state.clients.len() + state.waiting_clients.len();
+        let connected = clients > 0 || state.listener != Listener::Closed;
+        state.phase.advance(state.now, open, connected);
+        if state.phase.exited() {
+            state.effects.push(Effect::Exit);
         }
     }
 
     fn sweep(&mut self) {
-        let work = &mut self.work;
-        let now = work.now;
-        work.timers.set(now + SWEEP, Timer::Sweep);
-        if work.feed.up && work.feed.heard + Feed::SILENCE < now {
+        let state = &mut self.state;
+        let now = state.now;
+        state.timers.set(now + SWEEP_INTERVAL, Timer::Sweep);
+        if state.feed.up && state.feed.received_at + FeedConnection::TIMEOUT < now {
             tracing::info!("feed: silent");
-            work.lose_feed();
+            state.lose_feed();
         }
-        let idle = work.idle * 3 / 4;
-        let old = |l: &Line| l.state == State::Idle && l.since + idle < now;
-        let old: Vec<_> = work.lines.iter().filter(|(_, l)| old(l)).map(|(&c, l)| (c, l.cache)).collect();
+        let idle = state.idle_timeout * 3 / 4;
+        let is_old = |l: &CacheConn| l.state == ConnState::Idle && l.since + idle < now;
+        let old: Vec<_> =
+            state.cache_conns.iter().filter(|(_, l)| is_old(l)).map(|(&c, l)| (c, l.cache)).collect();
         for (conn, cache) in old {
-            work.pools.remove(cache, conn);
-            work.close_line(conn, CacheEnd::Rested);
+            state.pools.remove(cache, conn);
+            state.close_cache_conn(conn, CacheEnd::Idle);
         }
-        let unread = |c: &Client| c.out.is_none() && c.wrote + UNREAD < now;
-        let late =
-            |c: &Client| c.idle_since() + SILENT < now || c.began.is_some_and(|at| at + UNFINISHED < now);
-        let lost = work.clients.iter().filter(|(_, c)| unread(c) || c.owed_nothing() && late(c));
-        for conn in lost.map(|(&conn, _)| conn).collect::<Vec<_>>() {
-            self.work.complain(
-                "a client is silent, reads nothing, or never ends its request: its connection is closed",
+        let is_unread = |c: &Client| c.write_buffer.is_none() && c.last_write + UNREAD_TIMEOUT < now;
+        let is_late = |c: &Client| {
+            c.idle_since() + CLIENT_IDLE_TIMEOUT < now
+                || c.request_since.is_some_and(|at| at + REQUEST_TIMEOUT < now)
+        };
+        let unresponsive = state.clients.iter().filter(|(_, c)| is_unread(c) || c.is_idle() && is_late(c));
+        for conn in unresponsive.map(|(&conn, _)| conn).collect::<Vec<_>>() {
+            self.state.warn_limited(
+                "closing the connection of a client that is idle, does not read, or does not complete its request",
             );
-            let Some(client) = self.work.clients.get(&conn) else { continue };
-            if unread(client) {
+            let Some(client) = self.state.clients.get(&conn) else { continue };
+            if is_unread(client) {
                 self.drop_client(conn, ClientEnd::NotReading);
             } else {
-                let idle = client.idle_since() + SILENT < now;
-                let why = if idle { ClientEnd::Idle } else { ClientEnd::Unfinished };
-                self.work.half_close(conn, why);
+                let idle = client.idle_since() + CLIENT_IDLE_TIMEOUT < now;
+                let reason = if idle { ClientEnd::Idle } else { ClientEnd::Unfinished };
+                self.state.half_close(conn, reason);
             }
         }
-        self.work.unpark();
-        if now >= self.work.told_at + TOLD {
-            self.work.told_at = now;
-            self.work.trace_counts();
+        self.state.resume_parked();
+        if now >= self.state.counts_logged_at + COUNTS_LOG_INTERVAL {
+            self.state.counts_logged_at = now;
+            self.state.trace_counts();
         }
     }
 }
 
-/// An answer has told how old its copy is.
-fn fill(offerings: &[String], r: &Request, made_ms: u64, seen: Ticks) -> Fill {
-    let offering = offerings.iter().position(|o| *o == r.offering).unwrap_or(0) as u16;
-    let (object, part, group, made) = (r.object, r.part, r.group as u16, made_ms.saturating_mul(10));
+/// The fill that a response reported by the age of its copy.
+fn fill(offering_names: &[String], r: &Request, origin_sent_ms: u64, seen: Ticks) -> Fill {
+    let offering = offering_names.iter().position(|o| *o == r.offering).unwrap_or(0) as u16;
+    let (object, part, group, made) = (r.object, r.part, r.group as u16, origin_sent_ms.saturating_mul(10));
     Fill { offering, object, part, group, made, seen }
 }
 
-impl Work {
-    fn due(&mut self) -> Option<Timer> {
+impl State {
+    fn pop_due_timer(&mut self) -> Option<Timer> {
         let at = self.timers.next()?;
-        let timer = self.timers.due(self.now)?;
-        self.most.late = self.most.late.max(self.now - at);
+        let timer = self.timers.pop_due(self.now)?;
+        self.peaks.late = self.peaks.late.max(self.now - at);
         Some(timer)
     }
 
-    fn connect(&mut self, to: SocketAddr) -> ConnId {
+    fn connect(&mut self, address: SocketAddr) -> ConnId {
         let conn = self.next_conn;
         self.next_conn += 1;
-        self.effects.push(Effect::Connect(conn, to));
+        self.effects.push(Effect::Connect(conn, address));
         conn
     }
 
-    fn close_line(&mut self, conn: ConnId, why: CacheEnd) {
-        if let Some(line) = self.lines.get(&conn) {
-            self.trace_cache_end(conn, line.cache, why);
+    fn close_cache_conn(&mut self, conn: ConnId, reason: CacheEnd) {
+        if let Some(cache_conn) = self.cache_conns.get(&conn) {
+            self.trace_cache_end(conn, cache_conn.cache, reason);
         }
         self.close(conn);
     }
 
     fn close(&mut self, conn: ConnId) {
-        let line = self.lines.remove(&conn);
-        if let Some(line) = &line {
-            self.bodies = self.bodies.saturating_sub(line.held());
+        let cache_conn = self.cache_conns.remove(&conn);
+        if let Some(cache_conn) = &cache_conn {
+            self.body_bytes = self.body_bytes.saturating_sub(cache_conn.held_bytes());
         }
-        self.closing.insert(conn, line.is_some());
+        self.closing.insert(conn, cache_conn.is_some());
         self.effects.push(Effect::Close(conn));
     }
 
-    /// Connections to caches, those being closed included.
-    fn lines_used(&self) -> usize {
-        self.lines.len() + self.closing.values().filter(|&&line| line).count()
+    /// Connections to caches, including those whose descriptors are still being closed.
+    fn cache_conns_used(&self) -> usize {
+        self.cache_conns.len() + self.closing.values().filter(|&&to_cache| to_cache).count()
     }
 }
--- a/crates/front/src/reducer/clients.rs
+++ b/crates/front/src/reducer/clients.rs
@@ -1,332 +1,359 @@
-//! The reducer's dealings with clients: what they say, what they are owed.
+//! The reducer's part for clients: their requests and the responses to them.
 
 use doorgrade::{Access, AccessId, Ticks};
 use rustc_hash::FxHashMap;
 
-use super::places::Ending;
-use super::{Effect, Reducer, Taken, Work};
+use super::admission::HalfCloseState;
+use super::{Effect, OpenAccess, Reducer, State};
 use crate::answer::{Outbox, Reply};
 use crate::bounds;
 use crate::conn::ConnId;
 use crate::fastcgi;
-use crate::intake::{Intake, Request, Said};
-use crate::reasons::{ClientEnd, Cut, Refusal};
-use crate::ring::Ring;
+use crate::intake::{ClientMessage, Intake, Request};
+use crate::reasons::{ClientEnd, IoEnd, Rejection};
+use crate::ring_buffer::RingBuffer;
 
 pub(super) struct Client {
     pub(super) intake: Intake,
-    /// None while the coroutine writes.
-    pub(super) out: Option<Ring>,
-    /// When something last came, and when it was last handed something to write.
-    pub(super) heard: Ticks,
-    /// Since when a request has been owed that has not come whole; the first is, from the start.
-    pub(super) began: Option<Ticks>,
-    pub(super) wrote: Ticks,
+    /// None while the connection's coroutine is writing from it.
+    pub(super) write_buffer: Option<RingBuffer>,
+    /// When data was last received, and when data was last handed over for writing.
+    pub(super) last_read: Ticks,
+    /// Since when a complete request has been awaited: for the first request, since the connection was
+    /// accepted.
+    pub(super) request_since: Option<Ticks>,
+    pub(super) last_write: Ticks,
     pub(super) outbox: Outbox,
     pub(super) accesses: FxHashMap<u16, AccessId>,
-    /// Its connection ends with what is open on it.
-    pub(super) last: bool,
-    /// How far its connection has been ended from here.
-    pub(super) ending: Ending,
+    /// The connection is closed once its open requests have been answered.
+    pub(super) close_when_done: bool,
+    /// The progress of its half-close.
+    pub(super) half_close: HalfCloseState,
 }
 
-const COMPLAINTS: Ticks = 10_000;
+const WARNING_INTERVAL: Ticks = 10_000;
 
 impl Client {
     pub(super) fn new(now: Ticks) -> Client {
         Client {
             intake: Intake::default(),
-            out: Some(Ring::new(bounds::CLIENT_OUT)),
-            heard: now,
-            began: Some(now),
-            wrote: now,
+            write_buffer: Some(RingBuffer::new(bounds::CLIENT_OUT)),
+            last_read: now,
+            request_since: Some(now),
+            last_write: now,
             outbox: Outbox::default(),
             accesses: FxHashMap::default(),
-            last: false,
-            ending: Ending::No,
+            close_when_done: false,
+            half_close: HalfCloseState::Open,
         }
     }
 
-    /// Nothing is open and nothing waits to be written: nobody loses by its end.
-    pub(super) fn owed_nothing(&self) -> bool {
-        self.accesses.is_empty() && self.outbox.is_empty() && self.out.is_some()
+    /// No request is open and nothing waits to be written: closing the connection loses nothing.
+    pub(super) fn is_idle(&self) -> bool {
+        self.accesses.is_empty() && self.outbox.is_empty() && self.write_buffer.is_some()
     }
 
     pub(super) fn idle_since(&self) -> Ticks {
-        self.heard.max(self.wrote)
+        self.last_read.max(self.last_write)
     }
 }
 
 impl Reducer {
-    pub(super) fn client_read(&mut self, conn: ConnId, mut ring: Ring, ended: Option<Cut>, at: Ticks) {
-        // Nobody waits for an answer to what came with the end: no attempt is to begin for it. An end of writing alone
-        // can't be told from a close; web servers of this protocol have no use for it (docs/races.md).
-        if let Some(cut) = ended {
-            tracing::debug!("a client's connection has ended: {cut}");
+    pub(super) fn client_read(
+        &mut self,
+        conn: ConnId,
+        mut buffer: RingBuffer,
+        ended: Option<IoEnd>,
+        received_at: Ticks,
+    ) {
+        // Requests that arrive together with the end of the connection are dropped: nobody waits for their
+        // responses. A client that has only shut down its sending side can't be told from one that has
+        // closed; FastCGI web servers don't half-close (docs/races.md).
+        if let Some(end) = ended {
+            tracing::debug!("a client's connection has ended: {end}");
             return self.drop_client(conn, ClientEnd::Left);
         }
-        if let Some(client) = self.work.clients.get_mut(&conn) {
-            // Something had come before its connection was ended: it was not.
-            if !client.intake.deaf {
-                client.ending = Ending::No;
+        if let Some(client) = self.state.clients.get_mut(&conn) {
+            // Data had arrived before the half-close was carried out, so it was not carried out.
+            if !client.intake.discarding {
+                client.half_close = HalfCloseState::Open;
             }
         }
         loop {
-            let Some(client) = self.work.clients.get_mut(&conn) else { return };
-            let before = client.intake.held();
-            if client.intake.deaf {
-                ring.clear();
+            let Some(client) = self.state.clients.get_mut(&conn) else { return };
+            let before = client.intake.held_bytes();
+            if client.intake.discarding {
+                buffer.clear();
             }
-            if client.outbox.crowded() {
-                // Not read on, its end and what it gives up would go unseen; read on, it would fill the memory.
-                self.work.complain("a client sends on and reads nothing: its connection is closed");
+            if client.outbox.is_overfull() {
+                // If reading stopped, the client's disconnect and aborts would go unseen; if it went on,
+                // responses would fill the memory.
+                self.state.warn_limited(
+                    "closing the connection of a client that keeps sending without reading its responses",
+                );
                 return self.drop_client(conn, ClientEnd::Flooding);
             }
-            let room = self.work.bounds.bodies.saturating_sub(self.work.bodies);
-            let said = client.intake.next(&mut ring, room);
-            let after = client.intake.held();
-            self.work.bodies = (self.work.bodies + after).saturating_sub(before);
-            match said {
-                Ok(Some(said)) => {
-                    client.began = None;
-                    self.said(conn, said, at);
+            let room = self.state.bounds.bodies.saturating_sub(self.state.body_bytes);
+            let message = client.intake.next(&mut buffer, room);
+            let after = client.intake.held_bytes();
+            self.state.body_bytes = (self.state.body_bytes + after).saturating_sub(before);
+            match message {
+                Ok(Some(message)) => {
+                    client.request_since = None;
+                    self.client_message(conn, message, received_at);
                 }
                 Ok(None) => break,
-                Err(fastcgi::Broken) => {
-                    // What was taken before is answered; then the connection ends.
-                    client.intake.stop();
-                    let freed = after - client.intake.held();
-                    self.work.bodies = self.work.bodies.saturating_sub(freed);
-                    ring.clear();
-                    self.work.complain("a client's record can't be read: its connection ends");
+                Err(fastcgi::InvalidRecord) => {
+                    // Requests received before the invalid record are answered; then the connection is
+                    // closed.
+                    client.intake.discard_rest();
+                    let freed = after - client.intake.held_bytes();
+                    self.state.body_bytes = self.state.body_bytes.saturating_sub(freed);
+                    buffer.clear();
+                    self.state.warn_limited("a client sent an invalid record; closing its connection");
                     break;
                 }
             }
         }
-        let Some(client) = self.work.clients.get_mut(&conn) else { return };
-        client.heard = self.work.now;
-        if client.began.is_none() && (client.intake.unfinished() || !ring.is_empty()) {
-            client.began = Some(self.work.now);
+        let Some(client) = self.state.clients.get_mut(&conn) else { return };
+        client.last_read = self.state.now;
+        if client.request_since.is_none() && (client.intake.has_partial() || !buffer.is_empty()) {
+            client.request_since = Some(self.state.now);
         }
-        client.last = client.intake.last;
-        self.work.effects.push(Effect::Read(conn, ring));
-        self.work.half_close_last(conn);
+        client.close_when_done = client.intake.close_when_done;
+        self.state.effects.push(Effect::Read(conn, buffer));
+        self.state.half_close_if_done(conn);
     }
 
-    pub(super) fn said(&mut self, conn: ConnId, said: Said, at: Ticks) {
-        let work = &mut self.work;
-        match said {
-            Said::Ask(id, request) => self.take(conn, id, request, at),
-            Said::Check(id) => {
-                let status = if work.phase.serving() && !work.drains { 200 } else { 503 };
-                work.reply(conn, id, Reply::bare(status));
+    pub(super) fn client_message(&mut self, conn: ConnId, message: ClientMessage, received_at: Ticks) {
+        let state = &mut self.state;
+        match message {
+            ClientMessage::Request(id, request) => self.start_access(conn, id, request, received_at),
+            ClientMessage::HealthCheck(id) => {
+                let status = if state.phase.serving() && !state.draining { 200 } else { 503 };
+                state.reply(conn, id, Reply::bare(status));
             }
-            Said::Unusable(id, status, why) => {
-                work.complain(why);
-                work.trace_refusal("", status, Refusal::Unusable);
-                work.reply(conn, id, Reply::bare(status));
+            ClientMessage::Invalid(id, status, reason) => {
+                state.warn_limited(reason);
+                state.trace_rejection("", status, Rejection::Invalid);
+                state.reply(conn, id, Reply::bare(status));
             }
-            Said::Twice(id) => {
-                work.complain("a request's id is in use");
-                if let Some(client) = work.clients.get_mut(&conn) {
-                    client.outbox.put(id, Reply::bare(400), true);
-                    work.write_client(conn);
+            ClientMessage::DuplicateId(id) => {
+                state.warn_limited("a client reused the id of an open request");
+                if let Some(client) = state.clients.get_mut(&conn) {
+                    client.outbox.push(id, Reply::bare(400), true);
+                    state.write_client(conn);
                 }
             }
-            Said::Abort(id) => {
-                if let Some(client) = work.clients.get_mut(&conn) {
-                    let held = client.outbox.held;
-                    client.outbox.forget(id);
-                    work.bodies = work.bodies.saturating_sub(held - client.outbox.held);
+            ClientMessage::Abort(id) => {
+                if let Some(client) = state.clients.get_mut(&conn) {
+                    let held = client.outbox.held_bytes;
+                    client.outbox.remove(id);
+                    state.body_bytes = state.body_bytes.saturating_sub(held - client.outbox.held_bytes);
                     if let Some(access) = client.accesses.remove(&id) {
-                        self.leave(access);
+                        self.abandon(access);
                     }
                 }
             }
-            Said::Over(id, status) => {
-                work.reply_plain(conn, fastcgi::end_request(id, status).to_vec());
+            ClientMessage::EndRequest(id, status) => {
+                state.reply_record(conn, fastcgi::end_request(id, status).to_vec());
             }
-            Said::Reply(bytes) => work.reply_plain(conn, bytes),
+            ClientMessage::ManagementResponse(bytes) => state.reply_record(conn, bytes),
         }
     }
 
-    /// Takes an access, unless its fields can't be used.
-    pub(super) fn take(&mut self, conn: ConnId, id: u16, request: Box<Request>, at: Ticks) {
-        let work = &mut self.work;
-        let Some(offering) = work.offerings.iter().position(|o| *o == request.offering) else {
-            work.complain("a request's class is unknown");
-            work.trace_refusal(&request.id, 404, Refusal::Unusable);
-            return work.reply(conn, id, Reply::bare(404));
+    /// Starts an access, unless the request's fields are invalid.
+    pub(super) fn start_access(&mut self, conn: ConnId, id: u16, request: Box<Request>, received_at: Ticks) {
+        let state = &mut self.state;
+        let Some(offering) = state.offering_names.iter().position(|o| *o == request.offering) else {
+            state.warn_limited("a request names an unknown offering");
+            state.trace_rejection(&request.id, 404, Rejection::Invalid);
+            return state.reply(conn, id, Reply::bare(404));
         };
-        // Caches tell accesses apart by it: the first must not suffer.
-        let open = work.by_id.get(&request.call).and_then(|first| work.accesses.get(first));
+        // Caches identify accesses by the request's id: a second access with it must not disturb the first.
+        let open = state.access_by_id.get(&request.numeric_id).and_then(|first| state.accesses.get(first));
         if open.is_some_and(|t| !t.done) {
-            work.complain("a request's Req-Id is open already");
-            work.trace_refusal(&request.id, 400, Refusal::Unusable);
-            return work.reply(conn, id, Reply::bare(400));
+            state.warn_limited("a request's Req-Id is still in use");
+            state.trace_rejection(&request.id, 400, Rejection::Invalid);
+            return state.reply(conn, id, Reply::bare(400));
         }
-        // Nothing was pushed yet, so trying again is harmless.
-        let room = work.bodies + 2 * request.body.len() <= work.bounds.bodies;
-        if !work.phase.takes(work.now) || !room {
-            work.served.ended += 1;
-            let why = if room { Refusal::Ending } else { Refusal::NoRoom };
-            work.trace_refusal(&request.id, 503, why);
-            return work.reply(conn, id, Reply::bare(503));
+        // Nothing has been pushed yet, so the client may safely retry.
+        let room = state.body_bytes + 2 * request.body.len() <= state.bounds.bodies;
+        if !state.phase.accepts(state.now) || !room {
+            state.served.ended += 1;
+            let reason = if room { Rejection::ShuttingDown } else { Rejection::NoRoom };
+            state.trace_rejection(&request.id, 503, reason);
+            return state.reply(conn, id, Reply::bare(503));
         }
-        let Some(client) = work.clients.get_mut(&conn) else { return };
-        let access = work.next_access;
-        work.next_access += 1;
+        let Some(client) = state.clients.get_mut(&conn) else { return };
+        let access = state.next_access;
+        state.next_access += 1;
         client.accesses.insert(id, access);
-        // Once for the access, and once more on its way to a cache.
-        work.bodies += 2 * request.body.len();
-        let until = at.min(work.now) + request.wait;
-        let asked = Access {
+        // Counted twice: the access holds one copy, and the request to a cache another.
+        state.body_bytes += 2 * request.body.len();
+        let deadline = received_at.min(state.now) + request.wait;
+        let requested = Access {
             id: access,
             offering,
             object: request.object,
             part: request.part,
             group: request.group,
             kb: request.kb,
-            deadline: until,
-            has_repeat_id: request.mark.is_some(),
+            deadline,
+            has_repeat_id: request.repeat_id.is_some(),
         };
-        let repeatable = self.front.repeat_policy(&asked) != doorgrade::RepeatPolicy::Unrepeatable;
-        work.by_id.insert(request.call, access);
-        let of = &work.worths[offering];
-        let sending = of.transfer_factor * 10_000.0 * request.kb / work.flow_kb_per_s.max(1e-6);
-        let (worth, aim) =
-            (of.benefit, work.now.saturating_add(of.soft_limit).saturating_add(sending as Ticks));
-        work.served.asked += worth;
-        let (done, sent, soft_at) = (false, Vec::new(), until);
-        let taken = Taken { client: conn, id, request, repeatable, done, sent, soft_at, worth, aim };
-        work.accesses.insert(access, taken);
-        work.most.accesses = work.most.accesses.max(work.accesses.len());
-        work.trace_taken(access);
-        self.front.access(work.now, &asked, work);
+        let repeatable = self.front.repeat_policy(&requested) != doorgrade::RepeatPolicy::Unrepeatable;
+        state.access_by_id.insert(request.numeric_id, access);
+        let settings = &state.offerings[offering];
+        let transfer_time = settings.transfer_factor * 10_000.0 * request.kb / state.flow_kb_per_s.max(1e-6);
+        let (benefit, benefit_until) = (
+            settings.benefit,
+            state.now.saturating_add(settings.soft_limit).saturating_add(transfer_time as Ticks),
+        );
+        state.served.requested_benefit += benefit;
+        let (done, pushes, soft_limit_at) = (false, Vec::new(), deadline);
+        let open_access = OpenAccess {
+            client: conn,
+            request_id: id,
+            request,
+            repeatable,
+            done,
+            pushes,
+            soft_limit_at,
+            benefit,
+            benefit_until,
+        };
+        state.accesses.insert(access, open_access);
+        state.peaks.accesses = state.peaks.accesses.max(state.accesses.len());
+        state.trace_request(access);
+        self.front.access(state.now, &requested, state);
     }
 
-    /// The client does not wait any more.
-    pub(super) fn leave(&mut self, access: AccessId) {
-        if let Some(taken) = self.work.accesses.get_mut(&access)
-            && !std::mem::replace(&mut taken.done, true)
+    /// The client no longer waits for the access.
+    pub(super) fn abandon(&mut self, access: AccessId) {
+        if let Some(open_access) = self.state.accesses.get_mut(&access)
+            && !std::mem::replace(&mut open_access.done, true)
         {
-            tracing::debug!(request = taken.call(), "given up by its client");
-            self.work.served.ended += 1;
-            self.work.stop_unsent(access);
-            self.front.client_left(access, &mut self.work);
-            self.work.tidy(access);
+            tracing::debug!(request = open_access.client_id(), "given up by its client");
+            self.state.served.ended += 1;
+            self.state.end_unsent_pushes(access);
+            self.front.client_left(access, &mut self.state);
+            self.state.remove_if_done(access);
         }
     }
 
-    pub(super) fn drop_client(&mut self, conn: ConnId, why: ClientEnd) {
-        let Some(client) = self.work.clients.remove(&conn) else { return };
+    pub(super) fn drop_client(&mut self, conn: ConnId, reason: ClientEnd) {
+        let Some(client) = self.state.clients.remove(&conn) else { return };
         let open: Vec<_> = client.accesses.values().copied().collect();
-        self.work.trace_client_end(conn, why, &open);
-        self.work.bodies = self.work.bodies.saturating_sub(client.outbox.held + client.intake.held());
-        self.work.close(conn);
-        open.into_iter().for_each(|access| self.leave(access));
-        self.work.unpark();
+        self.state.trace_client_end(conn, reason, &open);
+        self.state.body_bytes =
+            self.state.body_bytes.saturating_sub(client.outbox.held_bytes + client.intake.held_bytes());
+        self.state.close(conn);
+        open.into_iter().for_each(|access| self.abandon(access));
+        self.state.resume_parked();
     }
 
-    pub(super) fn client_wrote(&mut self, conn: ConnId, ring: Ring, failed: Option<Cut>) {
-        let work = &mut self.work;
-        let Some(client) = work.clients.get_mut(&conn) else { return };
-        client.out = Some(ring);
-        if let Some(cut) = failed {
-            tracing::debug!("a write to a client failed: {cut}");
+    pub(super) fn client_wrote(&mut self, conn: ConnId, buffer: RingBuffer, failed: Option<IoEnd>) {
+        let state = &mut self.state;
+        let Some(client) = state.clients.get_mut(&conn) else { return };
+        client.write_buffer = Some(buffer);
+        if let Some(end) = failed {
+            tracing::debug!("a write to a client failed: {end}");
             return self.drop_client(conn, ClientEnd::WriteFailed);
         }
-        work.write_client(conn);
-        work.half_close_last(conn);
+        state.write_client(conn);
+        state.half_close_if_done(conn);
     }
 }
 
-impl Work {
-    /// The connection was to end with what is open on it, and nothing is.
-    fn half_close_last(&mut self, conn: ConnId) {
-        let over = |c: &Client| c.last && c.intake.open() == 0 && c.outbox.is_empty() && c.out.is_some();
-        if self.clients.get(&conn).is_some_and(over) {
-            let deaf = self.clients.get(&conn).is_some_and(|c| c.intake.deaf);
-            self.half_close(conn, if deaf { ClientEnd::Unreadable } else { ClientEnd::LastRequest });
+impl State {
+    /// Half-closes a connection that was to be closed after its open requests, once none is open.
+    fn half_close_if_done(&mut self, conn: ConnId) {
+        let is_done = |c: &Client| {
+            c.close_when_done && c.intake.open() == 0 && c.outbox.is_empty() && c.write_buffer.is_some()
+        };
+        if self.clients.get(&conn).is_some_and(is_done) {
+            let discarding = self.clients.get(&conn).is_some_and(|c| c.intake.discarding);
+            self.half_close(conn, if discarding { ClientEnd::InvalidData } else { ClientEnd::LastRequest });
         }
     }
 
-    /// What clients do wrong, a line a second at the most: nobody may flood the log from outside.
-    pub(super) fn complain(&mut self, what: &str) {
-        self.complaints += 1;
-        if self.now >= self.complained_at + COMPLAINTS {
-            tracing::warn!("{what} ({} such since the last line)", self.complaints);
-            (self.complaints, self.complained_at) = (0, self.now);
+    /// Logs a client's misbehaviour, at most once a second, so that clients can't flood the log.
+    pub(super) fn warn_limited(&mut self, problem: &str) {
+        self.unlogged_warnings += 1;
+        if self.now >= self.warned_at + WARNING_INTERVAL {
+            tracing::warn!("{problem} ({} such warnings since the last one)", self.unlogged_warnings);
+            (self.unlogged_warnings, self.warned_at) = (0, self.now);
         }
     }
 
     pub(super) fn write_client(&mut self, conn: ConnId) {
         let Some(client) = self.clients.get_mut(&conn) else { return };
-        let Some(mut ring) = client.out.take() else { return };
+        let Some(mut buffer) = client.write_buffer.take() else { return };
         let Client { outbox, intake, accesses, .. } = client;
-        let held = outbox.held;
-        outbox.fill(&mut ring, |id| {
-            intake.end(id);
+        let held = outbox.held_bytes;
+        outbox.fill(&mut buffer, |id| {
+            intake.finish(id);
             accesses.remove(&id);
         });
-        self.bodies = self.bodies.saturating_sub(held - outbox.held);
-        if ring.is_empty() {
-            client.out = Some(ring);
+        self.body_bytes = self.body_bytes.saturating_sub(held - outbox.held_bytes);
+        if buffer.is_empty() {
+            client.write_buffer = Some(buffer);
         } else {
-            client.wrote = self.now;
-            self.effects.push(Effect::Write(conn, ring));
+            client.last_write = self.now;
+            self.effects.push(Effect::Write(conn, buffer));
         }
         if held > 0 {
-            self.unpark();
+            self.resume_parked();
         }
     }
 
     pub(super) fn reply(&mut self, conn: ConnId, id: u16, reply: Reply<'_>) {
         let Some(client) = self.clients.get_mut(&conn) else {
-            self.bodies = self.bodies.saturating_sub(reply.body.len());
+            self.body_bytes = self.body_bytes.saturating_sub(reply.body.len());
             return;
         };
-        client.outbox.put(id, reply, false);
+        client.outbox.push(id, reply, false);
         self.write_client(conn);
     }
 
-    pub(super) fn reply_plain(&mut self, conn: ConnId, bytes: Vec<u8>) {
+    pub(super) fn reply_record(&mut self, conn: ConnId, bytes: Vec<u8>) {
         if let Some(client) = self.clients.get_mut(&conn) {
-            client.outbox.put_plain(bytes);
+            client.outbox.push_record(bytes);
             self.write_client(conn);
         }
     }
 
-    /// The one final answer of an access.
+    /// Sends the one final response of an access.
     pub(super) fn answer(&mut self, access: AccessId, reply: Reply<'_>) {
-        if let Some(taken) = self.accesses.get_mut(&access) {
-            let first = !std::mem::replace(&mut taken.done, true);
-            let in_time = reply.status == 200 && self.now <= taken.aim;
+        if let Some(open_access) = self.accesses.get_mut(&access) {
+            let first = !std::mem::replace(&mut open_access.done, true);
+            let in_time = reply.status == 200 && self.now <= open_access.benefit_until;
             if in_time {
-                self.served.in_time += taken.worth;
+                self.served.earned_benefit += open_access.benefit;
             }
             self.served.ended += u64::from(first);
             self.served.answered += u64::from(first && in_time);
             let status = reply.status;
-            let (client, id) = (taken.client, taken.id);
-            self.trace_answer(access, status);
+            let (client, id) = (open_access.client, open_access.request_id);
+            self.trace_response(access, status);
             self.reply(client, id, reply);
-            self.stop_unsent(access);
+            self.end_unsent_pushes(access);
         }
     }
 
-    pub(super) fn tidy(&mut self, access: AccessId) {
-        let over = |t: &Taken| t.done && t.sent.iter().all(|s| !s.live);
-        if self.accesses.get(&access).is_some_and(over)
-            && !self.ends.iter().any(|e| e.0 == access)
-            && let Some(taken) = self.accesses.remove(&access)
+    pub(super) fn remove_if_done(&mut self, access: AccessId) {
+        let is_done = |t: &OpenAccess| t.done && t.pushes.iter().all(|s| !s.in_flight);
+        if self.accesses.get(&access).is_some_and(is_done)
+            && !self.push_ends.iter().any(|e| e.0 == access)
+            && let Some(open_access) = self.accesses.remove(&access)
         {
-            self.bodies = self.bodies.saturating_sub(2 * taken.request.body.len());
-            if self.by_id.get(&taken.request.call) == Some(&access) {
-                self.by_id.remove(&taken.request.call);
+            self.body_bytes = self.body_bytes.saturating_sub(2 * open_access.request.body.len());
+            if self.access_by_id.get(&open_access.request.numeric_id) == Some(&access) {
+                self.access_by_id.remove(&open_access.request.numeric_id);
             }
-            if let Some(tiers) = &mut self.tiers {
-                tiers.guide.access_done(self.now, access);
+            if let Some(hierarchy) = &mut self.hierarchy {
+                hierarchy.router.access_done(self.now, access);
             }
         }
     }
