--- a/crates/front/src/reducer/pushes.rs
+++ b/crates/front/src/reducer/pushes.rs
@@ -1,258 +1,272 @@
-//! The reducer's dealings with caches: pushes on their way, and the connections that carry them.
+//! The reducer's part for caches: pushes in flight, and the connections that carry them.
 
 use doorgrade::{AccessId, Outcome};
 
-use super::sent::Sent;
-use super::{Effect, Made, Taken, Work};
+use super::sent_push::SentPush;
+use super::{ConnectResult, Effect, OpenAccess, State};
 use crate::bounds;
-use crate::conn::{Awaits, ConnId};
-use crate::push::{Got, Line, Pools, Progress, State};
-use crate::reasons::{CacheEnd, Cut};
-use crate::ring::Ring;
+use crate::conn::{ConnId, SendConditions};
+use crate::push::{CacheConn, ConnState, Pools, Progress, PushEnd};
+use crate::reasons::{CacheEnd, IoEnd};
+use crate::ring_buffer::RingBuffer;
 
-/// A request is put off so often for what its client has said since: more than once only where it says more and more.
-const MOST_PUT_OFF: u8 = 3;
+/// How often a request is postponed because its client has sent more data: more than once only if the client
+/// keeps sending.
+const MAX_POSTPONED: u8 = 3;
 
-impl Work {
-    pub(super) fn connected(&mut self, conn: ConnId, made: Made) {
-        let Some(line) = self.lines.get_mut(&conn) else {
-            // Nobody waits for it any more.
-            return if made == Made::Up {
+impl State {
+    pub(super) fn connected(&mut self, conn: ConnId, result: ConnectResult) {
+        let Some(cache_conn) = self.cache_conns.get_mut(&conn) else {
+            // The push it was made for has ended.
+            return if result == ConnectResult::Connected {
                 self.close(conn)
             };
         };
-        if made != Made::Up {
-            let carries = line.carries.take();
-            self.lines.remove(&conn);
-            let outcome = if made == Made::Refused { Outcome::Unreachable } else { Outcome::NeverSent };
-            if let Some((access, push)) = carries {
-                self.end_push(access, push, Got::bare(outcome));
+        if result != ConnectResult::Connected {
+            let carried_push = cache_conn.push.take();
+            self.cache_conns.remove(&conn);
+            let outcome =
+                if result == ConnectResult::Unreachable { Outcome::Unreachable } else { Outcome::NeverSent };
+            if let Some((access, push)) = carried_push {
+                self.end_push(access, push, PushEnd::without_response(outcome));
             }
             return;
         }
-        line.out = Some(Ring::new(bounds::LINE_OUT));
-        (line.state, line.since) = (State::Idle, self.now);
-        let (cache, place, carries) = (line.cache, line.place, line.carries);
-        self.effects.push(Effect::Read(conn, Ring::new(bounds::LINE_IN)));
-        match carries {
+        cache_conn.write_buffer = Some(RingBuffer::new(bounds::CACHE_OUT));
+        (cache_conn.state, cache_conn.since) = (ConnState::Idle, self.now);
+        let (cache, endpoint, carried_push) = (cache_conn.cache, cache_conn.endpoint, cache_conn.push);
+        self.effects.push(Effect::Read(conn, RingBuffer::new(bounds::CACHE_IN)));
+        match carried_push {
             Some((access, push)) => self.send(conn, access, push),
-            None if self.places.get(&cache) == Some(&place) => self.pools.put(cache, conn, self.now),
-            None => self.close_line(conn, CacheEnd::Unlisted),
+            None if self.endpoints.get(&cache) == Some(&endpoint) => self.pools.put(cache, conn, self.now),
+            None => self.close_cache_conn(conn, CacheEnd::Unlisted),
         }
     }
 
-    /// Writes a push's request on a connection that is up and free.
+    /// Writes the request of a push to a connection that is established and idle.
     pub(super) fn send(&mut self, conn: ConnId, access: AccessId, push: usize) {
-        let via = self.tiers.as_ref().and_then(|t| t.via.as_deref());
-        let Some(taken) = self.accesses.get_mut(&access) else { return };
-        let Some(sent) = taken.sent.get_mut(push) else { return };
-        let Some(line) = self.lines.get_mut(&conn) else { return };
-        if taken.done || sent.outdated || !sent.may_begin(self.now) {
-            line.carries = None;
-            self.pools.put(line.cache, conn, self.now);
-            return self.end_push(access, push, Got::bare(Outcome::NeverSent));
+        let cdn_loop = self.hierarchy.as_ref().and_then(|t| t.cdn_loop.as_deref());
+        let Some(open_access) = self.accesses.get_mut(&access) else { return };
+        let Some(sent) = open_access.pushes.get_mut(push) else { return };
+        let Some(cache_conn) = self.cache_conns.get_mut(&conn) else { return };
+        if open_access.done || sent.stale || !sent.may_start(self.now) {
+            cache_conn.push = None;
+            self.pools.put(cache_conn.cache, conn, self.now);
+            return self.end_push(access, push, PushEnd::without_response(Outcome::NeverSent));
         }
-        let request = sent.request(self.now, &taken.request, via);
+        let request = sent.request(self.now, &open_access.request, cdn_loop);
         tracing::trace!("request {:?}", String::from_utf8_lossy(&request));
-        (sent.conn, sent.begun) = (Some(conn), true);
-        line.carries = Some((access, push));
-        line.begin(request, taken.request.tag.clone());
-        let (client, hear_first) = (taken.client, sent.put_off < MOST_PUT_OFF);
-        let awaits = Awaits { client, made_until: sent.made_until(self.now), hear_first };
-        if let Some(ring) = line.to_write() {
-            self.effects.push(Effect::Begin(conn, ring, awaits));
+        (sent.conn, sent.started) = (Some(conn), true);
+        cache_conn.push = Some((access, push));
+        cache_conn.start(request, open_access.request.tag.clone());
+        let (client, client_data_first) = (open_access.client, sent.postponed < MAX_POSTPONED);
+        let conditions =
+            SendConditions { client, valid_until: sent.valid_until(self.now), client_data_first };
+        if let Some(buffer) = cache_conn.next_write() {
+            self.effects.push(Effect::StartRequest(conn, buffer, conditions));
         }
     }
 
-    pub(super) fn line_wrote(&mut self, conn: ConnId, ring: Ring, failed: Option<Cut>) {
-        let Some(line) = self.lines.get_mut(&conn) else { return };
-        if failed.is_some() && line.unwritten(&ring) {
-            return self.begin_anew(conn);
+    pub(super) fn cache_wrote(&mut self, conn: ConnId, buffer: RingBuffer, failed: Option<IoEnd>) {
+        let Some(cache_conn) = self.cache_conns.get_mut(&conn) else { return };
+        if failed.is_some() && cache_conn.nothing_written(&buffer) {
+            return self.retry_on_new_conn(conn);
         }
-        (line.out, line.beginning) = (Some(ring), false);
-        // A failed write is not the end yet: an answer may be there to be read.
+        (cache_conn.write_buffer, cache_conn.starting) = (Some(buffer), false);
+        // A failed write does not end the connection yet: a response may already be there to be read.
         if failed.is_none()
-            && let Some(ring) = line.to_write()
+            && let Some(buffer) = cache_conn.next_write()
         {
-            self.effects.push(Effect::Write(conn, ring));
+            self.effects.push(Effect::Write(conn, buffer));
         }
     }
 
-    /// A request has not begun since its client has said something, which has been heard by now and may have ended it, or
-    /// since it was made too long ago. If it is still to begin, it is made anew, for the same connection.
-    pub(super) fn begin_after_all(&mut self, conn: ConnId, mut ring: Ring, unheard: bool) {
-        let Some(line) = self.lines.get_mut(&conn) else { return };
-        ring.clear();
-        line.rest(ring, self.now);
-        let Some((access, push)) = line.carries else { return };
-        if let Some(sent) = self.accesses.get_mut(&access).and_then(|t| t.sent.get_mut(push)) {
-            (sent.begun, sent.put_off) = (false, sent.put_off + u8::from(unheard));
+    /// A request was not started, because its client had sent data that was not processed yet (it is by now,
+    /// and may have aborted the request) or because the request was built too long ago. If it is still
+    /// wanted, it is rebuilt for the same connection.
+    pub(super) fn restart_request(
+        &mut self,
+        conn: ConnId,
+        mut buffer: RingBuffer,
+        client_data_pending: bool,
+    ) {
+        let Some(cache_conn) = self.cache_conns.get_mut(&conn) else { return };
+        buffer.clear();
+        cache_conn.reset_to_idle(buffer, self.now);
+        let Some((access, push)) = cache_conn.push else { return };
+        if let Some(sent) = self.accesses.get_mut(&access).and_then(|t| t.pushes.get_mut(push)) {
+            (sent.started, sent.postponed) = (false, sent.postponed + u8::from(client_data_pending));
         }
         self.send(conn, access, push);
     }
 
-    /// Nobody waits for the request that was to begin on this connection, which is as good as before. The client's
-    /// connection, if it is known.
-    pub(super) fn not_begun(&mut self, conn: ConnId, mut ring: Ring) -> Option<ConnId> {
-        let line = self.lines.get_mut(&conn)?;
-        ring.clear();
-        line.rest(ring, self.now);
-        let (cache, place, carries) = (line.cache, line.place, line.carries.take());
-        if self.places.get(&cache) == Some(&place) {
+    /// A request was not started because its client has disconnected. Its connection is as good as before.
+    /// Returns the client's connection, if it is known.
+    pub(super) fn release_unsent(&mut self, conn: ConnId, mut buffer: RingBuffer) -> Option<ConnId> {
+        let cache_conn = self.cache_conns.get_mut(&conn)?;
+        buffer.clear();
+        cache_conn.reset_to_idle(buffer, self.now);
+        let (cache, endpoint, carried_push) = (cache_conn.cache, cache_conn.endpoint, cache_conn.push.take());
+        if self.endpoints.get(&cache) == Some(&endpoint) {
             self.pools.put(cache, conn, self.now);
         } else {
-            self.close_line(conn, CacheEnd::Unlisted);
+            self.close_cache_conn(conn, CacheEnd::Unlisted);
         }
-        let (access, push) = carries?;
-        self.end_push(access, push, Got::bare(Outcome::NeverSent));
+        let (access, push) = carried_push?;
+        self.end_push(access, push, PushEnd::without_response(Outcome::NeverSent));
         Some(self.accesses.get(&access)?.client)
     }
 
-    /// A connection was lost before a push was written on it: the push goes over another, which is no further
-    /// push since nothing of this one can have been read. A second new one lost means that the cache is.
-    fn begin_anew(&mut self, conn: ConnId) {
-        let Some(line) = self.lines.get_mut(&conn) else { return };
-        let (cache, kept, carries) = (line.cache, line.kept, line.carries.take());
-        self.close_line(conn, CacheEnd::LostAtRest);
-        let Some((access, push)) = carries else { return };
-        let Some(taken) = self.accesses.get_mut(&access) else { return };
-        let Some(sent) = taken.sent.get_mut(push) else { return };
-        let lost = !kept && std::mem::replace(&mut sent.unlucky, true);
-        (sent.begun, sent.conn) = (false, None);
-        if taken.done {
-            return self.end_push(access, push, Got::bare(Outcome::NeverSent));
+    /// A connection was lost before the request of its push was written. The push goes over another
+    /// connection, and does not count as a further push, since the cache can't have read any of it. If a
+    /// second new connection is lost as well, the cache is considered unreachable.
+    fn retry_on_new_conn(&mut self, conn: ConnId) {
+        let Some(cache_conn) = self.cache_conns.get_mut(&conn) else { return };
+        let (cache, reused, carried_push) = (cache_conn.cache, cache_conn.reused, cache_conn.push.take());
+        self.close_cache_conn(conn, CacheEnd::LostWhileIdle);
+        let Some((access, push)) = carried_push else { return };
+        let Some(open_access) = self.accesses.get_mut(&access) else { return };
+        let Some(sent) = open_access.pushes.get_mut(push) else { return };
+        let unreachable = !reused && std::mem::replace(&mut sent.lost_new_conn, true);
+        (sent.started, sent.conn) = (false, None);
+        if open_access.done {
+            return self.end_push(access, push, PushEnd::without_response(Outcome::NeverSent));
         }
-        if lost || sent.outdated || self.carry(cache, access, push).is_none() {
-            let outcome = if lost { Outcome::Unreachable } else { Outcome::NeverSent };
-            self.end_push(access, push, Got::bare(outcome));
+        if unreachable || sent.stale || self.assign_conn(cache, access, push).is_none() {
+            let outcome = if unreachable { Outcome::Unreachable } else { Outcome::NeverSent };
+            self.end_push(access, push, PushEnd::without_response(outcome));
         }
     }
 
-    pub(super) fn line_read(&mut self, conn: ConnId, mut ring: Ring, ended: Option<Cut>) {
-        let room = self.bounds.bodies.saturating_sub(self.bodies);
-        let Some(line) = self.lines.get_mut(&conn) else { return };
-        let before = line.held();
-        let progress = line.take(&mut ring, room);
-        self.bodies = (self.bodies + line.held()).saturating_sub(before);
-        self.most.bodies = self.most.bodies.max(self.bodies);
-        let (cache, place) = (line.cache, line.place);
+    pub(super) fn cache_read(&mut self, conn: ConnId, mut buffer: RingBuffer, ended: Option<IoEnd>) {
+        let room = self.bounds.bodies.saturating_sub(self.body_bytes);
+        let Some(cache_conn) = self.cache_conns.get_mut(&conn) else { return };
+        let before = cache_conn.held_bytes();
+        let progress = cache_conn.read_response(&mut buffer, room);
+        self.body_bytes = (self.body_bytes + cache_conn.held_bytes()).saturating_sub(before);
+        self.peaks.bodies = self.peaks.bodies.max(self.body_bytes);
+        let (cache, endpoint) = (cache_conn.cache, cache_conn.endpoint);
         match progress {
-            Progress::Whole(got, closes) => {
-                // From here on the bytes are the answer's.
-                self.bodies += got.body.len();
-                line.since = self.now;
-                let carries = line.carries.take();
-                let kept = line.kept;
-                let taken = carries.and_then(|c| Some((self.accesses.get_mut(&c.0)?, c.1)));
-                // Nor is one kept that no such push may use; one that was kept before stays for others.
-                let once = !kept && taken.as_ref().is_some_and(|(t, _)| !t.repeatable);
-                if let Some(sent) = taken.and_then(|(t, push)| t.sent.get_mut(push)) {
-                    sent.crowded_out = !kept && got.outcome == Outcome::Full;
+            Progress::Complete(push_end, close) => {
+                // From here on these bytes are counted as the response's.
+                self.body_bytes += push_end.body.len();
+                cache_conn.since = self.now;
+                let carried_push = cache_conn.push.take();
+                let reused = cache_conn.reused;
+                let open_access = carried_push.and_then(|c| Some((self.accesses.get_mut(&c.0)?, c.1)));
+                // A new connection that carried an unrepeatable access is closed, as no such access may reuse
+                // it. One that was reused stays for others.
+                let used_once = !reused && open_access.as_ref().is_some_and(|(t, _)| !t.repeatable);
+                if let Some(sent) = open_access.and_then(|(t, push)| t.pushes.get_mut(push)) {
+                    sent.refused_on_new_conn = !reused && push_end.outcome == Outcome::Full;
                 }
-                let unlisted = self.places.get(&cache) != Some(&place);
-                if ended.is_some() || closes || once || unlisted {
-                    let why = match () {
+                let unlisted = self.endpoints.get(&cache) != Some(&endpoint);
+                if ended.is_some() || close || used_once || unlisted {
+                    let reason = match () {
                         () if unlisted => CacheEnd::Unlisted,
-                        () if once => CacheEnd::UsedOnce,
-                        () => CacheEnd::AfterAnswer,
+                        () if used_once => CacheEnd::UsedOnce,
+                        () => CacheEnd::AfterResponse,
                     };
-                    self.close_line(conn, why);
+                    self.close_cache_conn(conn, reason);
                 } else {
-                    if let Some(line) = self.lines.get_mut(&conn) {
-                        (line.state, line.kept) = (State::Idle, true);
+                    if let Some(cache_conn) = self.cache_conns.get_mut(&conn) {
+                        (cache_conn.state, cache_conn.reused) = (ConnState::Idle, true);
                     }
                     self.pools.put(cache, conn, self.now);
-                    self.effects.push(Effect::Read(conn, ring));
+                    self.effects.push(Effect::Read(conn, buffer));
                 }
-                if let Some((access, push)) = carries {
-                    self.end_push(access, push, got);
+                if let Some((access, push)) = carried_push {
+                    self.end_push(access, push, push_end);
                 }
             }
-            // The end of its writing will tell.
-            Progress::More if line.beginning => {}
-            Progress::More if ended.is_none() => self.effects.push(Effect::Read(conn, ring)),
-            Progress::Needs if ended.is_none() => {
-                line.parked = Some(ring);
+            // The result of the pending write decides.
+            Progress::More if cache_conn.starting => {}
+            Progress::More if ended.is_none() => self.effects.push(Effect::Read(conn, buffer)),
+            Progress::NeedsRoom if ended.is_none() => {
+                cache_conn.parked = Some(buffer);
                 self.parked.push_back(conn);
             }
-            Progress::More | Progress::Needs => match ended {
-                Some(cut) => self.break_line(conn, &format!("it ended too soon: {cut}")),
-                None => self.break_line(conn, "it ended too soon"),
+            Progress::More | Progress::NeedsRoom => match ended {
+                Some(end) => self.fail_cache_conn(conn, &format!("the connection ended too soon: {end}")),
+                None => self.fail_cache_conn(conn, "the connection ended too soon"),
             },
-            Progress::Broken(why) => self.break_line(conn, why),
+            Progress::Invalid(reason) => self.fail_cache_conn(conn, reason),
         }
     }
 
-    pub(super) fn break_line(&mut self, conn: ConnId, why: &str) {
-        let Some(line) = self.lines.get_mut(&conn) else { return };
-        let (cache, carries) = (line.cache, line.carries.take());
+    pub(super) fn fail_cache_conn(&mut self, conn: ConnId, reason: &str) {
+        let Some(cache_conn) = self.cache_conns.get_mut(&conn) else { return };
+        let (cache, carried_push) = (cache_conn.cache, cache_conn.push.take());
         self.pools.remove(cache, conn);
-        self.close_line(conn, CacheEnd::Broken);
-        if let Some((access, push)) = carries {
+        self.close_cache_conn(conn, CacheEnd::Broken);
+        if let Some((access, push)) = carried_push {
             let member = format_args!("s-{cache:08x}");
-            tracing::info!(member = %member, "an answer of {member} is broken: {why}");
-            self.end_push(access, push, Got::bare(Outcome::Broken));
+            tracing::info!(member = %member, "the response of {member} can't be used: {reason}");
+            self.end_push(access, push, PushEnd::without_response(Outcome::Broken));
         }
     }
 
-    /// Room for bodies has come free: answers that waited for it go on, the first first.
-    pub(super) fn unpark(&mut self) {
+    /// Room for bodies has become free: responses that waited for it continue, in order.
+    pub(super) fn resume_parked(&mut self) {
         for _ in 0..self.parked.len() {
             let Some(conn) = self.parked.pop_front() else { return };
-            if let Some(ring) = self.lines.get_mut(&conn).and_then(|l| l.parked.take()) {
-                self.line_read(conn, ring, None);
+            if let Some(buffer) = self.cache_conns.get_mut(&conn).and_then(|l| l.parked.take()) {
+                self.cache_read(conn, buffer, None);
             }
         }
     }
 
-    pub(super) fn end_push(&mut self, access: AccessId, push: usize, got: Got) {
-        if let Some(sent) = self.accesses.get_mut(&access).and_then(|t| t.sent.get_mut(push)) {
-            (sent.live, sent.conn) = (false, None);
+    pub(super) fn end_push(&mut self, access: AccessId, push: usize, push_end: PushEnd) {
+        if let Some(sent) = self.accesses.get_mut(&access).and_then(|t| t.pushes.get_mut(push)) {
+            (sent.in_flight, sent.conn) = (false, None);
         }
-        self.trace_push_end(access, push, &got);
-        self.ends.push_back((access, push, got));
+        self.trace_push_end(access, push, &push_end);
+        self.push_ends.push_back((access, push, push_end));
     }
 
-    /// Gives a push up: a connection that carries it is closed, one that is being made is kept for another.
+    /// Ends a push. A connection that carries it is closed; one still being established is kept for other
+    /// pushes.
     pub(super) fn stop_push(&mut self, access: AccessId, push: usize, outcome: Outcome) {
-        let Some(sent) = self.accesses.get_mut(&access).and_then(|t| t.sent.get_mut(push)) else { return };
-        if !sent.live {
+        let Some(sent) = self.accesses.get_mut(&access).and_then(|t| t.pushes.get_mut(push)) else { return };
+        if !sent.in_flight {
             return;
         }
-        // What was never written can't have run, however long it waited for its connection.
-        let unsent = outcome == Outcome::TimedOut && !sent.begun;
-        let outcome = if unsent { Outcome::NeverSent } else { outcome };
+        // A request that was never written can't have run, however long it waited for its connection.
+        let never_sent = outcome == Outcome::TimedOut && !sent.started;
+        let outcome = if never_sent { Outcome::NeverSent } else { outcome };
         if let Some(conn) = sent.conn
-            && let Some(line) = self.lines.get_mut(&conn)
+            && let Some(cache_conn) = self.cache_conns.get_mut(&conn)
         {
-            line.carries = None;
-            if line.state != State::Connecting {
-                self.close_line(conn, CacheEnd::GivenUp);
+            cache_conn.push = None;
+            if cache_conn.state != ConnState::Connecting {
+                self.close_cache_conn(conn, CacheEnd::PushEnded);
             }
         }
-        self.end_push(access, push, Got::bare(outcome));
+        self.end_push(access, push, PushEnd::without_response(outcome));
     }
 
-    /// Nobody waits for this access any more: what has not gone out stays here, whatever its effect, and whether or not
-    /// caches can be told to stop what has.
-    pub(super) fn stop_unsent(&mut self, access: AccessId) {
-        let Some(taken) = self.accesses.get(&access) else { return };
-        let waits = |&n: &usize| taken.sent[n].live && !taken.sent[n].begun;
-        let waiting: Vec<_> = (0..taken.sent.len()).filter(waits).collect();
-        for push in waiting {
+    /// Ends the pushes of an access that have not been written, because its response is no longer awaited.
+    /// This applies whether the access may be repeated or not, and whether or not caches support
+    /// cancellation.
+    pub(super) fn end_unsent_pushes(&mut self, access: AccessId) {
+        let Some(open_access) = self.accesses.get(&access) else { return };
+        let is_unsent = |&n: &usize| open_access.pushes[n].in_flight && !open_access.pushes[n].started;
+        let unsent: Vec<_> = (0..open_access.pushes.len()).filter(is_unsent).collect();
+        for push in unsent {
             self.stop_push(access, push, Outcome::NeverSent);
         }
     }
 
-    /// Word has come that some pushes must heed. Those that still wait for a connection have not: a
-    /// connection may take longer than the word's grace. They end as never sent, and the module decides anew.
-    pub(super) fn recall(&mut self, concerned: impl Fn(&Taken, &Sent) -> bool) {
+    /// News from the feed, such as a purge, affects some pushes. Those that still wait for a connection must
+    /// not go out as they are, since a connection may take longer than the grace period for such news. They
+    /// end as never sent, and the decision module decides again.
+    pub(super) fn invalidate_pushes(&mut self, is_affected: impl Fn(&OpenAccess, &SentPush) -> bool) {
         let mut stale = Vec::new();
-        for (&access, taken) in &mut self.accesses {
-            for n in 0..taken.sent.len() {
-                if taken.sent[n].live && concerned(taken, &taken.sent[n]) {
-                    taken.sent[n].outdated = true;
-                    stale.extend(Some((access, n)).filter(|_| !taken.sent[n].begun));
+        for (&access, open_access) in &mut self.accesses {
+            for n in 0..open_access.pushes.len() {
+                if open_access.pushes[n].in_flight && is_affected(open_access, &open_access.pushes[n]) {
+                    open_access.pushes[n].stale = true;
+                    stale.extend(Some((access, n)).filter(|_| !open_access.pushes[n].started));
                 }
             }
         }
@@ -262,43 +276,45 @@
         }
     }
 
-    /// Closes the connection to a cache that is idle longest.
-    pub(super) fn close_idle(&mut self) -> Option<()> {
-        let idle = self.lines.iter().filter(|(_, l)| l.state == State::Idle && l.carries.is_none());
+    /// Closes the connection to a cache that has been idle longest.
+    pub(super) fn close_idle_cache_conn(&mut self) -> Option<()> {
+        let idle = self.cache_conns.iter().filter(|(_, l)| l.state == ConnState::Idle && l.push.is_none());
         let (conn, cache) = idle.min_by_key(|(_, l)| l.since).map(|(&c, l)| (c, l.cache))?;
         self.pools.remove(cache, conn);
-        self.close_line(conn, CacheEnd::Displaced);
-        // Its descriptor is given back before the next is asked for: effects go in order.
+        self.close_cache_conn(conn, CacheEnd::Evicted);
+        // Effects are carried out in order, so its descriptor is free before the next one is needed.
         self.closing.insert(conn, false);
         Some(())
     }
 
-    /// A connection for a push: an idle one, or a new one where descriptors allow.
-    pub(super) fn carry(&mut self, cache: u32, access: AccessId, push: usize) -> Option<()> {
-        let place = *self.places.get(&cache)?;
-        // A kept connection may be ending while the request is on its way, and then it may have run: what must
-        // not run twice goes over a new one. Where new ones are refused, one used lately is the better risk: the other
-        // side ends those that were idle long.
-        let taken = self.accesses.get(&access)?;
-        let full = self.lines_used() >= self.bounds.lines_with(self.clients.len());
-        let lately = match (taken.repeatable, taken.sent.iter().any(|s| s.crowded_out)) {
-            (true, _) => Some(0),
-            (false, true) => Some(self.now.saturating_sub(self.idle / 4)),
-            (false, false) => None,
-        };
-        // However short descriptors are: the second copy of an answer would pass for that to this request.
-        let rested = self.now.saturating_sub(Pools::REST);
-        if let Some(conn) = lately.and_then(|since| self.pools.get(cache, since..=rested)) {
+    /// Assigns a connection to a push: an idle one, or a new one if descriptors allow.
+    pub(super) fn assign_conn(&mut self, cache: u32, access: AccessId, push: usize) -> Option<()> {
+        let endpoint = *self.endpoints.get(&cache)?;
+        // A reused connection may be closing while the request is on its way, and then the request may have
+        // run. So an unrepeatable access takes a new connection. If its cache refuses new ones, a recently
+        // used one is the smaller risk: caches close those that were idle for long.
+        let open_access = self.accesses.get(&access)?;
+        let no_descriptor = self.cache_conns_used() >= self.bounds.max_cache_conns(self.clients.len());
+        let idle_since =
+            match (open_access.repeatable, open_access.pushes.iter().any(|s| s.refused_on_new_conn)) {
+                (true, _) => Some(0),
+                (false, true) => Some(self.now.saturating_sub(self.idle_timeout / 4)),
+                (false, false) => None,
+            };
+        // This holds even when descriptors are short: otherwise a duplicate of the previous response would be
+        // taken for the response to this request.
+        let idle_until = self.now.saturating_sub(Pools::MIN_IDLE);
+        if let Some(conn) = idle_since.and_then(|since| self.pools.get(cache, since..=idle_until)) {
             self.send(conn, access, push);
             return Some(());
         }
-        if full {
-            self.close_idle()?;
+        if no_descriptor {
+            self.close_idle_cache_conn()?;
         }
-        let conn = self.connect(place.at);
-        self.lines.insert(conn, Line::new(cache, place, (access, push), self.now));
-        self.most.lines = self.most.lines.max(self.lines_used());
-        if let Some(sent) = self.accesses.get_mut(&access).and_then(|t| t.sent.get_mut(push)) {
+        let conn = self.connect(endpoint.address);
+        self.cache_conns.insert(conn, CacheConn::new(cache, endpoint, (access, push), self.now));
+        self.peaks.lines = self.peaks.lines.max(self.cache_conns_used());
+        if let Some(sent) = self.accesses.get_mut(&access).and_then(|t| t.pushes.get_mut(push)) {
             sent.conn = Some(conn);
         }
         Some(())
--- a/crates/front/src/reducer/types.rs
+++ b/crates/front/src/reducer/types.rs
@@ -1,4 +1,4 @@
-//! What the reducer is told, keeps, and asks for.
+//! The reducer's inputs, effects and state.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -9,112 +9,112 @@
 use doorgrade_recall::{Fill, Purge};
 use rustc_hash::FxHashMap;
 
+use super::admission::Shortage;
 use super::clients::Client;
-use super::places::Want;
-use super::sent::Sent;
-use super::tiers::Tiers;
+use super::hierarchy::Hierarchy;
+use super::sent_push::SentPush;
 use crate::bounds::Bounds;
 use crate::clock::Timers;
-use crate::config::Renewal;
-use crate::conn::{Awaits, ConnId};
-use crate::feed::Names;
-use crate::follow::Feed;
+use crate::config::ReloadedConfig;
+use crate::conn::{ConnId, SendConditions};
+use crate::feed::ZoneAndKindNames;
+use crate::feed_connection::FeedConnection;
 use crate::intake::Request;
 use crate::phase::Phase;
-use crate::push::{Got, Line, Place, Pools};
-use crate::reasons::{Counts, Cut};
-use crate::ring::Ring;
-use crate::stamps::Stamps;
+use crate::push::{CacheConn, Endpoint, Pools, PushEnd};
+use crate::reasons::{Counts, IoEnd};
+use crate::remote_times::RemoteTimes;
+use crate::ring_buffer::RingBuffer;
 
-/// What came of a connection that was asked for.
+/// The result of an attempt to connect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Made {
-    Up,
-    Refused,
-    /// Nobody was asked: this machine has no descriptor or no address left.
-    NoMeans,
+pub enum ConnectResult {
+    Connected,
+    Unreachable,
+    /// The connection was not attempted: this machine has no descriptor or no local address left.
+    LocalFailure,
 }
 
-/// One thing that has happened.
+/// One event that the reducer handles.
 pub enum Input {
     Listening,
     Accepted(ConnId),
-    Connected(ConnId, Made),
+    Connected(ConnId, ConnectResult),
     Read {
         conn: ConnId,
-        ring: Ring,
-        ended: Option<Cut>,
-        at: Ticks,
+        buffer: RingBuffer,
+        ended: Option<IoEnd>,
+        received_at: Ticks,
     },
     Wrote {
         conn: ConnId,
-        ring: Ring,
-        failed: Option<Cut>,
+        buffer: RingBuffer,
+        failed: Option<IoEnd>,
     },
-    /// The end of writing was sent to a client.
+    /// The sending side of a client's connection was shut down.
     HalfClosed(ConnId),
     Closed(ConnId),
-    /// Clients' connections can't be accepted for want of descriptors or memory.
-    NoMeans,
-    /// No client's connection comes any more.
+    /// Clients' connections can't be accepted for lack of descriptors or memory.
+    AcceptFailed,
+    /// The listener is closed: no further client connects.
     ListenerClosed,
-    /// Time has passed.
     Tick,
     Stop,
-    /// Clients are told to go elsewhere, or not any more; all that they ask is still taken.
+    /// Whether health checks report this front as unavailable, so that clients go elsewhere. Requests are
+    /// served all the same.
     Drain(bool),
-    Reload(Box<Renewal>),
-    /// What was known before the start, or is known to neighbours, and holds.
+    Reload(Box<ReloadedConfig>),
+    /// Fills and purges known from before the start, or to neighbours.
     Recall(Vec<Fill>, Vec<Purge>),
-    /// Homes of objects as they were before the start, and when that was written.
+    /// The homes of objects saved before the start, and when they were saved.
     Homes(Ticks, Vec<SavedList>),
 }
 
-/// One thing to do.
+/// One action for the caller to carry out.
 #[derive(Debug)]
 pub enum Effect {
     Connect(ConnId, SocketAddr),
-    Read(ConnId, Ring),
-    Write(ConnId, Ring),
-    /// The beginning of a request: written only if the connection is still good, and somebody still waits.
-    Begin(ConnId, Ring, Awaits),
-    /// A client's connection is to be ended in order; unless something has come that was not told yet, where the last
-    /// is false.
+    Read(ConnId, RingBuffer),
+    Write(ConnId, RingBuffer),
+    /// Writes the start of a request, only if the connection is still good and the response is still wanted.
+    StartRequest(ConnId, RingBuffer, SendConditions),
+    /// Half-closes a client's connection. If false, only if no data has arrived that was not reported yet.
     HalfClose(ConnId, bool),
     Close(ConnId),
-    /// Nobody is to be let in any more.
+    /// Stop accepting connections.
     StopListening,
     Exit,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Timer {
-    /// The module's own.
-    Module(u64),
-    /// A push's time is up.
-    PushOver(AccessId, usize),
+    /// Set by the decision module.
+    Decisions(u64),
+    /// A push has timed out.
+    PushTimeout(AccessId, usize),
     FeedConnect,
-    /// Once in a while: silence of the feed, idle connections, clients that do not read.
+    /// Periodic: checks for a silent feed, idle connections, and clients that do not read.
     Sweep,
-    /// The other side has not ended a connection that was to be ended in order.
-    Lingered(ConnId),
+    /// The client has not closed its connection after the half-close.
+    HalfCloseTimeout(ConnId),
     Phase,
 }
 
-pub(super) const SWEEP: Ticks = 2_500;
-/// How often the log has the highest counts.
-pub(super) const TOLD: Ticks = 100_000;
-/// A client that has not read a ring's worth in this time, the longest it may wait for an answer, never will.
-pub(super) const UNREAD: Ticks = 100_000;
-/// A client to which nothing is owed and that says nothing for so long has vanished, or holds on for good:
-/// protocol fact, clients close what is idle after 4 s.
-pub(super) const SILENT: Ticks = 60_000;
-/// Whoever has not sent a whole request in this time never will. A client is owed an answer or a close within
-/// 3 s of connecting; two sweeps and some less.
-pub(super) const UNFINISHED: Ticks = 24_000;
-/// How long the other side may take to end a connection that was ended here: some round trips to a client, whose
-/// requests that cross the end come again within 50 ms.
-pub(super) const LINGER: Ticks = 2_000;
+pub(super) const SWEEP_INTERVAL: Ticks = 2_500;
+/// How often the peaks and counts are logged.
+pub(super) const COUNTS_LOG_INTERVAL: Ticks = 100_000;
+/// A client that has not read a buffer's worth in this time, the longest that it may wait for a response,
+/// never will.
+pub(super) const UNREAD_TIMEOUT: Ticks = 100_000;
+/// A client that is owed no response and sends nothing for so long has vanished, or keeps its connection for
+/// no use: by the protocol, clients close a connection after 4 s of idling.
+pub(super) const CLIENT_IDLE_TIMEOUT: Ticks = 60_000;
+/// A client that has not completed a request in this time never will. Within 3 s of connecting a client is
+/// owed a response or a close; this leaves room for two sweeps and some delay.
+pub(super) const REQUEST_TIMEOUT: Ticks = 24_000;
+/// How long a client may take to close a connection that was half-closed: several round trips. Clients resend
+/// requests that cross the half-close within 50 ms.
+pub(super) const HALF_CLOSE_TIMEOUT: Ticks = 2_000;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Listener {
@@ -123,96 +123,100 @@
     Closed,
 }
 
-pub(super) struct Taken {
+pub(super) struct OpenAccess {
     pub(super) client: ConnId,
-    pub(super) id: u16,
+    pub(super) request_id: u16,
     pub(super) request: Box<Request>,
     pub(super) repeatable: bool,
-    /// The final answer was given, or is not owed any more.
+    /// The final response was given, or is no longer owed.
     pub(super) done: bool,
-    pub(super) sent: Vec<Sent>,
-    /// Its soft limit, as the module sees it.
-    pub(super) soft_at: Ticks,
-    /// What it is worth, and until when it earns that.
-    pub(super) worth: f64,
-    pub(super) aim: Ticks,
+    pub(super) pushes: Vec<SentPush>,
+    /// When its soft limit ends, by the decision module.
+    pub(super) soft_limit_at: Ticks,
+    /// Its benefit if answered with content, and until when it counts.
+    pub(super) benefit: f64,
+    pub(super) benefit_until: Ticks,
 }
 
-/// Benefit asked for, and had within the soft limit, in all; and accesses in numbers, for reports to the service of
-/// versions.
+/// Totals for reports to the control service: the benefit requested and the benefit earned within the soft
+/// limit, and counts of accesses.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Served {
-    pub asked: f64,
-    pub in_time: f64,
-    /// Accesses that have ended: answered, given up, left by their clients, or turned away for want of room.
+    pub requested_benefit: f64,
+    pub earned_benefit: f64,
+    /// Accesses that have ended: answered, given up, abandoned by their clients, or rejected for lack of
+    /// room.
     pub ended: u64,
-    /// Of those, the ones answered with the content within the soft limit.
+    /// Of those, the ones answered with content within the soft limit.
     pub answered: u64,
 }
 
-/// The most that was in use at once, for the log.
+/// Peak values, for the log.
 #[derive(Default, Debug)]
 pub struct Most {
     pub clients: usize,
     pub lines: usize,
     pub bodies: usize,
     pub accesses: usize,
-    /// The longest a timer came late, and something read waited in the queue, in tenths of a millisecond.
+    /// The longest that a timer was late, and that data read from a socket waited in the queue, in units of
+    /// 0.1 ms.
     pub late: Ticks,
     pub queued: Ticks,
 }
 
-pub(super) struct Work {
-    pub(super) names: Names,
-    /// Their names.
-    pub(super) offerings: Vec<String>,
-    /// What they are worth and until when, and the rate at which a part is sent.
-    pub(super) worths: Vec<Offering>,
+pub(super) struct State {
+    pub(super) names: ZoneAndKindNames,
+    /// The names of the offerings.
+    pub(super) offering_names: Vec<String>,
+    /// The settings of the offerings, and the rate of one transfer.
+    pub(super) offerings: Vec<Offering>,
     pub(super) flow_kb_per_s: f64,
     pub(super) served: Served,
     pub(super) bounds: Bounds,
-    pub(super) idle: Ticks,
-    pub(super) longest: Ticks,
-    pub(super) feed_at: SocketAddr,
+    pub(super) idle_timeout: Ticks,
+    pub(super) max_hard_limit: Ticks,
+    pub(super) feed_address: SocketAddr,
     pub(super) now: Ticks,
     pub(super) phase: Phase,
-    /// Clients' connections come, may still come though nobody is to be let in, or come no more.
+    /// Whether clients can still connect. Between closing and closed, connections may still arrive from the
+    /// backlog.
     pub(super) listener: Listener,
-    /// `/check` says that it is not ready, though it serves: operators want clients to go elsewhere.
-    pub(super) drains: bool,
+    /// Health checks report this front as unavailable, so that clients go elsewhere.
+    pub(super) draining: bool,
     pub(super) timers: Timers<Timer>,
     pub(super) effects: Vec<Effect>,
     pub(super) clients: FxHashMap<ConnId, Client>,
-    /// Clients' connections that wait for a place.
-    pub(super) arrivals: VecDeque<ConnId>,
-    pub(super) want: Want,
-    pub(super) lines: FxHashMap<ConnId, Line>,
+    /// Accepted connections that wait for a free slot.
+    pub(super) waiting_clients: VecDeque<ConnId>,
+    pub(super) shortage: Shortage,
+    pub(super) cache_conns: FxHashMap<ConnId, CacheConn>,
     pub(super) pools: Pools,
-    pub(super) places: FxHashMap<u32, Place>,
-    pub(super) feed: Feed,
-    pub(super) accesses: FxHashMap<AccessId, Taken>,
-    /// Of the accesses above by their clients' ids, the last of each.
-    pub(super) by_id: FxHashMap<u64, AccessId>,
+    pub(super) endpoints: FxHashMap<u32, Endpoint>,
+    pub(super) feed: FeedConnection,
+    pub(super) accesses: FxHashMap<AccessId, OpenAccess>,
+    /// The last access with each client-given id.
+    pub(super) access_by_id: FxHashMap<u64, AccessId>,
     pub(super) next_access: AccessId,
     pub(super) next_conn: ConnId,
-    /// Connections closed whose descriptors are not back yet.
+    /// Closed connections whose descriptors are not free yet; true for those to caches.
     pub(super) closing: FxHashMap<ConnId, bool>,
-    /// Ends of pushes that the module has not heard of yet.
-    pub(super) ends: VecDeque<(AccessId, usize, Got)>,
-    /// Bytes of bodies held, of all answers and writes.
-    pub(super) bodies: usize,
-    /// Connections whose answers wait for room.
+    /// Ends of pushes that were not reported to the decision module yet.
+    pub(super) push_ends: VecDeque<(AccessId, usize, PushEnd)>,
+    /// Bytes of bodies held, of requests and responses.
+    pub(super) body_bytes: usize,
+    /// Cache connections whose responses wait for room.
     pub(super) parked: VecDeque<ConnId>,
-    pub(super) most: Most,
+    pub(super) peaks: Most,
     pub(super) counts: Counts,
-    pub(super) told_at: Ticks,
-    /// Not yet in the log, and when the last was.
-    pub(super) complaints: usize,
-    pub(super) complained_at: Ticks,
-    /// Readings of times that others tell.
-    pub(super) stamps: Stamps,
-    /// Parents in tiers, where operators have said so.
-    pub(super) tiers: Option<Tiers>,
-    /// What was seen since it was asked last; none where nobody remembers it.
+    pub(super) counts_logged_at: Ticks,
+    /// Warnings about clients since the last one logged, and when that was.
+    pub(super) unlogged_warnings: usize,
+    pub(super) warned_at: Ticks,
+    /// Converts times of other machines.
+    pub(super) remote_times: RemoteTimes,
+    /// The hierarchy of parents, if it is enabled.
+    pub(super) hierarchy: Option<Hierarchy>,
+    /// What was learned since the last call of [`Reducer::learned`](super::Reducer::learned); none if nobody
+    /// stores it.
     pub(super) learned: Option<Vec<Learned>>,
 }
--- a/crates/front/src/ring.rs
+++ b/crates/front/src/ring_buffer.rs
@@ -1,15 +1,15 @@
-//! The bounded ring buffer that each connection has in either direction.
+//! The bounded ring buffer of each direction of a connection.
 
 #[derive(Debug)]
-pub struct Ring {
+pub struct RingBuffer {
     bytes: Box<[u8]>,
     start: usize,
     len: usize,
 }
 
-impl Ring {
+impl RingBuffer {
     pub fn new(capacity: usize) -> Self {
-        Ring { bytes: vec![0; capacity].into(), start: 0, len: 0 }
+        RingBuffer { bytes: vec![0; capacity].into(), start: 0, len: 0 }
     }
 
     pub fn len(&self) -> usize {
@@ -24,14 +24,14 @@
         self.bytes.len() - self.len
     }
 
-    /// The oldest bytes, as far as they lie in one piece.
+    /// The oldest bytes, as far as they are contiguous.
     pub fn front(&self) -> &[u8] {
         let end = (self.start + self.len).min(self.bytes.len());
         &self.bytes[self.start..end]
     }
 
-    /// All bytes in one piece.
-    pub fn whole(&mut self) -> &[u8] {
+    /// All bytes, made contiguous.
+    pub fn contiguous(&mut self) -> &[u8] {
         if self.start + self.len > self.bytes.len() {
             self.bytes.rotate_left(self.start);
             self.start = 0;
@@ -45,7 +45,8 @@
         self.start = if self.len == 0 { 0 } else { (self.start + count) % self.bytes.len() };
     }
 
-    /// Room for new bytes, as far as it lies in one piece; [`Ring::filled`] says how much of it was used.
+    /// The free space for new bytes, as far as it is contiguous; [`RingBuffer::filled`] adds what was written
+    /// to it.
     pub fn back(&mut self) -> &mut [u8] {
         let capacity = self.bytes.len();
         if capacity == 0 {
@@ -66,7 +67,7 @@
         self.len = (self.len + count).min(self.bytes.len());
     }
 
-    /// Takes as many of the bytes as there is room for, and says how many.
+    /// Appends as many bytes as fit, and returns how many.
     pub fn put(&mut self, mut bytes: &[u8]) -> usize {
         let before = self.len;
         while !bytes.is_empty() && self.free() > 0 {
--- a/crates/front/src/serve.rs
+++ b/crates/front/src/serve.rs
@@ -1,4 +1,4 @@
-//! Serving: reads the configuration, then hands what happens to the reducer and does what it asks for.
+//! Runs the front: reads the configuration, then passes events to the reducer and carries out its effects.
 
 use std::collections::VecDeque;
 use std::io::Read;
@@ -21,17 +21,17 @@
 use doorgrade::Ticks;
 
 use crate::accept::{self, Acceptor};
+use crate::active_config::{ActiveConfig, ConfigSources, ControlledFront, ServedTotals, SharedConfig, lock};
 use crate::clock;
 use crate::config::Config;
-use crate::conn::{self, Awaiting, ConnId, Event, Port};
+use crate::conn::{self, ConnHandle, ConnId, Event, SendGuard};
 use crate::fastcgi;
-use crate::in_use::{Controlled, InUse, Place, Served, Shared, lock};
-use crate::reducer::{Effect, Input, Made, Reducer};
+use crate::reducer::{ConnectResult, Effect, Input, Reducer};
 
 /// Serves until it is told to stop.
-pub fn serve(place: Place) -> Result<(), String> {
-    let config = place.read().inspect_err(|_| doorgrade_log::start(LevelFilter::INFO, Format::Human))?;
-    let settings = place.settings.clone().unwrap_or_else(|| files::USUAL.into());
+pub fn serve(sources: ConfigSources) -> Result<(), String> {
+    let config = sources.read().inspect_err(|_| doorgrade_log::start(LevelFilter::INFO, Format::Human))?;
+    let settings = sources.settings.clone().unwrap_or_else(|| files::USUAL.into());
     doorgrade_log::start(
         config.log,
         match config.files.settings.log.format {
@@ -39,293 +39,308 @@
             settings::Format::Json => Format::Json,
         },
     );
-    let _named = tracing::info_span!("serve", front = config.name).entered();
+    let _entered = tracing::info_span!("serve", front = config.name).entered();
     clock::heed_tests();
-    // One core is told; a coroutine reads and writes through rings on the heap, so small stacks do.
+    // The front is given one core, so one worker. Coroutines read and write through buffers on the heap, so
+    // small stacks do.
     may::config().set_workers(1).set_stack_size(0x1000);
-    // Bound to the first core, the workers of all fronts on a machine would share it, whatever others are free.
+    // Pinned to the first core, the workers of all fronts on a machine would share it, whatever other cores
+    // are free.
     may::config().set_worker_pin(false);
-    let (events, happened) = channel();
-    // Before anything else: a version that is kept is what this start runs.
+    let (events, received) = channel();
+    // Opened first, because a stored version is what this start runs.
     let stored =
         config.files.settings.versions.clone().map(|own| {
             StoredVersion::open(own, &settings, config.seed, |version| config.needs_restart(version))
         });
     let version = stored.as_ref().and_then(|stored| stored.version.clone());
     let neighbourhood = neighbourhood(&config, &settings)?;
-    let first = config.clone();
+    let startup = config.clone();
     let config = match &version {
-        Some(version) => config.overlaid(version),
+        Some(version) => config.with_version(version),
         None => config,
     };
-    let in_use: Shared = Arc::new(Mutex::new(InUse { place, first, version, events: events.clone() }));
-    let stop = heed_signals(in_use.clone(), events.clone()).map_err(|e| format!("signals: {e}"))?;
+    let active_config: SharedConfig =
+        Arc::new(Mutex::new(ActiveConfig { sources, startup, version, events: events.clone() }));
+    let stop = handle_signals(active_config.clone(), events.clone()).map_err(|e| format!("signals: {e}"))?;
     let (listen, name) = (config.listen, config.name.clone());
-    let known = neighbourhood.as_ref().map(Neighbourhood::known);
+    let recalled = neighbourhood.as_ref().map(Neighbourhood::known);
     let homes = neighbourhood.as_ref().and_then(Neighbourhood::homes);
-    let within = Duration::from_micros(config.told.connect_within * 100);
-    let served = Arc::new(Served::default());
+    let connect_timeout = Duration::from_micros(config.platform.connect_within * 100);
+    let served = Arc::new(ServedTotals::default());
     let mut driver = Driver {
         reducer: Reducer::new(config, clock::now()),
-        ports: FxHashMap::default(),
+        handles: FxHashMap::default(),
         acceptor: None,
-        stop,
-        came: Came::default(),
-        within,
+        stop_requested: stop,
+        queue: EventQueue::default(),
+        connect_timeout,
         events,
         effects: Vec::new(),
-        heard: None,
-        taken: None,
+        read_conn: None,
+        version_applied: None,
         served: stored.is_some().then(|| served.clone()),
         learned: None,
-        handed: 0,
+        learned_sent_at: 0,
     };
-    if let Some((fills, purges)) = known {
+    if let Some((fills, purges)) = recalled {
         driver.reducer.input(clock::now(), Input::Recall(fills, purges));
     }
-    if let Some((taken, kept)) = homes {
-        driver.reducer.input(clock::now(), Input::Homes(taken, kept));
+    if let Some((saved_at, lists)) = homes {
+        driver.reducer.input(clock::now(), Input::Homes(saved_at, lists));
     }
-    let acceptor = accept::listen(listen, driver.reducer.clients(), driver.events.clone())
+    let acceptor = accept::listen(listen, driver.reducer.max_clients(), driver.events.clone())
         .map_err(|e| format!("key 'listen': {listen}: {e}"))?;
     tracing::info!("{name} listens on {}", acceptor.local);
     driver.acceptor = Some(acceptor);
     driver.reducer.input(clock::now(), Input::Listening);
-    let controlled = Controlled { in_use, served };
-    let follows = stored.map(|stored| stored.follow(name, controlled)).transpose()?;
-    let exchanges = match neighbourhood {
+    let controlled = ControlledFront { active_config, served };
+    let version_worker = stored.map(|stored| stored.follow(name, controlled)).transpose()?;
+    let exchange_worker = match neighbourhood {
         Some(neighbourhood) => {
             let events = driver.events.clone();
-            let recalled = move |fills, purges| drop(events.send(Event::Recall(fills, purges)));
-            let (worker, learned) = neighbourhood.start(Box::new(recalled))?;
+            let on_recall = move |fills, purges| drop(events.send(Event::Recall(fills, purges)));
+            let (worker, learned) = neighbourhood.start(Box::new(on_recall))?;
             driver.learned = learned;
             Some(worker)
         }
         None => None,
     };
-    driver.run(&happened);
-    follows.into_iter().chain(exchanges).for_each(Worker::stop);
-    tracing::info!("ends; at the most: {:?}", driver.reducer.most());
+    driver.run(&received);
+    version_worker.into_iter().chain(exchange_worker).for_each(Worker::stop);
+    tracing::info!("exiting; peaks: {:?}", driver.reducer.peaks());
     Ok(())
 }
 
-/// What is exchanged with other fronts; none where all of it is off.
+/// The exchange with other fronts; none if all of it is disabled.
 fn neighbourhood(config: &Config, settings: &Path) -> Result<Option<Neighbourhood>, String> {
     let Settings { neighbours, recall, .. } = config.files.settings.clone();
-    let told = &config.told.settings;
-    let (name, seed, purge_done) = (&config.name, config.seed, told.purge_propagation);
-    let own = Own { name, seed, settings, offerings: &told.offerings, purge_done };
+    let platform = &config.platform.settings;
+    let (name, seed, purge_done) = (&config.name, config.seed, platform.purge_propagation);
+    let own = Own { name, seed, settings, offerings: &platform.offerings, purge_done };
     Ok(Neighbourhood::read(neighbours, recall, &own)?)
 }
 
-/// A thread of its own hears signals and reads files, so that neither holds up the reducer. It waits at a pipe: the
-/// crate's iterator would hold a pair of Unix sockets, and this program is to have none while it serves.
-fn heed_signals(in_use: Shared, events: Sender<Event>) -> std::io::Result<Arc<AtomicBool>> {
-    let (mut heard, told) = std::io::pipe()?;
+/// Starts a thread that handles signals and reads files, so that neither delays the reducer. It waits on a
+/// pipe: the crate's iterator would hold a pair of Unix sockets, and this process is to have none while it
+/// serves.
+fn handle_signals(active_config: SharedConfig, events: Sender<Event>) -> std::io::Result<Arc<AtomicBool>> {
+    let (mut wake_reader, wake_writer) = std::io::pipe()?;
     let flag = || Arc::new(AtomicBool::new(false));
-    let (stop, renew, drain, back) = (flag(), flag(), flag(), flag());
-    for (signal, flag) in [(SIGTERM, &stop), (SIGHUP, &renew), (SIGUSR1, &drain), (SIGUSR2, &back)] {
-        // In this order: whoever is woken finds the flag set.
+    let (stop, reload, drain, restore) = (flag(), flag(), flag(), flag());
+    for (signal, flag) in [(SIGTERM, &stop), (SIGHUP, &reload), (SIGUSR1, &drain), (SIGUSR2, &restore)] {
+        // In this order, so that the flag is set when the thread wakes up.
         signal_hook::flag::register(signal, flag.clone())?;
-        signal_hook::low_level::pipe::register(signal, told.try_clone()?)?;
+        signal_hook::low_level::pipe::register(signal, wake_writer.try_clone()?)?;
     }
-    let named = tracing::Span::current();
-    let told_to_stop = stop.clone();
+    let span = tracing::Span::current();
+    let stop_requested = stop.clone();
     std::thread::spawn(move || {
-        let _named = named.entered();
+        let _entered = span.entered();
         loop {
-            match heard.read(&mut [0; 16]) {
+            match wake_reader.read(&mut [0; 16]) {
                 Err(e) if e.kind() == std::io::ErrorKind::Interrupted => {}
-                Err(e) => return tracing::error!("signals are not heard any more: {e}"),
+                Err(e) => return tracing::error!("signals can't be received any more: {e}"),
                 Ok(_) => {
                     if stop.swap(false, Ordering::SeqCst) {
                         let _ = events.send(Event::Stop);
                     }
-                    for (flag, on) in [(&drain, true), (&back, false)] {
+                    for (flag, on) in [(&drain, true), (&restore, false)] {
                         if flag.swap(false, Ordering::SeqCst) {
                             let _ = events.send(Event::Drain(on));
                         }
                     }
-                    // Last: the files may take long, or for ever.
-                    if renew.swap(false, Ordering::SeqCst) {
+                    // Last, because reading the files may take long, or never return.
+                    if reload.swap(false, Ordering::SeqCst) {
                         clock::heed_tests();
-                        lock(&in_use).reload();
+                        lock(&active_config).reload();
                     }
                 }
             }
         }
     });
-    Ok(told_to_stop)
+    Ok(stop_requested)
 }
 
-/// What has happened and was not handed on yet.
+/// Events received but not handled yet.
 #[derive(Default)]
-struct Came {
-    /// Clients that have left, or that give something up.
-    left: VecDeque<Event>,
+struct EventQueue {
+    /// Disconnects of clients, and aborts.
+    disconnects: VecDeque<Event>,
     others: VecDeque<Event>,
 }
 
-impl Came {
-    /// So many are looked through for clients that have left before any work is done for others.
-    const AHEAD: usize = 4_096;
+impl EventQueue {
+    /// How many events are searched for disconnects before others are handled.
+    const LOOKAHEAD: usize = 4_096;
 
-    /// A connection has one event of reading in the queue at the most, since its ring travels with it: nothing that was
-    /// said on the same connection is overtaken. One that begins with a record by which a request is given up goes
-    /// ahead, too; taken for such a one by mistake, it is merely early.
-    fn put(&mut self, event: Event) {
-        let leaves = match &event {
-            Event::Read { conn, ended, ring, .. } if *conn >= accept::FIRST => {
-                ended.is_some() || matches!(ring.front(), [1, fastcgi::ABORT_REQUEST, ..])
+    /// A connection has at most one read event in the queue, since its buffer travels with it, so nothing on
+    /// the same connection is overtaken. One that starts with an abort record goes ahead, too; if it is
+    /// mistaken for one, it is merely early.
+    fn push(&mut self, event: Event) {
+        let is_disconnect = match &event {
+            Event::Read { conn, ended, buffer, .. } if *conn >= accept::FIRST_ACCEPTED => {
+                ended.is_some() || matches!(buffer.front(), [1, fastcgi::ABORT_REQUEST, ..])
             }
             _ => false,
         };
-        if leaves { self.left.push_back(event) } else { self.others.push_back(event) }
+        if is_disconnect { self.disconnects.push_back(event) } else { self.others.push_back(event) }
     }
 
-    fn take(&mut self) -> Option<Event> {
-        self.left.pop_front().or_else(|| self.others.pop_front())
+    fn pop(&mut self) -> Option<Event> {
+        self.disconnects.pop_front().or_else(|| self.others.pop_front())
     }
 }
 
-/// Carries inputs to the reducer and its effects out.
+/// Passes inputs to the reducer and carries out its effects.
 struct Driver {
     reducer: Reducer,
-    ports: FxHashMap<ConnId, Port>,
+    handles: FxHashMap<ConnId, ConnHandle>,
     acceptor: Option<Acceptor>,
-    /// SIGTERM has come, and the thread that hears signals may still be reading files.
-    stop: Arc<AtomicBool>,
-    came: Came,
-    within: Duration,
+    /// SIGTERM has arrived, while the signal thread may still be reading files.
+    stop_requested: Arc<AtomicBool>,
+    queue: EventQueue,
+    connect_timeout: Duration,
     events: Sender<Event>,
-    /// Reused for each input's effects.
+    /// Reused for the effects of each input.
     effects: Vec<Effect>,
-    /// On which connection was said what the reducer has been handed.
-    heard: Option<ConnId>,
-    /// Who waits to hear that a version was taken.
-    taken: Option<oneshot::Sender<()>>,
-    /// Where to put how it serves, if anybody looks.
-    served: Option<Arc<Served>>,
-    /// Where to put what was seen, if anybody remembers it, and when it was put there last.
+    /// The connection whose data the reducer was handed last.
+    read_conn: Option<ConnId>,
+    /// Where to report that a version was applied.
+    version_applied: Option<oneshot::Sender<()>>,
+    /// Where to store the totals, if they are reported.
+    served: Option<Arc<ServedTotals>>,
+    /// Where to send what was learned, if it is stored, and when it was last sent.
     learned: Option<Learning>,
-    handed: Ticks,
+    learned_sent_at: Ticks,
 }
 
-/// What was seen is handed on together, so that whoever remembers it is not woken for each answer: so many, or as long.
-/// A snapshot is written a few times a second at the most, and what a crash loses of it is less than between two of them.
-const TOGETHER: usize = 256;
-const HANDED_EACH: Ticks = 2_500;
+/// What was learned is sent in batches of at most this many or after at most this long, so that the receiver
+/// is not woken for each response. Snapshots are written a few times a second at most, so a crash loses less
+/// of it than between two snapshots.
+const MAX_LEARNED_BATCH: usize = 256;
+const LEARNED_INTERVAL: Ticks = 2_500;
 
 impl Driver {
-    fn run(&mut self, happened: &Receiver<Event>) {
+    fn run(&mut self, received: &Receiver<Event>) {
         loop {
             if self.perform() {
-                return self.hand_on();
+                return self.send_learned();
             }
             let now = clock::now();
-            let event = self.next(now, happened);
+            let event = self.next(now, received);
             let input = event.map_or(Input::Tick, |event| self.input(event));
             let now = clock::now();
             self.reducer.set_wall(now, clock::unix());
             self.reducer.input(now, input);
             if let Some(acceptor) = &self.acceptor {
-                acceptor.set_most(self.reducer.clients());
+                acceptor.set_max_open(self.reducer.max_clients());
             }
-            if let Some(taken) = self.taken.take() {
-                let _ = taken.send(());
+            if let Some(applied) = self.version_applied.take() {
+                let _ = applied.send(());
             }
             if let Some(served) = &self.served {
-                served.put(self.reducer.served());
+                served.store(self.reducer.served());
             }
-            // An input comes each quarter of a second at the least.
-            if self.reducer.learned_now() >= TOGETHER || now >= self.handed + HANDED_EACH {
-                self.handed = now;
-                self.hand_on();
+            // An input arrives at least every quarter of a second.
+            if self.reducer.learned_count() >= MAX_LEARNED_BATCH
+                || now >= self.learned_sent_at + LEARNED_INTERVAL
+            {
+                self.learned_sent_at = now;
+                self.send_learned();
             }
         }
     }
 
-    /// What is handed on next. Whoever has left goes first, however much else has come: nothing is to begin for it.
-    fn next(&mut self, now: Ticks, happened: &Receiver<Event>) -> Option<Event> {
-        let more = Came::AHEAD.saturating_sub(self.came.others.len());
-        happened.try_iter().take(more).for_each(|event| self.came.put(event));
-        if self.stop.swap(false, Ordering::SeqCst) {
+    /// The next event. Disconnects go first, however many others wait: no request is to be started for a
+    /// client that has left.
+    fn next(&mut self, now: Ticks, received: &Receiver<Event>) -> Option<Event> {
+        let room = EventQueue::LOOKAHEAD.saturating_sub(self.queue.others.len());
+        received.try_iter().take(room).for_each(|event| self.queue.push(event));
+        if self.stop_requested.swap(false, Ordering::SeqCst) {
             return Some(Event::Stop);
         }
-        if let Some(event) = self.came.take() {
+        if let Some(event) = self.queue.pop() {
             return Some(event);
         }
         let event = match self.reducer.next_tick() {
-            Some(at) if at <= now => happened.try_recv().map_err(|_| RecvTimeoutError::Timeout),
-            Some(at) => happened.recv_timeout(Duration::from_micros((at - now) * 100)),
-            None => happened.recv().map_err(|_| RecvTimeoutError::Disconnected),
+            Some(at) if at <= now => received.try_recv().map_err(|_| RecvTimeoutError::Timeout),
+            Some(at) => received.recv_timeout(Duration::from_micros((at - now) * 100)),
+            None => received.recv().map_err(|_| RecvTimeoutError::Disconnected),
         };
         event.ok()
     }
 
-    fn hand_on(&mut self) {
-        if let Some(to) = &self.learned {
-            let seen = self.reducer.learned();
-            if !seen.is_empty() {
-                // Whoever remembers is behind: it does without. Nothing here waits for it.
-                let _ = to.try_send(seen);
+    fn send_learned(&mut self) {
+        if let Some(receiver) = &self.learned {
+            let learned = self.reducer.learned();
+            if !learned.is_empty() {
+                // If the receiver is behind, it goes without: nothing here waits for it.
+                let _ = receiver.try_send(learned);
             }
         }
     }
 
     fn input(&mut self, event: Event) -> Input {
         match event {
-            Event::Accepted(conn, port) => {
-                self.ports.insert(conn, port);
+            Event::Accepted(conn, handle) => {
+                self.handles.insert(conn, handle);
                 Input::Accepted(conn)
             }
-            Event::Connected(conn, Ok(port)) => {
-                self.ports.insert(conn, port);
-                Input::Connected(conn, Made::Up)
+            Event::Connected(conn, Ok(handle)) => {
+                self.handles.insert(conn, handle);
+                Input::Connected(conn, ConnectResult::Connected)
             }
             Event::Connected(conn, Err(error)) => {
                 tracing::debug!("connection {conn} failed: {error}");
-                Input::Connected(conn, if conn::failed_here(&error) { Made::NoMeans } else { Made::Refused })
+                Input::Connected(
+                    conn,
+                    if conn::is_local_failure(&error) {
+                        ConnectResult::LocalFailure
+                    } else {
+                        ConnectResult::Unreachable
+                    },
+                )
             }
-            Event::Read { conn, ring, ended, at } => {
-                self.heard = Some(conn);
-                Input::Read { conn, ring, ended, at }
+            Event::Read { conn, buffer, ended, received_at } => {
+                self.read_conn = Some(conn);
+                Input::Read { conn, buffer, ended, received_at }
             }
-            Event::Wrote { conn, ring, failed } => Input::Wrote { conn, ring, failed },
+            Event::Wrote { conn, buffer, failed } => Input::Wrote { conn, buffer, failed },
             Event::HalfClosed(conn) => Input::HalfClosed(conn),
             Event::Closed(conn) => {
-                self.ports.remove(&conn);
+                self.handles.remove(&conn);
                 Input::Closed(conn)
             }
-            Event::NoMeans => Input::NoMeans,
+            Event::AcceptFailed => Input::AcceptFailed,
             Event::ListenerClosed => Input::ListenerClosed,
             Event::Stop => Input::Stop,
             Event::Drain(on) => Input::Drain(on),
             Event::Recall(fills, purges) => Input::Recall(fills, purges),
-            Event::Reload(renewal) => {
-                doorgrade_log::set_level(renewal.log);
-                Input::Reload(renewal)
+            Event::Reload(reloaded) => {
+                doorgrade_log::set_level(reloaded.log);
+                Input::Reload(reloaded)
             }
-            Event::Version(renewal, taken) => {
-                self.taken = Some(taken);
-                doorgrade_log::set_level(renewal.log);
-                Input::Reload(renewal)
+            Event::Version(reloaded, applied) => {
+                self.version_applied = Some(applied);
+                doorgrade_log::set_level(reloaded.log);
+                Input::Reload(reloaded)
             }
         }
     }
 
-    /// Does what the reducer asks for; true when it asks to exit.
+    /// Carries out the effects; true if one of them is to exit.
     fn perform(&mut self) -> bool {
         let mut effects = std::mem::take(&mut self.effects);
         effects.extend(self.reducer.effects());
-        // First what ends: a request that its client has given up must not begin while that is being done.
+        // Closes go first: a request whose client has left must not be started in the meantime.
         for effect in &effects {
             if let Effect::Close(conn) = effect {
-                self.ports.remove(conn);
+                self.handles.remove(conn);
             }
         }
-        if let Some(client) = self.heard.take().and_then(|conn| self.ports.get(&conn)) {
-            client.heard();
+        if let Some(client) = self.read_conn.take().and_then(|conn| self.handles.get(&conn)) {
+            client.data_delivered();
         }
         let exits = effects.drain(..).any(|effect| self.perform_one(effect));
         self.effects = effects;
@@ -334,17 +349,19 @@
 
     fn perform_one(&mut self, effect: Effect) -> bool {
         match effect {
-            Effect::Connect(conn, to) => conn::connect(conn, to, self.within, self.events.clone()),
-            Effect::Read(conn, ring) => self.port(conn, |port| port.read(ring)),
-            Effect::Write(conn, ring) => self.port(conn, |port| port.write(ring)),
-            Effect::Begin(conn, ring, awaits) => {
-                let awaiting = match self.ports.get(&awaits.client) {
-                    Some(client) => client.awaiting(awaits),
-                    None => Awaiting::nobody(awaits),
+            Effect::Connect(conn, address) => {
+                conn::connect(conn, address, self.connect_timeout, self.events.clone())
+            }
+            Effect::Read(conn, buffer) => self.handle(conn, |handle| handle.read(buffer)),
+            Effect::Write(conn, buffer) => self.handle(conn, |handle| handle.write(buffer)),
+            Effect::StartRequest(conn, buffer, conditions) => {
+                let guard = match self.handles.get(&conditions.client) {
+                    Some(client) => client.send_guard(conditions),
+                    None => SendGuard::client_closed(conditions),
                 };
-                self.port(conn, |port| port.begin(ring, awaiting));
+                self.handle(conn, |handle| handle.start_request(buffer, guard));
             }
-            Effect::HalfClose(conn, discard) => self.port(conn, |port| port.half_close(discard)),
+            Effect::HalfClose(conn, discard) => self.handle(conn, |handle| handle.half_close(discard)),
             // Done above.
             Effect::Close(_) => {}
             Effect::StopListening => self.acceptor.iter().for_each(Acceptor::close),
@@ -353,10 +370,10 @@
         false
     }
 
-    /// One that was closed meanwhile has nothing to do any more.
-    fn port(&self, conn: ConnId, ask: impl FnOnce(&Port)) {
-        if let Some(port) = self.ports.get(&conn) {
-            ask(port);
+    /// A connection that was closed in the meantime is skipped.
+    fn handle(&self, conn: ConnId, ask: impl FnOnce(&ConnHandle)) {
+        if let Some(handle) = self.handles.get(&conn) {
+            ask(handle);
         }
     }
 }
--- a/crates/front/tests/bad_input.rs
+++ b/crates/front/tests/bad_input.rs
@@ -1,39 +1,39 @@
-//! Settings and site values that make no sense: a clear error that names the key, or served within it. Never a panic, never
-//! an access without its answer.
+//! Invalid or extreme configuration values: either an error names the key, or the front serves with the
+//! value. It never panics, and never leaves an access without a response.
 
 mod helper;
 
 use doorgrade_front::config::Config;
 use helper::*;
 
-/// Every connection comes up, every request is answered; time passes; then the front ends.
-fn plays(from: &str, to: &str) {
-    let mut w = World::changed(3, 128, from, to);
+/// Establishes every connection and responds to every request; then time passes, and the front is stopped.
+fn run_with(from: &str, to: &str) {
+    let mut w = World::with_config_change(3, 128, from, to);
     let client = w.client();
-    w.connecting().into_iter().for_each(|conn| w.connected(conn));
-    for call in 1..60 {
-        w.ask(client, 1 + (call % 30) as u16, call, (call % 4) as usize, call % 7, 900);
-        if call == 30 {
-            // A cache starts anew, cold.
-            w.feed(&frame(2, 2, &listed(1, 9101, 0, 0, w.now / 10)));
+    w.connecting().into_iter().for_each(|conn| w.finish_connect(conn));
+    for access in 1..60 {
+        w.send_request(client, 1 + (access % 30) as u16, access, (access % 4) as usize, access % 7, 900);
+        if access == 30 {
+            // A cache restarts, cold.
+            w.feed(&frame(2, 2, &member_record(1, 9101, 0, 0, w.now / 10)));
         }
         for _ in 0..6 {
-            w.connecting().into_iter().for_each(|conn| w.connected(conn));
-            w.working().into_iter().for_each(|conn| w.reply(conn, 200, false, "h"));
+            w.connecting().into_iter().for_each(|conn| w.finish_connect(conn));
+            w.busy_conns().into_iter().for_each(|conn| w.reply(conn, 200, false, "h"));
         }
-        w.pass(20 * MS);
+        w.advance(20 * MS);
     }
-    w.pass(2_000 * MS);
-    assert!(w.open_calls().is_empty(), "{to}: an access without its answer");
+    w.advance(2_000 * MS);
+    assert!(w.open_accesses().is_empty(), "{to}: an access without its answer");
     w.input(doorgrade_front::reducer::Input::Stop);
-    w.pass(7_000 * MS);
+    w.advance(7_000 * MS);
     assert!(w.exited, "{to}: it does not end");
 }
 
 #[test]
-fn values_without_sense_are_served_within_or_named() {
+fn invalid_values_are_rejected_by_key_or_served_with() {
     for (from, to, key) in [
-        // Cold budgets, of nothing and without end.
+        // Cold budgets of zero and without limit.
         ("\"fallMultiple\":4.0", "\"fallMultiple\":0.0", None),
         ("\"fallMultiple\":4.0", "\"fallMultiple\":-1.0", Some("rules.fallMultiple")),
         ("\"startCapacity\":0.16", "\"startCapacity\":0.0", None),
@@ -43,7 +43,7 @@
         ("\"cold\":17000.0", "\"cold\":1e300", None),
         ("\"cold\":17000.0", "\"cold\":-5.0", Some("rules.cold")),
         ("\"parentColdFrom\":0.1", "\"parentColdFrom\":-0.1", Some("specifics.parentColdFrom")),
-        // Deadlines of nothing, and over any limit.
+        // Deadlines of zero and beyond any limit.
         ("\"deadline\":2000.0", "\"deadline\":0.0", None),
         ("\"deadline\":2000.0", "\"deadline\":1e300", None),
         ("\"deadline\":2000.0", "\"deadline\":-1.0", Some("profiles[0].deadline")),
@@ -63,7 +63,7 @@
         ("\"purgeDone\":6000.0", "\"purgeDone\":0.0", None),
         ("\"quantum\":2.0", "\"quantum\":0.0", None),
         ("\"quantum\":2.0", "\"quantum\":1e9", None),
-        // What nobody knows.
+        // Unknown values.
         ("\"semantics\":\"guarded\"", "\"semantics\":\"perhaps\"", Some("semantics")),
         ("\"group\":\"zone\"", "\"group\":\"town\"", Some("group")),
         ("\"zone\":0,\"fleetSize\"", "\"zone\":9,\"fleetSize\"", Some("settings.zone")),
@@ -73,10 +73,10 @@
         let text = config(128);
         assert!(text.contains(from), "{from}");
         match (Config::read(&text.replacen(from, to, 1), None, None), key) {
-            (Err(said), Some(key)) => assert!(said.contains(key), "{to}: '{said}' does not name {key}"),
-            (Err(said), None) => panic!("{to}: {said}"),
+            (Err(error), Some(key)) => assert!(error.contains(key), "{to}: '{error}' does not name {key}"),
+            (Err(error), None) => panic!("{to}: {error}"),
             (Ok(_), Some(key)) => panic!("{to}: taken, where an error is to name {key}"),
-            (Ok(_), None) => plays(from, to),
+            (Ok(_), None) => run_with(from, to),
         }
     }
 }
--- a/crates/front/tests/clients.rs
+++ b/crates/front/tests/clients.rs
@@ -1,4 +1,4 @@
-//! What clients may do wrong, without sockets: others are served, bounds hold.
+//! Misbehaving clients, without sockets: others are served, and the bounds hold.
 
 mod helper;
 
@@ -11,55 +11,55 @@
 fn a_request_that_cannot_be_used_reaches_no_cache() {
     let mut w = World::new(1, 128);
     let client = w.client();
-    w.owe(client, &request(1, "/do/unheard-of", &access(1, 2, 900), &[], 0));
-    w.owe(client, &request(2, "/do/images", &access(2, 2, 0), &[], 0));
-    w.connecting().into_iter().for_each(|conn| w.connected(conn));
-    assert!(w.working().is_empty());
-    w.owe(client, &[9; 8]);
+    w.send(client, &request(1, "/do/unheard-of", &access_fields(1, 2, 900), &[], 0));
+    w.send(client, &request(2, "/do/images", &access_fields(2, 2, 0), &[], 0));
+    w.connecting().into_iter().for_each(|conn| w.finish_connect(conn));
+    assert!(w.busy_conns().is_empty());
+    w.send(client, &[9; 8]);
     let again = w.client();
-    w.ask(again, 1, 3, 1, 5, 1_000);
+    w.send_request(again, 1, 3, 1, 5, 1_000);
     w.serve();
-    assert_eq!(w.answer_of(3).map(|a| a.status), Some(200), "others are served");
+    assert_eq!(w.response_to(3).map(|a| a.status), Some(200), "others are served");
 }
 
 #[test]
-fn few_descriptors_end_pushes_and_break_nothing() {
+fn few_descriptors_end_pushes_and_nothing_else() {
     let mut w = World::new(1, 64);
     let clients: Vec<_> = (0..30).map(|_| w.client()).collect();
-    for call in 0..200 {
-        w.ask(clients[10 + call as usize % 20], 1 + call as u16 / 20, call, 1, call, 1_000);
+    for access in 0..200 {
+        w.send_request(clients[10 + access as usize % 20], 1 + access as u16 / 20, access, 1, access, 1_000);
     }
-    assert!(w.most_open <= 64, "{} connections at once", w.most_open);
-    w.connecting().into_iter().for_each(|conn| w.connected(conn));
-    w.pass(1_500 * MS);
-    assert!(w.open_calls().is_empty());
+    assert!(w.max_open <= 64, "{} connections at once", w.max_open);
+    w.connecting().into_iter().for_each(|conn| w.finish_connect(conn));
+    w.advance(1_500 * MS);
+    assert!(w.open_accesses().is_empty());
 }
 
 #[test]
 fn a_second_request_under_an_open_id_fails_and_leaves_the_first_alone() {
     let mut w = World::new(1, 128);
     let client = w.client();
-    w.ask(client, 1, 1, 1, 5, 1_000);
-    let got = w.stray(client, &request(1, "/do/images", &access(2, 6, 900), &[], 0));
+    w.send_request(client, 1, 1, 1, 5, 1_000);
+    let got = w.send_untracked(client, &request(1, "/do/images", &access_fields(2, 6, 900), &[], 0));
     assert_eq!(got, Some(400));
-    assert_eq!(w.answer_of(1), None);
-    w.end(client);
-    w.connecting().into_iter().for_each(|conn| w.connected(conn));
-    assert!(w.working().is_empty(), "the first one's client is gone, and it with it");
+    assert_eq!(w.response_to(1), None);
+    w.close(client);
+    w.connecting().into_iter().for_each(|conn| w.finish_connect(conn));
+    assert!(w.busy_conns().is_empty(), "the first one's client is gone, and it with it");
 }
 
 #[test]
 fn an_open_req_id_is_not_taken_twice_and_the_first_access_goes_on() {
     let mut w = World::new(1, 128);
     let (client, other) = (w.client(), w.client());
-    w.ask(client, 1, 1, 1, 5, 1_000);
-    let again = request(1, "/do/images", &access(1, 6, 900), &[], 0);
-    assert_eq!(w.stray(other, &again), Some(400));
+    w.send_request(client, 1, 1, 1, 5, 1_000);
+    let again = request(1, "/do/images", &access_fields(1, 6, 900), &[], 0);
+    assert_eq!(w.send_untracked(other, &again), Some(400));
     w.serve();
-    assert_eq!(w.answer_of(1).map(|a| a.status), Some(200));
-    w.ask(other, 2, 1, 1, 5, 1_000);
+    assert_eq!(w.response_to(1).map(|a| a.status), Some(200));
+    w.send_request(other, 2, 1, 1, 5, 1_000);
     w.serve();
-    assert_eq!(w.answer_of(1).map(|a| a.status), Some(200), "once ended, it may come again");
+    assert_eq!(w.response_to(1).map(|a| a.status), Some(200), "once ended, it may come again");
 }
 
 #[test]
@@ -67,119 +67,119 @@
     let mut w = World::new(1, 128);
     for _ in 0..100 {
         let client = w.client();
-        // Half a request, and never the rest.
-        w.owe(client, &record(fastcgi::BEGIN_REQUEST, 1, &[0, 1, 1, 0, 0, 0, 0, 0], 0));
+        // A partial request that is never completed.
+        w.send(client, &record(fastcgi::BEGIN_REQUEST, 1, &[0, 1, 1, 0, 0, 0, 0, 0], 0));
     }
     assert!(w.clients() < 60, "{} of 128 descriptors", w.clients());
-    w.pass(2_700 * MS);
+    w.advance(2_700 * MS);
     assert_eq!(w.clients(), 0);
 }
 
 #[test]
-fn clients_that_hold_on_keep_no_others_out_and_lose_nothing_they_are_owed() {
+fn idle_clients_keep_no_others_out_and_lose_no_response() {
     let mut w = World::new(1, 128);
-    w.connecting().into_iter().for_each(|conn| w.connected(conn));
+    w.connecting().into_iter().for_each(|conn| w.finish_connect(conn));
     let waiting = w.client();
-    w.ask(waiting, 1, 1, 2, 5, 1_500);
-    for call in 2..200 {
-        // Each asks once and stays, or says nothing.
+    w.send_request(waiting, 1, 1, 2, 5, 1_500);
+    for access in 2..200 {
+        // Each sends one request and stays connected, or sends nothing.
         let client = w.client();
-        if call % 2 == 0 {
-            w.ask(client, 1, call, 1, 5, 1_000);
-            // The origin answers later.
-            let quick = |w: &World, conns: Vec<_>| -> Vec<_> {
-                conns.into_iter().filter(|&c| w.to(c) != 9120).collect()
+        if access % 2 == 0 {
+            w.send_request(client, 1, access, 1, 5, 1_000);
+            // The origin responds later.
+            let not_origin = |w: &World, conns: Vec<_>| -> Vec<_> {
+                conns.into_iter().filter(|&c| w.port_of(c) != 9120).collect()
             };
-            quick(&w, w.connecting()).into_iter().for_each(|conn| w.connected(conn));
-            quick(&w, w.working()).into_iter().for_each(|conn| w.reply(conn, 200, false, "h"));
-            assert_eq!(w.answer_of(call).map(|a| a.status), Some(200), "{call}");
+            not_origin(&w, w.connecting()).into_iter().for_each(|conn| w.finish_connect(conn));
+            not_origin(&w, w.busy_conns()).into_iter().for_each(|conn| w.reply(conn, 200, false, "h"));
+            assert_eq!(w.response_to(access).map(|a| a.status), Some(200), "{access}");
         }
     }
     w.serve();
-    assert_eq!(w.answer_of(1).map(|a| a.status), Some(200), "the one that waits is not cut off");
-    assert!(w.most_open <= 128);
-    w.pass(7_000 * MS);
+    assert_eq!(w.response_to(1).map(|a| a.status), Some(200), "the one that waits is not cut off");
+    assert!(w.max_open <= 128);
+    w.advance(7_000 * MS);
     assert_eq!(w.clients(), 0, "what no client uses is given back");
 }
 
 #[test]
-fn a_body_without_end_is_answered_before_it_ends_and_cut_off() {
+fn an_endless_body_is_rejected_before_it_ends_and_cut_off() {
     let mut w = World::new(1, 128);
     let client = w.client();
-    let whole = request(1, "/do/orders", &access(1, 2, 900), &[7; 60_000], 0);
-    assert_eq!(w.stray(client, &whole[..55_000]), Some(413));
+    let whole = request(1, "/do/orders", &access_fields(1, 2, 900), &[7; 60_000], 0);
+    assert_eq!(w.send_untracked(client, &whole[..55_000]), Some(413));
     assert_eq!(w.clients(), 0);
 }
 
 #[test]
-fn a_client_that_sends_on_and_reads_nothing_is_closed_at_once_and_its_accesses_with_it() {
+fn a_client_that_keeps_sending_without_reading_is_closed_with_its_accesses() {
     let mut w = World::new(1, 128);
     let client = w.client();
-    w.ask(client, 1, 1, 2, 5, 1_000);
-    w.stuck.insert(client);
+    w.send_request(client, 1, 1, 2, 5, 1_000);
+    w.not_reading.insert(client);
     let values = record(fastcgi::GET_VALUES, 0, &[], 0);
-    w.owe(client, &values.repeat(20_000));
+    w.send(client, &values.repeat(20_000));
     assert_eq!(w.clients(), 0);
-    assert!(w.left_unread > 100_000, "the front reads on though nothing is taken");
-    w.connecting().into_iter().for_each(|conn| w.connected(conn));
-    assert!(w.working().is_empty(), "nothing begins for it");
+    assert!(w.unread_at_close > 100_000, "the front reads on though nothing is taken");
+    w.connecting().into_iter().for_each(|conn| w.finish_connect(conn));
+    assert!(w.busy_conns().is_empty(), "nothing begins for it");
 }
 
 #[test]
-fn answers_nobody_reads_hold_no_more_than_the_bound_and_others_are_served_again() {
+fn unread_responses_stay_within_the_bound_and_others_are_served_again() {
     let mut w = World::new(1, 128);
     let bound = Bounds::new(&Limits { memory_mb: 48, sockets: 128 }).bodies;
     let clients: Vec<_> = (0..30).map(|_| w.client()).collect();
-    w.stuck.extend(&clients);
-    let mut call = 0;
+    w.not_reading.extend(&clients);
+    let mut access = 0;
     for _ in 0..32 {
         for &client in &clients {
-            call += 1;
-            w.ask(client, 1 + (call / 30) as u16, call, 1, call, 3_000);
+            access += 1;
+            w.send_request(client, 1 + (access / 30) as u16, access, 1, access, 3_000);
             w.serve();
-            assert!(w.reducer.most().bodies <= bound, "{:?}", w.reducer.most());
+            assert!(w.reducer.peaks().bodies <= bound, "{:?}", w.reducer.peaks());
         }
     }
-    assert!(w.reducer.most().bodies > bound - 240_000, "the bound was reached");
-    w.pass(12_000 * MS);
+    assert!(w.reducer.peaks().bodies > bound - 240_000, "the bound was reached");
+    w.advance(12_000 * MS);
     let client = w.client();
-    w.ask(client, 1, 5_000, 1, 5, 1_000);
+    w.send_request(client, 1, 5_000, 1, 5, 1_000);
     w.serve();
-    assert_eq!(w.answer_of(5_000).map(|a| a.status), Some(200));
+    assert_eq!(w.response_to(5_000).map(|a| a.status), Some(200));
 }
 
 #[test]
-fn a_machine_without_descriptors_blames_no_cache() {
+fn lack_of_descriptors_counts_against_no_cache() {
     let mut w = World::new(1, 128);
     let client = w.client();
-    for call in 0..20 {
-        w.ask(client, 1, call, 1, 5, 1_000);
-        let waiting: Vec<_> = w.connecting().into_iter().filter(|&c| w.to(c) != 9092).collect();
-        waiting.into_iter().for_each(|conn| w.fail(conn));
-        while let Some(&conn) = w.connecting().iter().find(|&&c| w.to(c) != 9092) {
-            w.fail(conn);
+    for access in 0..20 {
+        w.send_request(client, 1, access, 1, 5, 1_000);
+        let waiting: Vec<_> = w.connecting().into_iter().filter(|&c| w.port_of(c) != 9092).collect();
+        waiting.into_iter().for_each(|conn| w.fail_locally(conn));
+        while let Some(&conn) = w.connecting().iter().find(|&&c| w.port_of(c) != 9092) {
+            w.fail_locally(conn);
         }
-        assert_eq!(w.answer_of(call).map(|a| a.status), Some(503));
+        assert_eq!(w.response_to(access).map(|a| a.status), Some(503));
     }
-    w.ask(client, 1, 20, 1, 5, 1_000);
-    let first = w.connecting().into_iter().map(|c| w.to(c)).find(|&port| port != 9092);
-    w.ask(client, 2, 21, 1, 5, 1_000);
-    let again = w.connecting().into_iter().map(|c| w.to(c)).rfind(|&port| port != 9092);
+    w.send_request(client, 1, 20, 1, 5, 1_000);
+    let first = w.connecting().into_iter().map(|c| w.port_of(c)).find(|&port| port != 9092);
+    w.send_request(client, 2, 21, 1, 5, 1_000);
+    let again = w.connecting().into_iter().map(|c| w.port_of(c)).rfind(|&port| port != 9092);
     assert_eq!(first, again, "the object's own cache is asked as before");
 }
 
 #[test]
-fn a_record_that_cannot_be_read_ends_its_connection_after_what_was_asked_before() {
+fn an_invalid_record_ends_its_connection_after_earlier_requests_are_answered() {
     let mut w = World::new(1, 128);
     let client = w.client();
-    w.ask(client, 1, 1, 1, 5, 1_000);
-    // Begun before the bytes that make no sense, and never whole.
-    w.owe(client, &record(fastcgi::BEGIN_REQUEST, 2, &[0, 1, 1, 0, 0, 0, 0, 0], 0));
-    w.owe(client, &[9; 64]);
+    w.send_request(client, 1, 1, 1, 5, 1_000);
+    // Started before the invalid bytes, and never completed.
+    w.send(client, &record(fastcgi::BEGIN_REQUEST, 2, &[0, 1, 1, 0, 0, 0, 0, 0], 0));
+    w.send(client, &[9; 64]);
     assert_eq!(w.clients(), 1, "an answer is owed");
-    // What it says from now on is of no use, but its end is heard.
-    w.owe(client, &request(3, "/do/images", &access(3, 2, 900), &[], 0));
+    // Further data is discarded, but a disconnect would still be noticed.
+    w.send(client, &request(3, "/do/images", &access_fields(3, 2, 900), &[], 0));
     w.serve();
-    assert_eq!(w.answer_of(1).map(|a| a.status), Some(200));
-    assert_eq!((w.answer_of(3), w.clients()), (None, 0));
+    assert_eq!(w.response_to(1).map(|a| a.status), Some(200));
+    assert_eq!((w.response_to(3), w.clients()), (None, 0));
 }
--- a/crates/front/tests/codecs.rs
+++ b/crates/front/tests/codecs.rs
@@ -1,5 +1,5 @@
-//! Each codec whole against split, its limits, and random bytes; the ring at its edges; configuration errors
-//! by key.
+//! Each codec with whole and with split input, its limits, and random bytes; the ring buffer at its edges;
+//! configuration errors that name the key.
 
 mod helper;
 
@@ -7,10 +7,10 @@
 use doorgrade_front::bounds::{self, Bounds};
 use doorgrade_front::config::{Config, Limits};
 use doorgrade_front::fastcgi::{self, Decoder};
-use doorgrade_front::feed::{Event, Frames, Names};
+use doorgrade_front::feed::{Event, Frames, ZoneAndKindNames};
 use doorgrade_front::http;
-use doorgrade_front::intake::{Intake, Said};
-use doorgrade_front::ring::Ring;
+use doorgrade_front::intake::{ClientMessage, Intake};
+use doorgrade_front::ring_buffer::RingBuffer;
 use fastrand::Rng;
 use helper::*;
 use proptest::prelude::*;
@@ -25,34 +25,34 @@
     }
 }
 
-/// Room for bodies, where it does not matter.
+/// Room for bodies, where it is not tested.
 const ROOM: usize = 1 << 20;
 
-/// Hands the bytes over in pieces, through a ring of the given size.
-fn through(bytes: &[u8], ring: &mut Ring, rng: &mut Rng, mut take: impl FnMut(&mut Ring)) {
+/// Passes the bytes on in fragments, through a buffer of the given size.
+fn pass_through(bytes: &[u8], buffer: &mut RingBuffer, rng: &mut Rng, mut take: impl FnMut(&mut RingBuffer)) {
     let mut rest = bytes;
     while !rest.is_empty() {
-        let count = ring.put(&rest[..rng.usize(1..=rest.len().min(ring.free().max(1)))]);
+        let count = buffer.put(&rest[..rng.usize(1..=rest.len().min(buffer.free().max(1)))]);
         rest = &rest[count..];
-        let before = ring.len();
-        take(ring);
-        if count == 0 && ring.len() == before {
+        let before = buffer.len();
+        take(buffer);
+        if count == 0 && buffer.len() == before {
             return; // Nothing moves: a record that is not to be read.
         }
     }
 }
 
-fn said(bytes: &[u8], capacity: usize, rng: &mut Rng) -> (Vec<Said>, bool) {
+fn decode(bytes: &[u8], capacity: usize, rng: &mut Rng) -> (Vec<ClientMessage>, bool) {
     let (mut intake, mut all, mut broken) = (Intake::default(), Vec::new(), false);
-    through(bytes, &mut Ring::new(capacity), rng, |ring| {
+    pass_through(bytes, &mut RingBuffer::new(capacity), rng, |buffer| {
         while !broken {
-            match intake.next(ring, ROOM) {
-                Ok(Some(said)) => all.push(said),
+            match intake.next(buffer, ROOM) {
+                Ok(Some(message)) => all.push(message),
                 Ok(None) => return,
                 Err(_) => broken = true,
             }
         }
-        ring.clear();
+        buffer.clear();
     });
     (all, broken)
 }
@@ -61,30 +61,30 @@
     #![proptest_config(fixed(200))]
 
     #[test]
-    fn the_ring_gives_back_what_it_took(seed in any::<u64>()) {
+    fn the_ring_buffer_returns_what_was_put_in(seed in any::<u64>()) {
         let mut r = Rng::with_seed(seed);
-        let mut ring = Ring::new(r.usize(0..20));
+        let mut buffer = RingBuffer::new(r.usize(0..20));
         let (mut model, mut next) = (std::collections::VecDeque::new(), 0u8);
         for _ in 0..200 {
             if r.bool() {
                 let bytes: Vec<u8> = (0..r.usize(..25)).map(|_| { next = next.wrapping_add(1); next }).collect();
-                let count = ring.put(&bytes);
+                let count = buffer.put(&bytes);
                 model.extend(&bytes[..count]);
-                prop_assert!(count == bytes.len() || ring.free() == 0);
+                prop_assert!(count == bytes.len() || buffer.free() == 0);
             } else if r.bool() {
                 let count = r.usize(..25);
-                ring.consume(count);
+                buffer.consume(count);
                 model.drain(..count.min(model.len()));
             } else {
-                let room = ring.back().len().min(1);
-                ring.back()[..room].fill(9);
-                ring.filled(room);
+                let room = buffer.back().len().min(1);
+                buffer.back()[..room].fill(9);
+                buffer.filled(room);
                 model.extend(&[9u8][..room]);
             }
-            prop_assert_eq!(ring.len(), model.len());
-            prop_assert!(ring.is_empty() || !ring.front().is_empty());
+            prop_assert_eq!(buffer.len(), model.len());
+            prop_assert!(buffer.is_empty() || !buffer.front().is_empty());
             if r.u8(..4) == 0 {
-                prop_assert_eq!(ring.whole(), model.make_contiguous() as &[u8]);
+                prop_assert_eq!(buffer.contiguous(), model.make_contiguous() as &[u8]);
             }
         }
     }
@@ -95,18 +95,18 @@
         let (mut bytes, mut expected) = (Vec::new(), Vec::new());
         for id in 1..r.u16(2..6) {
             let body: Vec<u8> = (0..r.usize(..20_000)).map(|_| r.u8(..)).collect();
-            bytes.extend(request(id, "/do/images", &access(id.into(), 77, 900), &body, r.u8(..)));
+            bytes.extend(request(id, "/do/images", &access_fields(id.into(), 77, 900), &body, r.u8(..)));
             expected.push((id, body));
             if r.bool() {
                 bytes.extend(record(fastcgi::ABORT_REQUEST, id, &[], r.u8(..)));
             }
         }
-        let whole = said(&bytes, 8 * 1024, &mut r);
-        let split = said(&bytes, r.usize(16..500), &mut r);
+        let whole = decode(&bytes, 8 * 1024, &mut r);
+        let split = decode(&bytes, r.usize(16..500), &mut r);
         prop_assert_eq!(&whole.0, &split.0);
         prop_assert!(!whole.1 && !split.1);
         let asked: Vec<_> = whole.0.into_iter().filter_map(|s| match s {
-            Said::Ask(id, request) => Some((id, request.body)),
+            ClientMessage::Request(id, request) => Some((id, request.body)),
             _ => None,
         }).collect();
         prop_assert_eq!(asked, expected);
@@ -116,63 +116,63 @@
     fn random_bytes_break_nothing(seed in any::<u64>()) {
         let mut r = Rng::with_seed(seed);
         let mut bytes: Vec<u8> = (0..r.usize(..3_000)).map(|_| r.u8(..)).collect();
-        // Most random bytes fail at the first; sound headers let them get further.
+        // Most random bytes fail at the first record; valid headers let them get further.
         for at in (0..bytes.len().saturating_sub(8)).step_by(40) {
             bytes[at..at + 8].copy_from_slice(&[1, r.u8(..13), 0, r.u8(..3), 0, 28, 4, 0]);
         }
-        let whole = said(&bytes, 4096, &mut r);
-        let split = said(&bytes, 64, &mut r);
+        let whole = decode(&bytes, 4096, &mut r);
+        let split = decode(&bytes, 64, &mut r);
         prop_assert_eq!(whole, split);
-        let _ = http::head(&bytes);
+        let _ = http::parse_head(&bytes);
         let mut head = b"HTTP/1.1 200 OK\r\n".to_vec();
         head.extend(bytes.iter().map(|b| b & 0x7f));
-        let _ = http::head(&head);
-        let names = Names { zones: vec!["here".into()], kinds: vec!["cache".into()] };
+        let _ = http::parse_head(&head);
+        let names = ZoneAndKindNames { zones: vec!["here".into()], kinds: vec!["cache".into()] };
         let (mut frames, mut lost) = (Frames::default(), false);
-        let sound = frame(3, r.u8(..6), &bytes);
-        for stream in [&sound, &bytes] {
-            through(stream, &mut Ring::new(100), &mut r, |ring| {
+        let valid = frame(3, r.u8(..6), &bytes);
+        for stream in [&valid, &bytes] {
+            pass_through(stream, &mut RingBuffer::new(100), &mut r, |buffer| {
                 while !lost {
-                    match frames.next(ring, &names) {
+                    match frames.next(buffer, &names) {
                         Ok(Some(_)) => {}
                         Ok(None) => return,
                         Err(_) => lost = true,
                     }
                 }
-                ring.clear();
+                buffer.clear();
             });
         }
     }
 
     #[test]
-    fn answers_come_out_whole_and_take_turns(seed in any::<u64>()) {
+    fn responses_are_written_whole_and_alternate(seed in any::<u64>()) {
         let mut r = Rng::with_seed(seed);
         let (mut outbox, mut bodies, mut done) = (Outbox::default(), Vec::new(), Vec::new());
         for id in 1..=r.u16(1..9) {
             let body: Vec<u8> = (0..r.usize(..60_000)).map(|_| r.u8(..)).collect();
-            outbox.put(id, Reply { body: body.clone(), tag: Some("ab"), ..Reply::bare(200) }, false);
+            outbox.push(id, Reply { body: body.clone(), tag: Some("ab"), ..Reply::bare(200) }, false);
             bodies.push(body);
         }
-        let (mut ring, mut decoder) = (Ring::new(r.usize(64..40_000)), Decoder::default());
+        let (mut buffer, mut decoder) = (RingBuffer::new(r.usize(64..40_000)), Decoder::default());
         let mut outputs = vec![Vec::new(); bodies.len() + 1];
         let mut ends = vec![0; bodies.len() + 1];
         while !outbox.is_empty() {
-            outbox.fill(&mut ring, |id| done.push(id));
-            prop_assert!(!ring.is_empty());
-            while let Some(piece) = decoder.next(&mut ring).expect("sound records") {
-                let content = &ring.front()[..piece.len];
+            outbox.fill(&mut buffer, |id| done.push(id));
+            prop_assert!(!buffer.is_empty());
+            while let Some(piece) = decoder.next(&mut buffer).expect("sound records") {
+                let content = &buffer.front()[..piece.len];
                 match piece.kind {
                     fastcgi::STDOUT => outputs[usize::from(piece.id)].extend_from_slice(content),
                     _ => ends[usize::from(piece.id)] += usize::from(piece.last),
                 }
-                ring.consume(piece.len);
+                buffer.consume(piece.len);
             }
         }
-        prop_assert_eq!(outbox.held, 0);
+        prop_assert_eq!(outbox.held_bytes, 0);
         prop_assert_eq!(done.len(), bodies.len());
         for (place, body) in bodies.iter().enumerate() {
             prop_assert_eq!(ends[place + 1], 1);
-            let got = answer(&outputs[place + 1]);
+            let got = parse_response(&outputs[place + 1]);
             prop_assert_eq!((got.status, &got.body), (200, body));
         }
     }
@@ -180,10 +180,10 @@
     #[test]
     fn frames_read_the_same_however_they_are_split(seed in any::<u64>()) {
         let mut r = Rng::with_seed(seed);
-        let names = Names { zones: vec!["here".into()], kinds: vec!["cache".into(), "parent".into()] };
+        let names = ZoneAndKindNames { zones: vec!["here".into()], kinds: vec!["cache".into(), "parent".into()] };
         let (mut bytes, mut numbers) = (Vec::new(), Vec::new());
         for number in 1..r.u64(2..12) {
-            let list: Vec<u8> = (0..r.u32(..30)).flat_map(|id| listed(id, 9000, 0, 1, 7)).collect();
+            let list: Vec<u8> = (0..r.u32(..30)).flat_map(|id| member_record(id, 9000, 0, 1, 7)).collect();
             let payload = [&[][..], &list, &list, &[0; 16], &[0; 10]][r.usize(..5)];
             let kind = match payload.len() {
                 0 => 0,
@@ -195,8 +195,8 @@
             numbers.push(number);
         }
         let (mut frames, mut got) = (Frames::default(), Vec::new());
-        through(&bytes, &mut Ring::new(r.usize(8..200)), &mut r, |ring| {
-            while let Some((number, _)) = frames.next(ring, &names).expect("sound frames") {
+        pass_through(&bytes, &mut RingBuffer::new(r.usize(8..200)), &mut r, |buffer| {
+            while let Some((number, _)) = frames.next(buffer, &names).expect("sound frames") {
                 got.push(number);
             }
         });
@@ -205,15 +205,15 @@
 }
 
 #[test]
-fn a_head_is_read_only_whole_and_its_lengths_are_checked() {
-    let sound = b"HTTP/1.1 200 OK\r\nDetail: o\r\nTag: ab\r\nMade-At: 17\r\nContent-Length: 5\r\n\r\nhello";
-    for end in 0..sound.len() - 5 {
-        assert_eq!(http::head(&sound[..end]), Ok(None));
+fn a_head_is_parsed_only_whole_and_its_lengths_are_checked() {
+    let valid = b"HTTP/1.1 200 OK\r\nDetail: o\r\nTag: ab\r\nMade-At: 17\r\nContent-Length: 5\r\n\r\nhello";
+    for end in 0..valid.len() - 5 {
+        assert_eq!(http::parse_head(&valid[..end]), Ok(None));
     }
-    let (head, size) = http::head(sound).expect("sound").expect("whole");
-    assert_eq!((head.status, head.length, size), (200, 5, sound.len() - 5));
+    let (head, size) = http::parse_head(valid).expect("sound").expect("whole");
+    assert_eq!((head.status, head.length, size), (200, 5, valid.len() - 5));
     assert_eq!(
-        (head.tag.as_deref(), head.made_at, head.note),
+        (head.tag.as_deref(), head.origin_sent_ms, head.cache_status),
         (Some("ab"), Some(17), doorgrade::CacheStatus::FilledByOrigin)
     );
     for bad in [
@@ -225,46 +225,50 @@
         "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n",
         "SMTP\r\n\r\n",
     ] {
-        assert!(http::head(bad.as_bytes()).is_err(), "{bad}");
+        assert!(http::parse_head(bad.as_bytes()).is_err(), "{bad}");
     }
-    let refusal = http::head(b"HTTP/1.1 503 Busy\r\nNot-Begun: 1\r\n\r\ncome back later").expect("sound");
+    let refusal =
+        http::parse_head(b"HTTP/1.1 503 Busy\r\nNot-Begun: 1\r\n\r\ncome back later").expect("sound");
     let (head, _) = refusal.expect("whole");
-    assert!(head.not_begun && head.closes && head.open_ended, "a refusal needs no length");
-    let long = format!("HTTP/1.1 200 OK\r\nX: {}\r\n\r\n", "y".repeat(http::MOST_HEAD));
-    assert!(http::head(long.as_bytes()).is_err());
+    assert!(head.not_begun && head.close && head.open_ended, "a refusal needs no length");
+    let long = format!("HTTP/1.1 200 OK\r\nX: {}\r\n\r\n", "y".repeat(http::MAX_HEAD));
+    assert!(http::parse_head(long.as_bytes()).is_err());
 }
 
 #[test]
-fn a_request_that_cannot_be_used_is_told_apart() {
+fn an_invalid_request_is_recognised() {
     type Fields = Vec<(&'static str, String)>;
     let mut rng = Rng::with_seed(1);
-    let mut one = |path: &str, change: &dyn Fn(&mut Fields), body: usize| {
-        let mut fields = access(1, 2, 900);
+    let mut decode_one = |path: &str, change: &dyn Fn(&mut Fields), body: usize| {
+        let mut fields = access_fields(1, 2, 900);
         change(&mut fields);
-        let (mut all, broken) = said(&request(3, path, &fields, &vec![0; body], 0), 8192, &mut rng);
+        let (mut all, broken) = decode(&request(3, path, &fields, &vec![0; body], 0), 8192, &mut rng);
         assert!(!broken && all.len() == 1);
         all.remove(0)
     };
-    assert_eq!(one("/check", &|_| (), 0), Said::Check(3));
-    assert!(matches!(one("/do/images", &|_| (), 48_000), Said::Ask(3, _)));
-    assert!(matches!(one("/do/images", &|_| (), 48_001), Said::Unusable(3, 413, _)));
-    assert!(matches!(one("/other", &|_| (), 0), Said::Unusable(3, 400, _)));
+    assert_eq!(decode_one("/check", &|_| (), 0), ClientMessage::HealthCheck(3));
+    assert!(matches!(decode_one("/do/images", &|_| (), 48_000), ClientMessage::Request(3, _)));
+    assert!(matches!(decode_one("/do/images", &|_| (), 48_001), ClientMessage::Invalid(3, 413, _)));
+    assert!(matches!(decode_one("/other", &|_| (), 0), ClientMessage::Invalid(3, 400, _)));
     for place in 0..3 {
-        assert!(matches!(one("/do/images", &|f| drop(f.remove(place)), 0), Said::Unusable(3, 400, _)));
+        assert!(matches!(
+            decode_one("/do/images", &|f| drop(f.remove(place)), 0),
+            ClientMessage::Invalid(3, 400, _)
+        ));
     }
     for (place, text) in [(0, "12"), (1, "0"), (1, "soon"), (2, "zz"), (3, "-1"), (4, "256"), (5, "nan")] {
-        let said = one("/do/images", &|f| f[place].1 = text.into(), 0);
-        assert!(matches!(said, Said::Unusable(3, 400, _)), "{text}");
+        let message = decode_one("/do/images", &|f| f[place].1 = text.into(), 0);
+        assert!(matches!(message, ClientMessage::Invalid(3, 400, _)), "{text}");
     }
-    // What would end a line of ours, or can't be passed on whole.
-    for mark in ["", "a\r\nCall-Ms: 1", "a b", &"f".repeat(129)] {
-        let said = one("/do/images", &|f| f.push(("Req-Token", mark.into())), 0);
-        assert!(matches!(said, Said::Unusable(3, 400, _)), "{mark:?}");
+    // Values that would end a header line of the request to the cache, or that are too long to be passed on.
+    for repeat_id in ["", "a\r\nCall-Ms: 1", "a b", &"f".repeat(129)] {
+        let message = decode_one("/do/images", &|f| f.push(("Req-Token", repeat_id.into())), 0);
+        assert!(matches!(message, ClientMessage::Invalid(3, 400, _)), "{repeat_id:?}");
     }
 }
 
 #[test]
-fn management_records_and_wrong_beginnings_are_answered_as_specified() {
+fn management_records_and_invalid_requests_are_answered_as_specified() {
     let mut rng = Rng::with_seed(1);
     let mut values = Vec::new();
     fastcgi::put_pair(&mut values, b"FCGI_MPXS_CONNS", b"");
@@ -274,22 +278,25 @@
     bytes.extend(record(77, 0, b"what", 0));
     bytes.extend(begin(1, 2));
     (2..35).for_each(|id| bytes.extend(begin(id, 1)));
-    let (all, broken) = said(&bytes, 64, &mut rng);
+    let (all, broken) = decode(&bytes, 64, &mut rng);
     assert!(!broken);
     let mut value = Vec::new();
     fastcgi::put_pair(&mut value, b"FCGI_MPXS_CONNS", b"1");
-    assert_eq!(all[0], Said::Reply(record(fastcgi::GET_VALUES_RESULT, 0, &value, 0)));
-    assert_eq!(all[1], Said::Reply(record(fastcgi::UNKNOWN_TYPE, 0, &[77, 0, 0, 0, 0, 0, 0, 0], 0)));
-    assert_eq!(all[2], Said::Over(1, fastcgi::UNKNOWN_ROLE));
-    assert_eq!(all[3..], [Said::Over(34, fastcgi::OVERLOADED)]);
-    // A version other than 1 is the connection's end.
-    assert!(said(&[2, 1, 0, 1, 0, 0, 0, 0], 64, &mut rng).1);
+    assert_eq!(all[0], ClientMessage::ManagementResponse(record(fastcgi::GET_VALUES_RESULT, 0, &value, 0)));
+    assert_eq!(
+        all[1],
+        ClientMessage::ManagementResponse(record(fastcgi::UNKNOWN_TYPE, 0, &[77, 0, 0, 0, 0, 0, 0, 0], 0))
+    );
+    assert_eq!(all[2], ClientMessage::EndRequest(1, fastcgi::UNKNOWN_ROLE));
+    assert_eq!(all[3..], [ClientMessage::EndRequest(34, fastcgi::OVERLOADED)]);
+    // A protocol version other than 1 ends the connection.
+    assert!(decode(&[2, 1, 0, 1, 0, 0, 0, 0], 64, &mut rng).1);
 }
 
 #[test]
 fn configuration_errors_name_the_key() {
-    let sound = config(128);
-    assert!(Config::read(&sound, None, None).is_ok());
+    let valid = config(128);
+    assert!(Config::read(&valid, None, None).is_ok());
     for (from, to, key) in [
         (r#""listen":"127.0.0.1:0""#, r#""listen":"nowhere""#, "listen"),
         (r#""listen":"127.0.0.1:0","#, "", "listen"),
@@ -308,50 +315,61 @@
         (r#""zone":0"#, r#""zone":4"#, "settings.zone"),
         (r#""connectTimeout":400.0"#, r#""connectTimeout":1e300"#, "connectTimeout"),
     ] {
-        assert!(sound.contains(from), "{from}");
-        let why = Config::read(&sound.replacen(from, to, 1), None, None).err().expect("a message");
-        assert!(why.contains(key), "'{key}' is not named: {why}");
+        assert!(valid.contains(from), "{from}");
+        let reason = Config::read(&valid.replacen(from, to, 1), None, None).err().expect("a message");
+        assert!(reason.contains(key), "'{key}' is not named: {reason}");
     }
-    let named = Config::read(&sound, Some("n7".into()), Some("127.0.0.2:81".into())).expect("sound");
+    let named = Config::read(&valid, Some("n7".into()), Some("127.0.0.2:81".into())).expect("sound");
     assert_eq!((named.name.as_str(), named.listen.port()), ("n7", 81));
 }
 
 #[test]
 fn events_of_frames_and_of_the_start_mean_the_same() {
-    let names = Names { zones: vec!["here".into()], kinds: vec!["cache".into()] };
-    let mut ring = Ring::new(64);
-    ring.put(&frame(9, 2, &listed(0x2a, 8080, 1, 0, 1_500)));
-    let read = Frames::default().next(&mut ring, &names).expect("sound");
-    let Some((9, Some(Event::List { whole: false, members }))) = read else { panic!("not a list") };
+    let names = ZoneAndKindNames { zones: vec!["here".into()], kinds: vec!["cache".into()] };
+    let mut buffer = RingBuffer::new(64);
+    buffer.put(&frame(9, 2, &member_record(0x2a, 8080, 1, 0, 1_500)));
+    let read = Frames::default().next(&mut buffer, &names).expect("sound");
+    let Some((9, Some(Event::List { complete: false, members }))) = read else { panic!("not a list") };
     let m = &members[0].member;
     assert_eq!((&*m.id, m.weight, m.started_at), ("s-0000002a", 1.0, Some(15_000)));
-    assert_eq!((m.status, members[0].at.port()), (doorgrade::MemberStatus::Draining, 8080));
+    assert_eq!((m.status, members[0].address.port()), (doorgrade::MemberStatus::Draining, 8080));
 }
 
 #[test]
 fn bodies_that_find_no_room_are_refused_and_not_held() {
     let (mut intake, mut all) = (Intake::default(), Vec::new());
-    let bytes = [1, 2].map(|id| request(id, "/do/images", &access(1, 2, 900), &[7; 9_000], 0)).concat();
-    through(&bytes, &mut Ring::new(4096), &mut Rng::with_seed(1), |ring| {
-        while let Some(said) = intake.next(ring, 12_000 - intake.held()).expect("sound records") {
-            all.push(said);
+    let bytes =
+        [1, 2].map(|id| request(id, "/do/images", &access_fields(1, 2, 900), &[7; 9_000], 0)).concat();
+    pass_through(&bytes, &mut RingBuffer::new(4096), &mut Rng::with_seed(1), |buffer| {
+        while let Some(message) = intake.next(buffer, 12_000 - intake.held_bytes()).expect("sound records") {
+            all.push(message);
         }
-        assert!(intake.held() <= 12_000);
+        assert!(intake.held_bytes() <= 12_000);
     });
-    assert!(matches!(all[..], [Said::Ask(1, _), Said::Ask(2, _)]), "one after the other there is room");
+    assert!(
+        matches!(all[..], [ClientMessage::Request(1, _), ClientMessage::Request(2, _)]),
+        "one after the other there is room"
+    );
     let mut all = Vec::new();
-    let mut both = [3, 4].map(|id| request(id, "/do/images", &access(1, 2, 900), &[7; 9_000], 0));
+    let mut both = [3, 4].map(|id| request(id, "/do/images", &access_fields(1, 2, 900), &[7; 9_000], 0));
     let ends = both.each_mut().map(|bytes| bytes.split_off(bytes.len() - fastcgi::HEADER));
-    through(&[both, ends].concat().concat(), &mut Ring::new(4096), &mut Rng::with_seed(1), |ring| {
-        while let Some(said) = intake.next(ring, 12_000 - intake.held()).expect("sound records") {
-            all.push(said);
-        }
-    });
+    pass_through(
+        &[both, ends].concat().concat(),
+        &mut RingBuffer::new(4096),
+        &mut Rng::with_seed(1),
+        |buffer| {
+            while let Some(message) =
+                intake.next(buffer, 12_000 - intake.held_bytes()).expect("sound records")
+            {
+                all.push(message);
+            }
+        },
+    );
     let all: Vec<_> = all
         .into_iter()
         .map(|s| match s {
-            Said::Ask(id, r) => (id, r.body.len()),
-            Said::Unusable(id, status, _) => (id, status.into()),
+            ClientMessage::Request(id, r) => (id, r.body.len()),
+            ClientMessage::Invalid(id, status, _) => (id, status.into()),
             _ => (0, 0),
         })
         .collect();
@@ -359,14 +377,14 @@
 }
 
 #[test]
-fn bounds_stay_within_the_limits_told() {
+fn bounds_stay_within_the_limits() {
     for (memory_mb, sockets) in
         [(192, 1024), (32, 32), (48, 64), (64, 4096), (2048, 4096), (1 << 20, 1 << 20)]
     {
         let b = Bounds::new(&Limits { memory_mb, sockets });
         assert!(b.clients + b.lines <= sockets - 14, "{b:?}");
         let rings = b.clients * (bounds::CLIENT_IN + bounds::CLIENT_OUT)
-            + b.lines * (bounds::LINE_IN + bounds::LINE_OUT);
+            + b.lines * (bounds::CACHE_IN + bounds::CACHE_OUT);
         assert!(rings + b.bodies <= memory_mb << 20, "{b:?}");
         assert!(b.clients >= 4 && b.lines >= 4);
     }
--- a/crates/front/tests/helper/words.rs
+++ b/crates/front/tests/helper/messages.rs
@@ -1,4 +1,4 @@
-//! The words between clients, caches, feed and a front, and its configuration.
+//! The messages between clients, caches, feed and front, and the front's configuration.
 
 use doorgrade::Ticks;
 use doorgrade_front::fastcgi;
@@ -6,10 +6,10 @@
 use doorgrade_operator::settings::{Hierarchy, Settings};
 use fastrand::Rng;
 
-use super::{CACHES, FEED, ORIGIN, PARENT, SECOND};
+use super::{CACHES, FEED, ORIGIN, PARENT, SECOND_PARENT};
 
-/// A configuration: classes 0 `images` (fresh for 8 s), 1 `fonts` (until purged), 2 `orders` (unrepeatable
-/// writes), 3 `votes` (deduplicated for a second by the mark they carry; some carry none).
+/// A configuration with the offerings 0 `images` (fresh for 8 s), 1 `fonts` (fresh until purged), 2 `orders`
+/// (unrepeatable writes) and 3 `votes` (deduplicated for a second by their repeat id, if they have one).
 pub fn config(sockets: usize) -> String {
     let member = |id: &str, port: u32, kind: &str| {
         format!(
@@ -38,8 +38,9 @@
     )
 }
 
-/// The hierarchy on: the parent and, above it, the origin; and a second parent that nobody has listed yet.
-pub fn tiers() -> Files {
+/// Files that enable the hierarchy: the parent with the origin above it, and a second parent that is not in
+/// the member list yet.
+pub fn hierarchy_files() -> Files {
     let hierarchy =
         Hierarchy { shape: "s".into(), tier: 1, hand_over_ms: 4_000, loop_header: true, shield: true };
     let settings = Settings { hierarchy: Some(hierarchy), ..Settings::default() };
@@ -49,17 +50,17 @@
         )
     };
     let above = format!("\"{ORIGIN}\"");
-    let shape = [member(ORIGIN, 2, ""), member(PARENT, 1, &above), member(SECOND, 1, &above)].concat();
+    let shape = [member(ORIGIN, 2, ""), member(PARENT, 1, &above), member(SECOND_PARENT, 1, &above)].concat();
     Files { settings, shape: doorgrade_operator::shape::read("s", &shape).expect("a sound shape") }
 }
 
-pub const CLASSES: [&str; 4] = ["images", "fonts", "orders", "votes"];
-/// How long a vote is known again.
+pub const OFFERINGS: [&str; 4] = ["images", "fonts", "orders", "votes"];
+/// For how long a repeat of a vote is recognised.
 pub const WINDOW: Ticks = 10_000;
 
-/// The mark of a vote; one in three has none.
-pub fn mark(class: usize, call: u64) -> Option<String> {
-    (class == 3 && !call.is_multiple_of(3)).then(|| format!("{:032x}", u128::from(call) << 64 | 0xabc))
+/// The repeat id of a vote; one in three has none.
+pub fn repeat_id(offering: usize, access: u64) -> Option<String> {
+    (offering == 3 && !access.is_multiple_of(3)).then(|| format!("{:032x}", u128::from(access) << 64 | 0xabc))
 }
 
 /// A FastCGI record.
@@ -71,7 +72,7 @@
     bytes
 }
 
-/// A whole request; `fields` come as headers do.
+/// A complete request; `fields` have the names of headers.
 pub fn request(id: u16, path: &str, fields: &[(&str, String)], body: &[u8], padding: u8) -> Vec<u8> {
     let mut params = Vec::new();
     fastcgi::put_pair(&mut params, b"SCRIPT_NAME", path.as_bytes());
@@ -89,9 +90,9 @@
     bytes
 }
 
-pub fn access(call: u64, object: u64, wait_ms: u64) -> Vec<(&'static str, String)> {
+pub fn access_fields(access: u64, object: u64, wait_ms: u64) -> Vec<(&'static str, String)> {
     vec![
-        ("Req-Id", format!("{call:016x}")),
+        ("Req-Id", format!("{access:016x}")),
         ("Req-Wait-Ms", wait_ms.to_string()),
         ("Req-Key", format!("{object:016x}")),
         ("X-Seg", "0".into()),
@@ -100,23 +101,23 @@
     ]
 }
 
-/// A client's answer as it came.
+/// A response as a client received it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Answer {
+pub struct Response {
     pub status: u16,
     pub head: String,
     pub body: Vec<u8>,
 }
 
-pub fn answer(bytes: &[u8]) -> Answer {
+pub fn parse_response(bytes: &[u8]) -> Response {
     let end = bytes.windows(4).position(|w| w == b"\r\n\r\n").expect("an answer has an empty line");
     let head = String::from_utf8(bytes[..end].to_vec()).expect("its head is text");
     let status = head.strip_prefix("Status: ").and_then(|h| h.get(..3)).and_then(|s| s.parse().ok());
-    Answer { status: status.expect("an answer has a status"), head, body: bytes[end + 4..].to_vec() }
+    Response { status: status.expect("an answer has a status"), head, body: bytes[end + 4..].to_vec() }
 }
 
 /// The bytes of an object.
-pub fn object(key: u64) -> Vec<u8> {
+pub fn object_bytes(key: u64) -> Vec<u8> {
     let mut rng = Rng::with_seed(key);
     let mut bytes = vec![0; rng.usize(0..60_000)];
     rng.fill(&mut bytes);
@@ -132,8 +133,8 @@
     bytes
 }
 
-/// A member's record in a list: its id's number, port, state, kind and start in Unix milliseconds.
-pub fn listed(id: u32, port: u16, state: u8, kind: u8, started: u64) -> Vec<u8> {
+/// A member's record in a list: the number in its id, port, status, kind, and start in Unix milliseconds.
+pub fn member_record(id: u32, port: u16, state: u8, kind: u8, started: u64) -> Vec<u8> {
     let mut bytes = id.to_be_bytes().to_vec();
     bytes.extend([127, 0, 0, 1]);
     bytes.extend(port.to_be_bytes());
--- a/crates/front/tests/names.rs
+++ b/crates/front/tests/names.rs
@@ -1,10 +1,10 @@
-//! The pages' names against the code, by the table in docs/names.md.
+//! Checks the names in the code against the table in docs/names.md.
 
 use std::collections::BTreeSet;
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// Sources that read or write the platform's names.
+/// Sources that read or write names of the platform.
 const READERS: [&str; 6] = ["intake", "http", "answer", "feed", "config", "push"];
 
 fn root() -> PathBuf {
@@ -15,15 +15,15 @@
     fs::read_to_string(root().join(path)).unwrap_or_else(|e| panic!("{path}: {e}"))
 }
 
-/// Code without its comments; ends of lines within texts count as such.
+/// The code without comments; `\r\n` in texts is replaced by a line break.
 fn code(path: &str) -> String {
     let lines: Vec<_> =
         text(path).lines().filter(|l| !l.trim_start().starts_with("//")).map(str::to_owned).collect();
     lines.join("\n").replace("\\r\\n", "\n")
 }
 
-/// Whether it stands there as a word of its own.
-fn holds(code: &str, name: &str) -> bool {
+/// Whether the name stands in the code as a word of its own.
+fn contains_word(code: &str, name: &str) -> bool {
     let part = |c: Option<char>| c.is_some_and(|c| c.is_alphanumeric() || "_-".contains(c));
     let whole =
         |at: usize| !part(code[..at].chars().next_back()) && !part(code[at + name.len()..].chars().next());
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn every_name_of_the_pages_is_used_or_has_its_reason() {
+fn every_name_in_the_table_is_used_or_has_a_reason() {
     let page = text("docs/names.md");
     let all: Vec<String> = READERS
         .iter()
@@ -41,18 +41,21 @@
     let mut named = BTreeSet::new();
     for row in page.lines().filter(|l| l.starts_with("| `")) {
         let cells: Vec<_> = row.trim_matches('|').split('|').map(str::trim).collect();
-        let [name, file, why] = cells[..] else { panic!("three cells: {row}") };
+        let [name, file, reason] = cells[..] else { panic!("three cells: {row}") };
         let name = name.trim_matches('`');
         assert!(named.insert(name.to_owned()), "{name} stands there twice");
-        assert!(!why.is_empty(), "{name}: what is it, or why is it not used?");
+        assert!(!reason.is_empty(), "{name}: what is it, or why is it not used?");
         match file {
             "-" => {
-                assert!(!all.iter().any(|c| holds(c, name)), "{name} is used, and the table says it is not")
+                assert!(
+                    !all.iter().any(|c| contains_word(c, name)),
+                    "{name} is used, and the table says it is not"
+                )
             }
-            file => assert!(holds(&code(file), name), "{name} does not stand in {file}"),
+            file => assert!(contains_word(&code(file), name), "{name} does not stand in {file}"),
         }
     }
-    // The other way round: what the codecs match on or write is in the table.
+    // The other direction: each name that the codecs match or write is in the table.
     let quoted = |path: &str, from: &str, to: &str| -> Vec<String> {
         let code = code(path);
         let starts = code.match_indices(from).map(|(at, _)| at + from.len());
@@ -63,7 +66,7 @@
     read.extend(quoted("crates/front/src/http.rs", "if is(\"", "\""));
     read.extend(quoted("crates/front/src/http.rs", "format_args!(\"", ": "));
     assert!(read.len() > 12, "the codecs are written otherwise now: {read:?}");
-    // HTTP's own, and this project's own words on a hierarchy.
+    // HTTP's own names, and this project's own headers for the hierarchy.
     let own = ["Content-Length", "Transfer-Encoding", "Connection", "CDN-Loop", "Ring"];
     for name in read.iter().filter(|n| !n.contains(' ') && !n.contains('{') && !own.contains(&n.as_str())) {
         assert!(named.contains(name), "{name} is read or written, and docs/names.md does not have it");
--- a/crates/front/tests/reducer.rs
+++ b/crates/front/tests/reducer.rs
@@ -1,8 +1,9 @@
-//! The reducer without sockets: seeded random runs with the rules checked after each step, and what becomes of an access.
+//! The reducer without sockets: seeded random runs that check the rules after each step, and the ends of
+//! single accesses.
 
 mod helper;
 
-use doorgrade_front::config::{Limits, Renewal};
+use doorgrade_front::config::{Limits, ReloadedConfig};
 use doorgrade_front::push::Pools;
 use doorgrade_front::reducer::Input;
 use doorgrade_operator::Files;
@@ -10,18 +11,18 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-/// Clients, caches and feed do what they may, in any order; then everyone answers, and all must be in order.
+/// Clients, caches and feed act in random order; then all respond, and every access must have ended.
 fn random_run(seed: u64) {
     let sockets = if seed.is_multiple_of(4) { 64 } else { 200 };
     let tiered = seed % 3 == 1;
-    let files = if tiered { tiers() } else { Files::default() };
-    let mut w = World::with(seed, sockets, files.clone());
+    let files = if tiered { hierarchy_files() } else { Files::default() };
+    let mut w = World::with_files(seed, sockets, files.clone());
     let mut clients: Vec<_> = (0..3).map(|_| w.client()).collect();
     let (mut number, mut id, mut more) = (1, 30, 1_000);
-    for call in 0..300 {
+    for access in 0..300 {
         match w.rng.u8(..if tiered { 26 } else { 24 }) {
-            24 if w.to_port(9092).is_some() => {
-                // A parent drains, goes, or comes, cold or not.
+            24 if w.conn_to(9092).is_some() => {
+                // A parent drains, leaves, or is listed again, cold or not.
                 number += 1;
                 let (id, port) = [(0x10, 9110), (0x11, 9111)][w.rng.usize(..2)];
                 let (state, start) = (w.rng.u8(..3), w.rng.u64(..2) * (w.now / 10));
@@ -29,39 +30,45 @@
                     0 => drop(w.drained.remove(&port)),
                     _ => drop(w.drained.entry(port).or_insert(w.now)),
                 }
-                w.feed(&frame(number, 2, &listed(id, port, state, 1, start)));
+                w.feed(&frame(number, 2, &member_record(id, port, state, 1, start)));
             }
             25 => {
-                // A parent is hung elsewhere, or under the other, and back: loops are offered.
-                let sources = [ORIGIN, PARENT, SECOND][w.rng.usize(..3)];
-                let member = [PARENT, SECOND][w.rng.usize(..2)];
+                // A parent gets other sources, also the other parent; some changes would close a cycle.
+                let sources = [ORIGIN, PARENT, SECOND_PARENT][w.rng.usize(..3)];
+                let member = [PARENT, SECOND_PARENT][w.rng.usize(..2)];
                 let change = format!(
                     "member \"{member}\" {{\nincarnation = 1\nnumber = {}\ntier = 1\nfills_from = [\"{sources}\"]\n}}",
-                    call + 2
+                    access + 2
                 );
                 let shape = doorgrade_operator::shape::read("s", &change).unwrap_or_default();
                 let files = Files { shape, ..files.clone() };
                 let feed = FEED.parse().unwrap();
                 let limits = Limits { memory_mb: 48, sockets: sockets.max(64) };
                 let log = doorgrade_log::LevelFilter::INFO;
-                w.input(Input::Reload(Box::new(Renewal { feed, limits, log, files, whole: false })));
+                w.input(Input::Reload(Box::new(ReloadedConfig {
+                    feed,
+                    limits,
+                    log,
+                    files,
+                    full_shape: false,
+                })));
             }
             0..=7 => {
                 let conn = clients[w.rng.usize(..clients.len())];
                 id = id % 9_000 + 31;
-                let (class, key, wait) = (w.rng.usize(..4), w.rng.u64(..30), w.rng.u64(1..3_000));
-                w.ask(conn, id, call, class, key, wait);
+                let (offering, key, wait) = (w.rng.usize(..4), w.rng.u64(..30), w.rng.u64(1..3_000));
+                w.send_request(conn, id, access, offering, key, wait);
             }
             8..=10 => {
                 let conns = w.connecting();
                 if let Some(&conn) = w.rng.choice(&conns) {
-                    w.connected(conn);
+                    w.finish_connect(conn);
                 }
             }
             11..=16 => {
-                let conns = w.working();
+                let conns = w.busy_conns();
                 if let Some(&conn) = w.rng.choice(&conns) {
-                    let (status, marked) = [
+                    let (status, not_begun) = [
                         (200, false),
                         (200, false),
                         (200, false),
@@ -74,20 +81,20 @@
                         (508, true),
                     ][w.rng.usize(..10)];
                     let (now, max) = (w.now / 10, u64::MAX);
-                    let told = [now, now - w.rng.u64(..9_000), now + 5_000, 0, max, max / 10];
-                    w.made_at = Some(told[w.rng.usize(..6)].to_string()).filter(|_| w.rng.bool());
+                    let times = [now, now - w.rng.u64(..9_000), now + 5_000, 0, max, max / 10];
+                    w.made_at = Some(times[w.rng.usize(..6)].to_string()).filter(|_| w.rng.bool());
                     let detail = ["h", "f", "o", "r", "b", "x", "?"][w.rng.usize(..7)];
                     if w.rng.u8(..12) == 0 {
-                        w.end(conn);
+                        w.close(conn);
                     } else {
-                        w.reply(conn, status, marked, detail);
+                        w.reply(conn, status, not_begun, detail);
                     }
                 }
             }
             17 => {
-                let calls = w.open_calls();
-                if let Some(&call) = w.rng.choice(&calls) {
-                    w.abort(call);
+                let calls = w.open_accesses();
+                if let Some(&access) = w.rng.choice(&calls) {
+                    w.abort(access);
                 }
             }
             18 => {
@@ -99,16 +106,16 @@
                     0 => drop(w.drained.remove(&port)),
                     _ => drop(w.drained.entry(port).or_insert(w.now)),
                 }
-                if w.to_port(9092).is_some() {
+                if w.conn_to(9092).is_some() {
                     if start > 0 {
                         w.restarted(port);
                     }
-                    w.feed(&frame(number, 2, &listed(u32::from(place) + 1, port, state, 0, start)));
+                    w.feed(&frame(number, 2, &member_record(u32::from(place) + 1, port, state, 0, start)));
                 } else {
                     w.drained.remove(&port);
                 }
             }
-            19 if w.to_port(9092).is_some() => {
+            19 if w.conn_to(9092).is_some() => {
                 number += 1;
                 let key = Some(w.rng.u64(..30)).filter(|_| w.rng.bool());
                 let group = w.rng.u64(..4);
@@ -116,34 +123,34 @@
             }
             20 => {
                 let port = 9101 + w.rng.u16(..3);
-                if !w.down.remove(&port) {
-                    w.down.insert(port);
+                if !w.refusing_ports.remove(&port) {
+                    w.refusing_ports.insert(port);
                 }
             }
             21 => {
                 let at = w.rng.usize(..clients.len());
-                w.end(clients[at]);
+                w.close(clients[at]);
                 clients[at] = w.client();
                 if w.rng.bool() {
                     for id in 1..30 {
                         more += 1;
                         let key = w.rng.u64(..1_000);
-                        w.ask(clients[at], id, more, 1, key, 1_500);
+                        w.send_request(clients[at], id, more, 1, key, 1_500);
                     }
                     w.serve();
                 }
             }
             _ => {
                 let time = w.rng.u64(1..300) * MS;
-                w.pass(time);
+                w.advance(time);
             }
         }
     }
-    w.pass(4_000 * MS);
-    assert!(w.open_calls().is_empty());
-    assert!(w.most_open <= 200);
+    w.advance(4_000 * MS);
+    assert!(w.open_accesses().is_empty());
+    assert!(w.max_open <= 200);
     w.input(Input::Stop);
-    w.pass(7_000 * MS);
+    w.advance(7_000 * MS);
     assert!(w.exited, "nothing is open, yet it does not exit");
 }
 
@@ -159,182 +166,183 @@
 }
 
 #[test]
-fn an_unrepeatable_access_cut_off_is_given_up_not_declined() {
+fn an_unrepeatable_access_whose_connection_breaks_is_given_up_not_declined() {
     let mut w = World::new(1, 128);
     let client = w.client();
-    w.ask(client, 1, 1, 2, 5, 1_000);
-    w.connecting().into_iter().for_each(|conn| w.connected(conn));
-    let conn = w.working()[0];
-    w.end(conn);
-    assert_eq!(w.answer_of(1).map(|a| a.status), Some(500));
-    assert_eq!(w.pushes_of(1), 1);
+    w.send_request(client, 1, 1, 2, 5, 1_000);
+    w.connecting().into_iter().for_each(|conn| w.finish_connect(conn));
+    let conn = w.busy_conns()[0];
+    w.close(conn);
+    assert_eq!(w.response_to(1).map(|a| a.status), Some(500));
+    assert_eq!(w.push_count(1), 1);
 }
 
 #[test]
 fn a_refused_connection_lets_an_unrepeatable_access_be_declined_or_sent_again() {
     let mut w = World::new(1, 128);
     let client = w.client();
-    w.down.insert(9120);
-    w.ask(client, 1, 1, 2, 5, 1_000);
+    w.refusing_ports.insert(9120);
+    w.send_request(client, 1, 1, 2, 5, 1_000);
     for _ in 0..10 {
-        w.connecting().into_iter().for_each(|conn| w.connected(conn));
+        w.connecting().into_iter().for_each(|conn| w.finish_connect(conn));
     }
-    assert_eq!(w.answer_of(1).map(|a| a.status), Some(503));
+    assert_eq!(w.response_to(1).map(|a| a.status), Some(503));
 }
 
 #[test]
-fn a_deduplicated_access_goes_out_with_its_mark_and_is_pushed_again_only_with_it() {
-    for (call, pushes) in [(1, 2), (3, 1)] {
+fn a_deduplicated_access_carries_its_repeat_id_and_is_repeated_only_with_one() {
+    for (access, pushes) in [(1, 2), (3, 1)] {
         let mut w = World::new(1, 128);
         let client = w.client();
-        w.ask(client, 1, call, 3, 5, 1_000);
-        w.connecting().into_iter().for_each(|conn| w.connected(conn));
-        let conn = w.working()[0];
-        w.end(conn);
-        w.connecting().into_iter().for_each(|conn| w.connected(conn));
-        assert_eq!(w.pushes_of(call), pushes);
-        // The world checks each push's mark against what the client sent.
-        assert_eq!(w.heads[&call].contains("Call-Once: "), pushes > 1);
-        assert_eq!(w.answer_of(call).map(|a| a.status), (pushes == 1).then_some(500));
+        w.send_request(client, 1, access, 3, 5, 1_000);
+        w.connecting().into_iter().for_each(|conn| w.finish_connect(conn));
+        let conn = w.busy_conns()[0];
+        w.close(conn);
+        w.connecting().into_iter().for_each(|conn| w.finish_connect(conn));
+        assert_eq!(w.push_count(access), pushes);
+        // The world checks each push's repeat id against what the client sent.
+        assert_eq!(w.request_heads[&access].contains("Call-Once: "), pushes > 1);
+        assert_eq!(w.response_to(access).map(|a| a.status), (pushes == 1).then_some(500));
     }
 }
 
 #[test]
-fn a_repeat_whose_connection_comes_up_too_late_is_never_begun() {
+fn a_repeat_whose_connection_is_established_too_late_is_never_sent() {
     for (late, pushes) in [(100, 2), (300, 1)] {
         let mut w = World::new(1, 128);
         let client = w.client();
-        w.ask(client, 1, 1, 3, 5, 2_500);
-        w.connecting().into_iter().for_each(|conn| w.connected(conn));
-        w.pass(800 * MS);
-        let conn = w.working()[0];
-        w.end(conn);
+        w.send_request(client, 1, 1, 3, 5, 2_500);
+        w.connecting().into_iter().for_each(|conn| w.finish_connect(conn));
+        w.advance(800 * MS);
+        let conn = w.busy_conns()[0];
+        w.close(conn);
         assert!(!w.connecting().is_empty(), "a repeat waits for its connection");
-        // Votes are known again for a second.
-        w.pass(late * MS);
-        w.connecting().into_iter().for_each(|conn| w.connected(conn));
-        assert_eq!(w.pushes_of(1), pushes);
-        assert_eq!(w.answer_of(1).map(|a| a.status), (pushes == 1).then_some(500));
+        // Repeats of votes are recognised for a second.
+        w.advance(late * MS);
+        w.connecting().into_iter().for_each(|conn| w.finish_connect(conn));
+        assert_eq!(w.push_count(1), pushes);
+        assert_eq!(w.response_to(1).map(|a| a.status), (pushes == 1).then_some(500));
     }
 }
 
 #[test]
-fn a_cold_cache_gets_a_small_part_at_first() {
+fn a_cold_cache_gets_a_small_share_at_first() {
     let mut w = World::new(1, 200);
     let client = w.client();
-    w.connecting().into_iter().for_each(|conn| w.connected(conn));
-    let mut call = 0;
+    w.connecting().into_iter().for_each(|conn| w.finish_connect(conn));
+    let mut access = 0;
     let mut second = |w: &mut World| {
-        w.wholes.clear();
+        w.request_counts.clear();
         for _ in 0..200 {
-            call += 1;
-            w.ask(client, 1 + (call % 30) as u16, call, 1, call, 1_000);
+            access += 1;
+            w.send_request(client, 1 + (access % 30) as u16, access, 1, access, 1_000);
             w.serve();
-            w.pass(5 * MS);
+            w.advance(5 * MS);
         }
-        w.wholes.get(&9101).copied().unwrap_or(0)
+        w.request_counts.get(&9101).copied().unwrap_or(0)
     };
     for _ in 0..5 {
         second(&mut w);
     }
     let warm = second(&mut w);
-    w.feed(&frame(2, 2, &listed(1, 9101, 0, 0, w.now / 10)));
+    w.feed(&frame(2, 2, &member_record(1, 9101, 0, 0, w.now / 10)));
     let cold = second(&mut w);
-    // At its start it can do 0.16 of what a warm one does, and falls over at 4 times that.
+    // At its start a cache can take 0.16 of a warm one's load, and fails at 4 times that.
     assert!(warm > 30 && cold as f64 <= 0.16 * 4.0 * warm as f64, "{cold} of {warm}");
 }
 
 #[test]
-fn an_unrepeatable_access_that_was_never_written_is_declined_when_its_time_is_up() {
+fn an_unrepeatable_access_that_was_never_written_is_declined_at_its_deadline() {
     let mut w = World::new(1, 128);
     let client = w.client();
-    w.ask(client, 1, 1, 2, 5, 300);
-    w.pass(300 * MS);
-    assert_eq!(w.answer_of(1).map(|a| a.status), Some(503));
-    assert_eq!(w.pushes_of(1), 0);
+    w.send_request(client, 1, 1, 2, 5, 300);
+    w.advance(300 * MS);
+    assert_eq!(w.response_to(1).map(|a| a.status), Some(503));
+    assert_eq!(w.push_count(1), 0);
 }
 
-/// A fill that has come round in a ring never ran, whatever the access may repeat: it goes another way.
+/// A fill that returned to its start in a cycle never ran, so any access may be sent by another route.
 #[test]
-fn a_fill_cut_in_a_ring_goes_another_way_even_if_it_must_not_run_twice() {
-    let mut w = World::with(1, 128, tiers());
+fn a_fill_cut_in_a_cycle_takes_another_route_even_if_unrepeatable() {
+    let mut w = World::with_files(1, 128, hierarchy_files());
     let client = w.client();
-    for (call, class) in [(1, 1), (2, 2)] {
-        w.ask(client, call as u16, call, class, 5, 1_500);
-        w.connecting().into_iter().for_each(|conn| w.connected(conn));
-        // Looked for, and lacked; then filled from the parent, which says that it is in a ring.
-        let mut named = Vec::new();
+    for (access, offering) in [(1, 1), (2, 2)] {
+        w.send_request(client, access as u16, access, offering, 5, 1_500);
+        w.connecting().into_iter().for_each(|conn| w.finish_connect(conn));
+        // First a lookup that misses; then a fill from the parent, which reports a cycle.
+        let mut sources_named = Vec::new();
         for _ in 0..8 {
-            for conn in w.working() {
-                let head = w.heads[&call].clone();
+            for conn in w.busy_conns() {
+                let head = w.request_heads[&access].clone();
                 let source = head.lines().find_map(|l| l.strip_prefix("Miss-To: ")).map(str::to_owned);
                 assert!(head.contains("CDN-Loop: doorgrade-n1;most=3"), "{head}");
-                let named_first = named.is_empty();
+                let named_first = sources_named.is_empty();
                 match &source {
-                    // What must not run twice goes to the origin, which answers so the first time.
-                    None if class == 2 && named_first => w.reply(conn, 508, true, "r"),
-                    None if class == 2 => w.reply(conn, 200, false, "o"),
+                    // An unrepeatable access goes to the origin, which reports a cycle the first time.
+                    None if offering == 2 && named_first => w.reply(conn, 508, true, "r"),
+                    None if offering == 2 => w.reply(conn, 200, false, "o"),
                     None => w.reply(conn, 404, false, "?"),
                     Some(s) if *s == PARENT => w.reply(conn, 508, true, "r"),
                     Some(_) => w.reply(conn, 200, false, "o"),
                 }
-                named.extend(source.or(Some("itself".to_owned()).filter(|_| class == 2)));
+                sources_named.extend(source.or(Some("itself".to_owned()).filter(|_| offering == 2)));
             }
-            w.connecting().into_iter().for_each(|conn| w.connected(conn));
+            w.connecting().into_iter().for_each(|conn| w.finish_connect(conn));
         }
-        assert_eq!(w.answer_of(call).map(|a| a.status), Some(200), "{named:?}");
-        assert!(class == 2 || named.first().is_some_and(|n| n == PARENT), "{named:?}");
-        assert!(named.len() > 1, "{named:?}");
+        assert_eq!(w.response_to(access).map(|a| a.status), Some(200), "{sources_named:?}");
+        assert!(offering == 2 || sources_named.first().is_some_and(|n| n == PARENT), "{sources_named:?}");
+        assert!(sources_named.len() > 1, "{sources_named:?}");
     }
 }
 
-/// Caches heed no cancel. A second copy waits for its connection, the first is answered, the connection comes up.
+/// Caches that don't support cancellation: a hedged push waits for its connection, the first push is
+/// answered, then the connection is established.
 #[test]
-fn a_second_copy_that_waits_for_its_connection_does_not_go_out_after_the_answer() {
-    let mut w = World::changed(1, 128, "\"cancel\":true", "\"cancel\":false");
+fn a_hedged_push_waiting_for_its_connection_is_not_sent_after_the_response() {
+    let mut w = World::with_config_change(1, 128, "\"cancel\":true", "\"cancel\":false");
     let client = w.client();
-    // All caches answer, so that one that does not is taken for stuck.
-    for call in 1..200 {
-        w.ask(client, 1, call, 1, call, 1_000);
+    // All caches respond, so that one that does not is recognised as stuck.
+    for access in 1..200 {
+        w.send_request(client, 1, access, 1, access, 1_000);
         w.serve();
-        w.pass(Pools::REST);
+        w.advance(Pools::MIN_IDLE);
     }
-    // Connections to where the second copy may go are closed, as idle ones are.
-    w.pass(12_000 * MS);
+    // Idle connections are closed, also those that the hedged push could use.
+    w.advance(12_000 * MS);
     let client = w.client();
-    w.ask(client, 1, 200, 1, 5, 1_900);
+    w.send_request(client, 1, 200, 1, 5, 1_900);
     w.connecting()
         .into_iter()
-        .filter(|&c| w.to(c) != 9092)
+        .filter(|&c| w.port_of(c) != 9092)
         .collect::<Vec<_>>()
         .into_iter()
-        .for_each(|c| w.connected(c));
-    let first = w.working();
+        .for_each(|c| w.finish_connect(c));
+    let first = w.busy_conns();
     assert_eq!(first.len(), 1);
     let mut more = 1_000;
     for _ in 0..60 {
-        w.pass(10 * MS);
-        // Others are answered meanwhile, on connections of their own.
-        for conn in w.working().into_iter().filter(|c| !first.contains(c)).collect::<Vec<_>>() {
+        w.advance(10 * MS);
+        // Other accesses are answered in the meantime, on other connections.
+        for conn in w.busy_conns().into_iter().filter(|c| !first.contains(c)).collect::<Vec<_>>() {
             w.reply(conn, 200, false, "h");
         }
-        if w.connecting().iter().any(|&c| w.to(c) != 9092 && w.to(c) != w.to(first[0])) {
+        if w.connecting().iter().any(|&c| w.port_of(c) != 9092 && w.port_of(c) != w.port_of(first[0])) {
             break;
         }
         more += 1;
-        w.ask(client, 2, more, 1, 5, 1_000);
+        w.send_request(client, 2, more, 1, 5, 1_000);
         w.connecting()
             .into_iter()
-            .filter(|&c| w.to(c) == w.to(first[0]))
+            .filter(|&c| w.port_of(c) == w.port_of(first[0]))
             .collect::<Vec<_>>()
             .into_iter()
-            .for_each(|c| w.connected(c));
+            .for_each(|c| w.finish_connect(c));
     }
-    let second: Vec<_> = w.connecting().into_iter().filter(|&c| w.to(c) != 9092).collect();
+    let second: Vec<_> = w.connecting().into_iter().filter(|&c| w.port_of(c) != 9092).collect();
     assert!(!second.is_empty(), "no second copy waits for its connection");
     w.reply(first[0], 200, false, "h");
-    assert_eq!(w.answer_of(200).map(|a| a.status), Some(200));
-    // The helper fails at a push after the final answer.
-    second.into_iter().for_each(|conn| w.connected(conn));
-    assert_eq!(w.pushes_of(200), 1);
+    assert_eq!(w.response_to(200).map(|a| a.status), Some(200));
+    // The helper fails at a push after the final response.
+    second.into_iter().for_each(|conn| w.finish_connect(conn));
+    assert_eq!(w.push_count(200), 1);
 }
--- a/crates/lab/src/scale/hollow.rs
+++ b/crates/lab/src/scale/hollow.rs
@@ -14,11 +14,11 @@
 use doorgrade_control_client::clock;
 use doorgrade_control_client::configuration::{AccessCounts, Instance, Served, StoredVersion};
 use doorgrade_control_client::neighbours::{Learning, Neighbourhood, Own};
+use doorgrade_front::active_config::ConfigSources;
 use doorgrade_front::config::Config;
-use doorgrade_front::feed::{Event, Names};
-use doorgrade_front::follow::Feed;
-use doorgrade_front::in_use::Place;
-use doorgrade_front::ring::Ring;
+use doorgrade_front::feed::{Event, ZoneAndKindNames};
+use doorgrade_front::feed_connection::FeedConnection;
+use doorgrade_front::ring_buffer::RingBuffer;
 use doorgrade_operator::Version;
 use doorgrade_recall::Purge;
 use doorgrade_versions::{Id, Ticks};
@@ -101,7 +101,7 @@
 
 /// What follows versions in a hollow instance.
 struct Hollow {
-    place: Place,
+    place: ConfigSources,
     first: Arc<Config>,
     record: Arc<Record>,
 }
@@ -113,8 +113,8 @@
 
     async fn apply(&mut self, id: &Id, version: &Arc<Version>) -> Result<(), String> {
         // As a front's own: the files are read anew, with the version over them.
-        let read = self.place.read()?.overlaid(version);
-        let _renewal = self.first.renewal(read);
+        let read = self.place.read()?.with_version(version);
+        let _renewal = self.first.reload_from(read);
         let at = doorgrade_stream::clock::now();
         self.record.applied.lock().unwrap_or_else(PoisonError::into_inner).push((*id, at));
         Ok(())
@@ -145,7 +145,7 @@
 /// Starts one. `control` runs it; `feed`, where there is one, reads its control feed.
 pub fn start(files: &Files, does: Does, control: &Handle, feed: Option<&Handle>) -> Result<Running, String> {
     let (config, settings) = (files.config.clone(), files.settings.clone());
-    let place = Place { config, settings: Some(settings.clone()), ..Place::default() };
+    let place = ConfigSources { config, settings: Some(settings.clone()), ..ConfigSources::default() };
     let first = Arc::new(place.read()?);
     let own = first.files.settings.clone();
     let (record, mut stops) = (Arc::new(Record::default()), Vec::new());
@@ -182,7 +182,7 @@
     control: &Handle,
     stops: &mut Vec<oneshot::Sender<()>>,
 ) -> Result<Option<Learning>, String> {
-    let told = &first.told.settings;
+    let told = &first.platform.settings;
     let own = Own {
         name: &first.name,
         seed: first.seed,
@@ -205,11 +205,11 @@
 async fn follow_feed(
     at: SocketAddr,
     known: u64,
-    names: &Names,
+    names: &ZoneAndKindNames,
     record: &Record,
     learning: Option<&Learning>,
 ) {
-    let mut feed = Feed::new(known, clock::now());
+    let mut feed = FeedConnection::new(known, clock::now());
     loop {
         if let Ok(stream) = TcpStream::connect(at).await {
             read_feed(stream, &mut feed, names, record, learning).await;
@@ -221,15 +221,15 @@
 
 async fn read_feed(
     mut stream: TcpStream,
-    feed: &mut Feed,
-    names: &Names,
+    feed: &mut FeedConnection,
+    names: &ZoneAndKindNames,
     record: &Record,
     learning: Option<&Learning>,
 ) {
-    if stream.write_all(&feed.begin(clock::now())).await.is_err() {
+    if stream.write_all(&feed.connected(clock::now())).await.is_err() {
         return;
     }
-    let (mut ring, mut seen) = (Ring::new(FEED_IN), Vec::new());
+    let (mut ring, mut seen) = (RingBuffer::new(FEED_IN), Vec::new());
     let mut hand_on = tokio::time::interval(HANDED_EACH);
     loop {
         tokio::select! {
@@ -242,13 +242,13 @@
                     // Whoever remembers is behind: it does without, as in a front.
                     let _ = learning.try_send(std::mem::take(&mut seen));
                 }
-                if clock::now() > feed.heard + Feed::SILENCE {
+                if clock::now() > feed.received_at + FeedConnection::TIMEOUT {
                     return;
                 }
             }
         }
         loop {
-            match feed.take(&mut ring, names, clock::now()) {
+            match feed.next_event(&mut ring, names, clock::now()) {
                 Ok(Some(Event::Purge { object, group, at })) => {
                     record.purges.fetch_add(1, Ordering::Relaxed);
                     seen.push(Learned::Purge(Purge { object, group: group as u16, at }));
