--- a/crates/front/src/active_config.rs
+++ b/crates/front/src/active_config.rs
@@ -95,16 +95,16 @@
 /// and counts of accesses.
 #[derive(Default)]
 pub struct ServedTotals {
-    asked: AtomicU64,
-    in_time: AtomicU64,
+    requested_benefit: AtomicU64,
+    earned_benefit: AtomicU64,
     ended: AtomicU64,
     answered: AtomicU64,
 }
 
 impl ServedTotals {
     pub fn store(&self, totals: reducer::Served) {
-        self.asked.store((1e3 * totals.requested_benefit) as u64, Ordering::Relaxed);
-        self.in_time.store((1e3 * totals.earned_benefit) as u64, Ordering::Relaxed);
+        self.requested_benefit.store((1e3 * totals.requested_benefit) as u64, Ordering::Relaxed);
+        self.earned_benefit.store((1e3 * totals.earned_benefit) as u64, Ordering::Relaxed);
         self.ended.store(totals.ended, Ordering::Relaxed);
         self.answered.store(totals.answered, Ordering::Relaxed);
     }
@@ -144,8 +144,8 @@
         let answered = load(&self.served.answered);
         let accesses = AccessCounts { asked: load(&self.served.ended).max(answered), answered };
         configuration::Served {
-            asked: load(&self.served.asked),
-            in_time: load(&self.served.in_time),
+            asked: load(&self.served.requested_benefit),
+            in_time: load(&self.served.earned_benefit),
             accesses,
         }
     }
--- a/crates/front/src/answer.rs
+++ b/crates/front/src/answer.rs
@@ -38,7 +38,7 @@
 }
 
 impl Reply<'_> {
-    pub fn bare(status: u16) -> Self {
+    pub fn empty(status: u16) -> Self {
         Reply { status, tag: None, not_modified: false, body: Vec::new() }
     }
 }
--- a/crates/front/src/bounds.rs
+++ b/crates/front/src/bounds.rs
@@ -17,6 +17,7 @@
 pub struct Bounds {
     /// Connections of clients.
     pub clients: usize,
+    /// Connections to caches, parents and the origin. The log prints the field under this name.
     pub lines: usize,
     /// Bytes of bodies, of requests and responses.
     pub bodies: usize,
--- a/crates/front/src/config.rs
+++ b/crates/front/src/config.rs
@@ -196,14 +196,14 @@
 
     /// The keys of a version that this front could only apply after a restart.
     pub fn needs_restart(&self, version: &Version) -> Vec<String> {
-        let Some(told) = &version.hierarchy else { return Vec::new() };
+        let Some(new) = &version.hierarchy else { return Vec::new() };
         let Some(own) = &self.files.settings.hierarchy else {
             return vec!["hierarchy (off in this front's own file)".into()];
         };
-        let Hierarchy { shape: _, tier, hand_over_ms, loop_header, shield } = told;
-        let differs = |key: &str, own: &dyn std::fmt::Display, told: &dyn std::fmt::Display| {
-            let (own, told) = (own.to_string(), told.to_string());
-            (own != told).then(|| format!("hierarchy.{key} (is {own}, told {told})"))
+        let Hierarchy { shape: _, tier, hand_over_ms, loop_header, shield } = new;
+        let differs = |key: &str, own: &dyn std::fmt::Display, new: &dyn std::fmt::Display| {
+            let (own, new) = (own.to_string(), new.to_string());
+            (own != new).then(|| format!("hierarchy.{key} (is {own}, the version has {new})"))
         };
         let keys = [
             differs("tier", &own.tier, tier),
--- a/crates/front/src/descriptors.rs
+++ b/crates/front/src/descriptors.rs
@@ -25,12 +25,12 @@
     pub fn at_start() -> Self {
         let limit = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
         Descriptors {
-            limit: limit.map_or(MOST as usize, |most| usize::try_from(most).unwrap_or(usize::MAX)),
+            limit: limit.map_or(MOST as usize, |limit| usize::try_from(limit).unwrap_or(usize::MAX)),
             inherited: inherited(),
         }
     }
 
-    /// How many of `limit` descriptors this front may open itself. The system's limit caps it, and is not
+    /// How many of `wanted` descriptors this front may open itself. The system's limit caps it, and is not
     /// raised, since it was set on purpose.
     pub fn usable(&self, wanted: usize) -> usize {
         wanted.min(self.limit).saturating_sub(self.inherited)
@@ -43,8 +43,8 @@
             return Ok(());
         }
         Err(format!(
-            "the machine lets this process have {limit} descriptors, {inherited} of them were open at its start, and it \
-             needs {LEAST_SOCKETS} of its own at least: raise its limit of open files (ulimit -n, LimitNOFILE)"
+            "this process may open {limit} files, {inherited} were open at its start, and it needs at least \
+             {LEAST_SOCKETS} more: raise its limit of open files (ulimit -n, LimitNOFILE)"
         ))
     }
 }
--- a/crates/front/src/feed.rs
+++ b/crates/front/src/feed.rs
@@ -51,11 +51,11 @@
 #[derive(Deserialize)]
 pub struct KnownEvents {
     n: u64,
-    events: Vec<Numbered>,
+    events: Vec<NumberedEvent>,
 }
 
 #[derive(Deserialize)]
-struct Numbered {
+struct NumberedEvent {
     #[serde(default)]
     n: u64,
     members: Option<MemberList>,
@@ -137,6 +137,7 @@
     Ok(ListedMember { member, address })
 }
 
+/// The size of a member's record in a list.
 const RECORD_BYTES: usize = 27;
 /// Longer frames are malformed: a list of that many members would not fit into a front.
 const MAX_FRAME: usize = 1 << 20;
--- a/crates/front/src/feed_connection.rs
+++ b/crates/front/src/feed_connection.rs
@@ -27,19 +27,10 @@
     /// The backoff between connections: from 0.1 s, doubling up to 1 s.
     const BACKOFF: [Ticks; 2] = [1_000, 10_000];
 
-    pub fn new(number: u64, now: Ticks) -> Self {
+    pub fn new(last_event: u64, now: Ticks) -> Self {
         let (conn, up, received_at, caught_up) = (None, false, 0, false);
         let (frames, backoff) = (Frames::default(), Self::BACKOFF[0]);
-        FeedConnection {
-            conn,
-            up,
-            last_event: number,
-            received_at,
-            caught_up,
-            known_until: now,
-            frames,
-            backoff,
-        }
+        FeedConnection { conn, up, last_event, received_at, caught_up, known_until: now, frames, backoff }
     }
 
     /// How the last event has arrived.
--- a/crates/front/src/reducer.rs
+++ b/crates/front/src/reducer.rs
@@ -257,7 +257,7 @@
             }
             if outcome == Outcome::Handled && open_access.is_some_and(|t| !t.done) {
                 let (tag, not_modified) = (push_end.tag.as_deref(), push_end.status == 304);
-                self.state.answer(id, Reply { tag, not_modified, body: push_end.body, ..Reply::bare(200) });
+                self.state.answer(id, Reply { tag, not_modified, body: push_end.body, ..Reply::empty(200) });
             } else {
                 self.state.body_bytes = self.state.body_bytes.saturating_sub(push_end.body.len());
             }
--- a/crates/front/src/reducer/clients.rs
+++ b/crates/front/src/reducer/clients.rs
@@ -131,17 +131,17 @@
             ClientMessage::Request(id, request) => self.start_access(conn, id, request, received_at),
             ClientMessage::HealthCheck(id) => {
                 let status = if state.phase.serving() && !state.draining { 200 } else { 503 };
-                state.reply(conn, id, Reply::bare(status));
+                state.reply(conn, id, Reply::empty(status));
             }
             ClientMessage::Invalid(id, status, reason) => {
                 state.warn_limited(reason);
                 state.trace_rejection("", status, Rejection::Invalid);
-                state.reply(conn, id, Reply::bare(status));
+                state.reply(conn, id, Reply::empty(status));
             }
             ClientMessage::DuplicateId(id) => {
                 state.warn_limited("a client reused the id of an open request");
                 if let Some(client) = state.clients.get_mut(&conn) {
-                    client.outbox.push(id, Reply::bare(400), true);
+                    client.outbox.push(id, Reply::empty(400), true);
                     state.write_client(conn);
                 }
             }
@@ -168,14 +168,14 @@
         let Some(offering) = state.offering_names.iter().position(|o| *o == request.offering) else {
             state.warn_limited("a request names an unknown offering");
             state.trace_rejection(&request.id, 404, Rejection::Invalid);
-            return state.reply(conn, id, Reply::bare(404));
+            return state.reply(conn, id, Reply::empty(404));
         };
         // Caches identify accesses by the request's id: a second access with it must not disturb the first.
         let open = state.access_by_id.get(&request.numeric_id).and_then(|first| state.accesses.get(first));
         if open.is_some_and(|t| !t.done) {
             state.warn_limited("a request's Req-Id is still in use");
             state.trace_rejection(&request.id, 400, Rejection::Invalid);
-            return state.reply(conn, id, Reply::bare(400));
+            return state.reply(conn, id, Reply::empty(400));
         }
         // Nothing has been pushed yet, so the client may safely retry.
         let room = state.body_bytes + 2 * request.body.len() <= state.bounds.bodies;
@@ -183,7 +183,7 @@
             state.served.ended += 1;
             let reason = if room { Rejection::ShuttingDown } else { Rejection::NoRoom };
             state.trace_rejection(&request.id, 503, reason);
-            return state.reply(conn, id, Reply::bare(503));
+            return state.reply(conn, id, Reply::empty(503));
         }
         let Some(client) = state.clients.get_mut(&conn) else { return };
         let access = state.next_access;
--- a/crates/front/src/reducer/types.rs
+++ b/crates/front/src/reducer/types.rs
@@ -151,7 +151,7 @@
     pub answered: u64,
 }
 
-/// Peak values, for the log.
+/// Peak values, printed in the log under these names. `lines` are the connections to caches.
 #[derive(Default, Debug)]
 pub struct Most {
     pub clients: usize,
@@ -194,7 +194,7 @@
     pub(super) endpoints: FxHashMap<u32, Endpoint>,
     pub(super) feed: FeedConnection,
     pub(super) accesses: FxHashMap<AccessId, OpenAccess>,
-    /// The last access with each client-given id.
+    /// The last access with each id given by a client.
     pub(super) access_by_id: FxHashMap<u64, AccessId>,
     pub(super) next_access: AccessId,
     pub(super) next_conn: ConnId,
--- a/crates/front/src/remote_times.rs
+++ b/crates/front/src/remote_times.rs
@@ -57,6 +57,7 @@
         }
     }
 
+    /// Converts the start of a member. The same start is converted only once, so that its result stays the same.
     pub fn started_at(&mut self, now: Ticks, member: u32, at: Ticks, arrival: Arrival) -> Ticks {
         if let Some(&(known, local)) = self.starts.get(&member)
             && known == at
--- a/crates/front/src/send_guard.rs
+++ b/crates/front/src/send_guard.rs
@@ -23,7 +23,7 @@
     pub client_data_first: bool,
 }
 
-/// Checks the conditions; holds the client's connection as long as that is open.
+/// Checks the conditions against the client's connection, as long as that is open.
 pub struct SendGuard {
     pub(crate) stream: Weak<Stream>,
     pub(crate) conditions: SendConditions,
--- a/crates/front/src/serve.rs
+++ b/crates/front/src/serve.rs
@@ -352,16 +352,16 @@
             Effect::Connect(conn, address) => {
                 conn::connect(conn, address, self.connect_timeout, self.events.clone())
             }
-            Effect::Read(conn, buffer) => self.handle(conn, |handle| handle.read(buffer)),
-            Effect::Write(conn, buffer) => self.handle(conn, |handle| handle.write(buffer)),
+            Effect::Read(conn, buffer) => self.with_handle(conn, |handle| handle.read(buffer)),
+            Effect::Write(conn, buffer) => self.with_handle(conn, |handle| handle.write(buffer)),
             Effect::StartRequest(conn, buffer, conditions) => {
                 let guard = match self.handles.get(&conditions.client) {
                     Some(client) => client.send_guard(conditions),
                     None => SendGuard::client_closed(conditions),
                 };
-                self.handle(conn, |handle| handle.start_request(buffer, guard));
+                self.with_handle(conn, |handle| handle.start_request(buffer, guard));
             }
-            Effect::HalfClose(conn, discard) => self.handle(conn, |handle| handle.half_close(discard)),
+            Effect::HalfClose(conn, discard) => self.with_handle(conn, |handle| handle.half_close(discard)),
             // Done above.
             Effect::Close(_) => {}
             Effect::StopListening => self.acceptor.iter().for_each(Acceptor::close),
@@ -371,9 +371,9 @@
     }
 
     /// A connection that was closed in the meantime is skipped.
-    fn handle(&self, conn: ConnId, ask: impl FnOnce(&ConnHandle)) {
+    fn with_handle(&self, conn: ConnId, action: impl FnOnce(&ConnHandle)) {
         if let Some(handle) = self.handles.get(&conn) {
-            ask(handle);
+            action(handle);
         }
     }
 }
--- a/crates/front/tests/bad_input.rs
+++ b/crates/front/tests/bad_input.rs
@@ -24,10 +24,10 @@
         w.advance(20 * MS);
     }
     w.advance(2_000 * MS);
-    assert!(w.open_accesses().is_empty(), "{to}: an access without its answer");
+    assert!(w.open_accesses().is_empty(), "{to}: an access without a response");
     w.input(doorgrade_front::reducer::Input::Stop);
     w.advance(7_000 * MS);
-    assert!(w.exited, "{to}: it does not end");
+    assert!(w.exited, "{to}: it does not exit");
 }
 
 #[test]
@@ -75,7 +75,7 @@
         match (Config::read(&text.replacen(from, to, 1), None, None), key) {
             (Err(error), Some(key)) => assert!(error.contains(key), "{to}: '{error}' does not name {key}"),
             (Err(error), None) => panic!("{to}: {error}"),
-            (Ok(_), Some(key)) => panic!("{to}: taken, where an error is to name {key}"),
+            (Ok(_), Some(key)) => panic!("{to}: accepted, where an error must name {key}"),
             (Ok(_), None) => run_with(from, to),
         }
     }
--- a/crates/front/tests/caches.rs
+++ b/crates/front/tests/caches.rs
@@ -22,7 +22,7 @@
     assert_eq!(w.max_open, 3);
     w.advance(12_000 * MS);
     let idle = w.ports.values().filter(|&&port| w.conn_to(port).is_some()).count();
-    assert_eq!(idle, 0, "an idle connection is closed before the other side does it");
+    assert_eq!(idle, 0, "an idle connection is closed before the peer closes it");
 }
 
 #[test]
@@ -45,7 +45,7 @@
     let client = w.client();
     w.send_request(client, 1, 1, 1, 5, 1_000);
     w.serve();
-    let conn = w.ports.values().find_map(|&port| w.conn_to(port)).expect("a kept connection");
+    let conn = w.ports.values().find_map(|&port| w.conn_to(port)).expect("an idle connection");
     w.send(conn, b"HTTP/1.1 200 OK\r\n");
     assert!(w.ports.values().all(|&port| w.conn_to(port) != Some(conn)));
 }
@@ -62,7 +62,7 @@
         let whole = b"HTTP/1.1 200 OK\r\nTag: aa\r\nContent-Length: 2\r\n\r\nok";
         w.send(conn, &[whole, more].concat());
         assert_eq!(w.response_to(1).map(|a| (a.status, &a.body[..])), Some((200, &b"ok"[..])));
-        assert!(w.ports.values().all(|&port| w.conn_to(port) != Some(conn)), "it is of no further use");
+        assert!(w.ports.values().all(|&port| w.conn_to(port) != Some(conn)), "the connection is closed");
     }
 }
 
@@ -72,8 +72,8 @@
     let client = w.client();
     w.send_request(client, 1, 1, 1, 5, 1_000);
     w.serve();
-    let reused = w.ports.values().find_map(|&port| w.conn_to(port)).expect("a kept connection");
-    w.lost_conns.insert(reused);
+    let idle_conn = w.ports.values().find_map(|&port| w.conn_to(port)).expect("an idle connection");
+    w.lost_conns.insert(idle_conn);
     w.send_request(client, 2, 2, 1, 5, 1_000);
     w.serve();
     assert_eq!((w.response_to(2).map(|a| a.status), w.push_count(2)), (Some(200), 1));
@@ -118,7 +118,7 @@
     let mut list = member_record(id, port, 2, 0, 0);
     list.extend(member_record(0x99, port, 0, 0, w.now / 10));
     w.feed(&frame(2, 2, &list));
-    assert_ne!(w.conn_to(port), Some(old), "the old one's connection is closed");
+    assert_ne!(w.conn_to(port), Some(old), "the old connection is closed");
 }
 
 #[test]
@@ -132,7 +132,7 @@
             w.refuse_without_length(conn);
         }
     }
-    assert_eq!(w.response_to(1).map(|a| a.status), Some(503), "proved not to have run, so it is declined");
+    assert_eq!(w.response_to(1).map(|a| a.status), Some(503), "it provably did not run, so it is declined");
 }
 
 /// A cache sends its response twice, some milliseconds apart, while the client's next request is already
@@ -143,7 +143,7 @@
     let client = w.client();
     w.send_request(client, 1, 1, 1, 5, 1_000);
     w.serve();
-    let first = w.ports.values().find_map(|&port| w.conn_to(port)).expect("a kept connection");
+    let first = w.ports.values().find_map(|&port| w.conn_to(port)).expect("an idle connection");
     // Requests for other objects of the same cache could use that connection.
     let to_same_cache = |w: &World, port| w.port_of(first) == port;
     let mut met = 0;
@@ -153,13 +153,16 @@
         met += conns.iter().filter(|&&c| to_same_cache(&w, w.port_of(c))).count();
         assert!(
             !w.busy_conns().contains(&first),
-            "access {access} goes out on a connection that has not rested"
+            "access {access} was sent on a connection that was not idle for long enough"
         );
         w.serve();
     }
-    assert!(met > 0, "none of them went to that cache");
+    assert!(met > 0, "no request went to that cache");
     w.send(first, b"HTTP/1.1 200 OK\r\nTag: aa\r\nContent-Length: 2\r\n\r\nno");
-    assert!(w.ports.values().all(|&port| w.conn_to(port) != Some(first)), "it is broken while it rests");
+    assert!(
+        w.ports.values().all(|&port| w.conn_to(port) != Some(first)),
+        "the duplicate closes the idle connection"
+    );
 }
 
 /// With descriptors short and no connection idle for long enough, a connection used all the same delivered a
@@ -174,7 +177,10 @@
         w.send_request(client, 1, access, 1, access, 1_000);
         w.connecting().into_iter().for_each(|conn| w.finish_connect(conn));
         for conn in w.busy_conns() {
-            assert!(used.insert(conn), "access {access} goes out on a connection that has not rested");
+            assert!(
+                used.insert(conn),
+                "access {access} was sent on a connection that was not idle for long enough"
+            );
         }
         w.serve();
         assert_eq!(w.response_to(access).map(|a| a.status), Some(200), "{access}");
@@ -191,7 +197,7 @@
     w.send_request(client, 1, 1, 2, 5, 1_000);
     w.connecting().into_iter().for_each(|conn| w.finish_connect(conn));
     assert_eq!(w.response_to(1).map(|a| a.status), Some(500), "it may have run");
-    assert!(w.connecting().into_iter().all(|c| w.port_of(c) == 9092), "and goes nowhere again");
+    assert!(w.connecting().into_iter().all(|c| w.port_of(c) == 9092), "and is not sent again");
 }
 
 /// A cache restarts at the same address while a connection to it is being established: the budget for a cold
@@ -207,12 +213,8 @@
     let id = u32::from(port - 9100);
     w.feed(&frame(2, 2, &member_record(id, port, 0, 0, w.now / 10)));
     w.finish_connect(slow);
-    assert_eq!(
-        w.push_count(1),
-        0,
-        "what was meant for the one before goes out to the one that has just started"
-    );
-    assert_eq!(w.conn_to(port), None, "nor is its connection kept");
+    assert_eq!(w.push_count(1), 0, "a push meant for the old process was sent to the new one");
+    assert_eq!(w.conn_to(port), None, "its connection is not kept either");
     w.serve();
     assert_eq!(w.response_to(1).map(|a| a.status), Some(200));
 }
@@ -255,15 +257,15 @@
     w.connecting().into_iter().for_each(|conn| w.finish_connect(conn));
     w.send_request(client, 1, 1, 3, 5, 1_000);
     w.serve();
-    let reused = w.conn_to(9120).expect("a connection to the origin");
+    let idle_conn = w.conn_to(9120).expect("a connection to the origin");
     w.advance(Pools::MIN_IDLE);
     for access in 2..6 {
         w.send_request(client, 1, access, 2, access, 1_000);
         let new: Vec<_> = w.connecting().into_iter().filter(|&c| w.port_of(c) == 9120).collect();
-        assert_eq!(new.len(), 1, "a new one first");
+        assert_eq!(new.len(), 1, "a new connection is tried first");
         new.iter().for_each(|&conn| w.finish_connect(conn));
         new.iter().for_each(|&conn| w.reply(conn, 503, true, "?"));
-        assert_eq!(w.busy_conns(), [reused], "access {access}");
+        assert_eq!(w.busy_conns(), [idle_conn], "access {access}");
         w.serve();
         assert_eq!((w.response_to(access).map(|a| a.status), w.push_count(access)), (Some(200), 2));
         w.advance(Pools::MIN_IDLE);
@@ -274,7 +276,7 @@
     w.send_request(client, 1, 9, 2, 9, 1_000);
     for _ in 0..8 {
         w.connecting().into_iter().for_each(|conn| w.finish_connect(conn));
-        assert!(!w.busy_conns().contains(&reused));
+        assert!(!w.busy_conns().contains(&idle_conn));
         w.busy_conns().into_iter().for_each(|conn| w.reply(conn, 503, true, "?"));
     }
     assert_eq!(w.response_to(9).map(|a| a.status), Some(503));
--- a/crates/front/tests/clients.rs
+++ b/crates/front/tests/clients.rs
@@ -45,7 +45,7 @@
     assert_eq!(w.response_to(1), None);
     w.close(client);
     w.connecting().into_iter().for_each(|conn| w.finish_connect(conn));
-    assert!(w.busy_conns().is_empty(), "the first one's client is gone, and it with it");
+    assert!(w.busy_conns().is_empty(), "the first access ends with its client");
 }
 
 #[test]
@@ -59,7 +59,11 @@
     assert_eq!(w.response_to(1).map(|a| a.status), Some(200));
     w.send_request(other, 2, 1, 1, 5, 1_000);
     w.serve();
-    assert_eq!(w.response_to(1).map(|a| a.status), Some(200), "once ended, it may come again");
+    assert_eq!(
+        w.response_to(1).map(|a| a.status),
+        Some(200),
+        "once the access has ended, its id may be used again"
+    );
 }
 
 #[test]
@@ -96,10 +100,10 @@
         }
     }
     w.serve();
-    assert_eq!(w.response_to(1).map(|a| a.status), Some(200), "the one that waits is not cut off");
+    assert_eq!(w.response_to(1).map(|a| a.status), Some(200), "the waiting client is not disconnected");
     assert!(w.max_open <= 128);
     w.advance(7_000 * MS);
-    assert_eq!(w.clients(), 0, "what no client uses is given back");
+    assert_eq!(w.clients(), 0, "unused connections are closed");
 }
 
 #[test]
@@ -120,9 +124,9 @@
     let values = record(fastcgi::GET_VALUES, 0, &[], 0);
     w.send(client, &values.repeat(20_000));
     assert_eq!(w.clients(), 0);
-    assert!(w.unread_at_close > 100_000, "the front reads on though nothing is taken");
+    assert!(w.unread_at_close > 100_000, "the front kept reading though no response was read");
     w.connecting().into_iter().for_each(|conn| w.finish_connect(conn));
-    assert!(w.busy_conns().is_empty(), "nothing begins for it");
+    assert!(w.busy_conns().is_empty(), "no request is started for it");
 }
 
 #[test]
@@ -165,7 +169,7 @@
     let first = w.connecting().into_iter().map(|c| w.port_of(c)).find(|&port| port != 9092);
     w.send_request(client, 2, 21, 1, 5, 1_000);
     let again = w.connecting().into_iter().map(|c| w.port_of(c)).rfind(|&port| port != 9092);
-    assert_eq!(first, again, "the object's own cache is asked as before");
+    assert_eq!(first, again, "the object's own cache is still preferred");
 }
 
 #[test]
@@ -176,7 +180,7 @@
     // Started before the invalid bytes, and never completed.
     w.send(client, &record(fastcgi::BEGIN_REQUEST, 2, &[0, 1, 1, 0, 0, 0, 0, 0], 0));
     w.send(client, &[9; 64]);
-    assert_eq!(w.clients(), 1, "an answer is owed");
+    assert_eq!(w.clients(), 1, "a response is owed");
     // Further data is discarded, but a disconnect would still be noticed.
     w.send(client, &request(3, "/do/images", &access_fields(3, 2, 900), &[], 0));
     w.serve();
--- a/crates/front/tests/codecs.rs
+++ b/crates/front/tests/codecs.rs
@@ -150,7 +150,7 @@
         let (mut outbox, mut bodies, mut done) = (Outbox::default(), Vec::new(), Vec::new());
         for id in 1..=r.u16(1..9) {
             let body: Vec<u8> = (0..r.usize(..60_000)).map(|_| r.u8(..)).collect();
-            outbox.push(id, Reply { body: body.clone(), tag: Some("ab"), ..Reply::bare(200) }, false);
+            outbox.push(id, Reply { body: body.clone(), tag: Some("ab"), ..Reply::empty(200) }, false);
             bodies.push(body);
         }
         let (mut buffer, mut decoder) = (RingBuffer::new(r.usize(64..40_000)), Decoder::default());
@@ -159,7 +159,7 @@
         while !outbox.is_empty() {
             outbox.fill(&mut buffer, |id| done.push(id));
             prop_assert!(!buffer.is_empty());
-            while let Some(piece) = decoder.next(&mut buffer).expect("sound records") {
+            while let Some(piece) = decoder.next(&mut buffer).expect("valid records") {
                 let content = &buffer.front()[..piece.len];
                 match piece.kind {
                     fastcgi::STDOUT => outputs[usize::from(piece.id)].extend_from_slice(content),
@@ -196,7 +196,7 @@
         }
         let (mut frames, mut got) = (Frames::default(), Vec::new());
         pass_through(&bytes, &mut RingBuffer::new(r.usize(8..200)), &mut r, |buffer| {
-            while let Some((number, _)) = frames.next(buffer, &names).expect("sound frames") {
+            while let Some((number, _)) = frames.next(buffer, &names).expect("valid frames") {
                 got.push(number);
             }
         });
@@ -210,7 +210,7 @@
     for end in 0..valid.len() - 5 {
         assert_eq!(http::parse_head(&valid[..end]), Ok(None));
     }
-    let (head, size) = http::parse_head(valid).expect("sound").expect("whole");
+    let (head, size) = http::parse_head(valid).expect("valid").expect("complete");
     assert_eq!((head.status, head.length, size), (200, 5, valid.len() - 5));
     assert_eq!(
         (head.tag.as_deref(), head.origin_sent_ms, head.cache_status),
@@ -228,8 +228,8 @@
         assert!(http::parse_head(bad.as_bytes()).is_err(), "{bad}");
     }
     let refusal =
-        http::parse_head(b"HTTP/1.1 503 Busy\r\nNot-Begun: 1\r\n\r\ncome back later").expect("sound");
-    let (head, _) = refusal.expect("whole");
+        http::parse_head(b"HTTP/1.1 503 Busy\r\nNot-Begun: 1\r\n\r\ncome back later").expect("valid");
+    let (head, _) = refusal.expect("complete");
     assert!(head.not_begun && head.close && head.open_ended, "a refusal needs no length");
     let long = format!("HTTP/1.1 200 OK\r\nX: {}\r\n\r\n", "y".repeat(http::MAX_HEAD));
     assert!(http::parse_head(long.as_bytes()).is_err());
@@ -319,7 +319,7 @@
         let reason = Config::read(&valid.replacen(from, to, 1), None, None).err().expect("a message");
         assert!(reason.contains(key), "'{key}' is not named: {reason}");
     }
-    let named = Config::read(&valid, Some("n7".into()), Some("127.0.0.2:81".into())).expect("sound");
+    let named = Config::read(&valid, Some("n7".into()), Some("127.0.0.2:81".into())).expect("valid");
     assert_eq!((named.name.as_str(), named.listen.port()), ("n7", 81));
 }
 
@@ -328,7 +328,7 @@
     let names = ZoneAndKindNames { zones: vec!["here".into()], kinds: vec!["cache".into()] };
     let mut buffer = RingBuffer::new(64);
     buffer.put(&frame(9, 2, &member_record(0x2a, 8080, 1, 0, 1_500)));
-    let read = Frames::default().next(&mut buffer, &names).expect("sound");
+    let read = Frames::default().next(&mut buffer, &names).expect("valid");
     let Some((9, Some(Event::List { complete: false, members }))) = read else { panic!("not a list") };
     let m = &members[0].member;
     assert_eq!((&*m.id, m.weight, m.started_at), ("s-0000002a", 1.0, Some(15_000)));
@@ -341,14 +341,14 @@
     let bytes =
         [1, 2].map(|id| request(id, "/do/images", &access_fields(1, 2, 900), &[7; 9_000], 0)).concat();
     pass_through(&bytes, &mut RingBuffer::new(4096), &mut Rng::with_seed(1), |buffer| {
-        while let Some(message) = intake.next(buffer, 12_000 - intake.held_bytes()).expect("sound records") {
+        while let Some(message) = intake.next(buffer, 12_000 - intake.held_bytes()).expect("valid records") {
             all.push(message);
         }
         assert!(intake.held_bytes() <= 12_000);
     });
     assert!(
         matches!(all[..], [ClientMessage::Request(1, _), ClientMessage::Request(2, _)]),
-        "one after the other there is room"
+        "one after the other they fit"
     );
     let mut all = Vec::new();
     let mut both = [3, 4].map(|id| request(id, "/do/images", &access_fields(1, 2, 900), &[7; 9_000], 0));
@@ -359,7 +359,7 @@
         &mut Rng::with_seed(1),
         |buffer| {
             while let Some(message) =
-                intake.next(buffer, 12_000 - intake.held_bytes()).expect("sound records")
+                intake.next(buffer, 12_000 - intake.held_bytes()).expect("valid records")
             {
                 all.push(message);
             }
@@ -373,7 +373,7 @@
             _ => (0, 0),
         })
         .collect();
-    assert_eq!(all, [(3, 9_000), (4, 503)], "side by side there is not");
+    assert_eq!(all, [(3, 9_000), (4, 503)], "side by side they do not");
 }
 
 #[test]
--- a/crates/front/tests/counts.rs
+++ b/crates/front/tests/counts.rs
@@ -43,11 +43,11 @@
     w.abort(1);
     assert_eq!(counts(&w), (1, 0), "its client has left");
     w.serve();
-    assert_eq!(counts(&w), (1, 0), "the answer that comes afterwards is nobody's");
+    assert_eq!(counts(&w), (1, 0), "the late response counts for nothing");
     w.send_request(client, 2, 2, 2, 6, 500);
     w.advance(3_000 * MS);
     assert!(w.open_accesses().is_empty());
-    assert_eq!(counts(&w), (2, 0), "its time was up");
+    assert_eq!(counts(&w), (2, 0), "its deadline has passed");
 }
 
 #[test]
@@ -55,7 +55,7 @@
     let mut w = world();
     let clients: Vec<_> = (0..30).map(|_| w.client()).collect();
     w.send(clients[0], &request(1, "/do/unheard-of", &access_fields(1, 2, 900), &[], 0));
-    assert_eq!(counts(&w), (0, 0), "no configuration makes that an access");
+    assert_eq!(counts(&w), (0, 0), "an invalid request is no access");
     // Writes whose bodies are held until there is no room for more.
     let (mut access, body) = (10, vec![7; 47_000]);
     while counts(&w) == (0, 0) && access < 2_000 {
@@ -66,5 +66,5 @@
         );
         access += 1;
     }
-    assert_eq!(counts(&w), (1, 0), "turned away after {access}");
+    assert_eq!(counts(&w), (1, 0), "rejected after {access}");
 }
--- a/crates/front/tests/ending.rs
+++ b/crates/front/tests/ending.rs
@@ -49,9 +49,13 @@
     w.advance(890 * MS);
     assert_eq!(w.clients(), 3);
     w.advance(20 * MS);
-    assert_eq!(w.clients(), 2, "one rests though the front has ended it, one has half a request");
+    assert_eq!(w.clients(), 2, "one does not close after the half-close, one has sent a partial request");
     let rest = &request(1, "/do/images", &access_fields(1, 2, 900), &[], 0)[16..];
-    assert_eq!(w.send_untracked(clients[1], rest), Some(503), "too late to be taken, not to be answered");
+    assert_eq!(
+        w.send_untracked(clients[1], rest),
+        Some(503),
+        "too late to be accepted, but it gets a response"
+    );
     assert_eq!(w.clients(), 1);
     assert!(!w.exited);
     w.advance(250 * MS);
@@ -66,7 +70,7 @@
     w.advance(500 * MS);
     w.send_request(client, 1, 1, 1, 5, 2_000);
     w.advance(450 * MS);
-    assert_eq!(w.clients(), 1, "the other one is ended, the first is owed an answer");
+    assert_eq!(w.clients(), 1, "the other one is closed, the first is owed a response");
     let _ = other;
     w.send_request(client, 2, 2, 1, 6, 1_000);
     assert_eq!(w.response_to(2).map(|a| a.status), Some(503));
@@ -83,15 +87,15 @@
     w.input(Input::Stop);
     w.send_request(client, 1, 1, 1, 5, 60_000);
     w.connecting().into_iter().for_each(|conn| w.finish_connect(conn));
-    let told = w.request_heads[&1].lines().find_map(|l| l.strip_prefix("Call-Ms: ")?.parse::<u64>().ok());
-    assert!(told.is_some_and(|ms| ms <= 2_400), "{told:?} ms to answer, and it ends in 2.4 s");
+    let wait_ms = w.request_heads[&1].lines().find_map(|l| l.strip_prefix("Call-Ms: ")?.parse::<u64>().ok());
+    assert!(wait_ms.is_some_and(|ms| ms <= 2_400), "{wait_ms:?} ms to respond, but the front ends in 2.4 s");
 }
 
 /// A recall before the front listens must not be taken for a shutdown.
 #[test]
 fn inputs_before_the_front_listens_do_not_close_its_listener() {
-    let told = Config::read(&config(128), None, None).expect("a sound configuration");
-    let mut reducer = Reducer::new(told, 17_000_000_000_000);
+    let config = Config::read(&config(128), None, None).expect("a valid configuration");
+    let mut reducer = Reducer::new(config, 17_000_000_000_000);
     reducer.input(17_000_000_000_000, Input::Recall(Vec::new(), Vec::new()));
     reducer.input(17_000_000_000_010, Input::Tick);
     assert!(!reducer.effects().any(|e| matches!(e, Effect::StopListening | Effect::Exit)));
--- a/crates/front/tests/feed.rs
+++ b/crates/front/tests/feed.rs
@@ -17,11 +17,11 @@
         conns.into_iter().for_each(|conn| w.finish_connect(conn));
         w.conn_to(9092)
     };
-    let first = up(&mut w).expect("the feed is followed");
+    let first = up(&mut w).expect("a connection to the feed");
     w.advance(2_000 * MS);
     w.feed(&frame(1, 0, &[]));
     w.advance(2_000 * MS);
-    assert_eq!(w.conn_to(9092), Some(first), "an empty frame shows that it lives");
+    assert_eq!(w.conn_to(9092), Some(first), "an empty frame keeps the connection alive");
     w.advance(1_500 * MS);
     let second = up(&mut w).expect("a new connection");
     assert_ne!(first, second);
@@ -53,13 +53,13 @@
             full_shape: false,
         })));
         let new: Vec<_> = w.connecting().into_iter().filter(|&c| w.port_of(c) == 9093).collect();
-        assert_eq!(new.len(), 1, "no time is lost");
+        assert_eq!(new.len(), 1, "it connects at once");
         old.into_iter().for_each(|conn| w.finish_connect(conn));
-        assert_eq!(w.conn_to(9092), None, "one that comes up late is closed, too");
+        assert_eq!(w.conn_to(9092), None, "one established late is closed, too");
         w.finish_connect(new[0]);
-        assert_eq!(w.unread_output(new[0]), 1u64.to_be_bytes(), "it goes on from the last event");
+        assert_eq!(w.unread_output(new[0]), 1u64.to_be_bytes(), "it resumes after the last event");
         w.advance(1_000 * MS);
-        assert!(w.max_open <= 2, "the old connection is given back");
+        assert!(w.max_open <= 2, "the old connection is closed");
     }
 }
 
@@ -69,14 +69,14 @@
 fn a_feed_that_falls_silent_in_a_frame_is_read_again_from_the_start_of_the_frame() {
     let mut w = World::new(1, 128);
     w.connecting().into_iter().for_each(|conn| w.finish_connect(conn));
-    let first = w.conn_to(9092).expect("the feed is followed");
+    let first = w.conn_to(9092).expect("a connection to the feed");
     let gone = frame(2, 2, &[member_record(1, 9101, 2, 0, 0), member_record(2, 9102, 2, 0, 0)].concat());
     w.feed(&gone[..30]);
     w.advance(3_000 * MS);
     assert_ne!(w.conn_to(9092), Some(first));
     let new: Vec<_> = w.connecting().into_iter().filter(|&c| w.port_of(c) == 9092).collect();
     w.finish_connect(new[0]);
-    assert_eq!(w.unread_output(new[0]), 1u64.to_be_bytes(), "it goes on from the last whole event");
+    assert_eq!(w.unread_output(new[0]), 1u64.to_be_bytes(), "it resumes after the last complete event");
     w.feed(&gone);
     let client = w.client();
     for access in 1..20 {
@@ -164,7 +164,7 @@
     w.send_request(client, 2, 2, 0, 6, 1_000);
     assert!(w.reducer.learned().is_empty());
     w.serve();
-    assert!(w.request_heads[&1].contains("revalidate"), "it is known to be about to end");
+    assert!(w.request_heads[&1].contains("revalidate"), "its copy is known to expire soon");
     // Nothing older than the purge. Both times were rounded down, so up to a millisecond is missing.
     assert!(w.request_heads[&2].contains("No-Older-Than: 999"), "{}", w.request_heads[&2]);
     let made = w.now / 10 * 10;
@@ -198,11 +198,15 @@
             w.made_at = Some(((w.now - age) / 10).to_string());
             w.send_request(client, 1, access, 0, 5, 1_000);
             w.serve();
-            let believed = if access == 1 { reported } else { age };
-            assert_eq!(w.request_heads[&access].contains("revalidate"), believed > 64_000, "access {access}");
+            let expected_age = if access == 1 { reported } else { age };
+            assert_eq!(
+                w.request_heads[&access].contains("revalidate"),
+                expected_age > 64_000,
+                "access {access}"
+            );
             assert!(
                 w.request_heads[&access].contains("No-Older-Than: 8000"),
-                "how old an answer may be is not asked of others"
+                "the oldest acceptable copy does not depend on other fronts"
             );
         }
     }
@@ -239,13 +243,13 @@
             for conn in w.busy_conns() {
                 let head = &w.request_heads[&access];
                 // The world checks rule 5; this checks that old homes were asked at all.
-                let held = head.contains("Miss-To: s-00000010") && head.contains("local");
-                asked += u32::from(held && access % 2 == 0);
-                let miss = held || !head.contains("Miss-To");
+                let from_old_home = head.contains("Miss-To: s-00000010") && head.contains("local");
+                asked += u32::from(from_old_home && access % 2 == 0);
+                let miss = from_old_home || !head.contains("Miss-To");
                 w.reply(conn, if miss { 404 } else { 200 }, false, if miss { "l" } else { "o" });
             }
         }
         w.advance(20 * MS);
     }
-    assert!(asked > 5, "{asked} times an old home was asked for what it holds of a purged object");
+    assert!(asked > 5, "{asked} times an old home was asked only for what it holds of a purged object");
 }
--- a/crates/front/tests/helper/actions.rs
+++ b/crates/front/tests/helper/actions.rs
@@ -153,7 +153,7 @@
     pub fn reply(&mut self, conn: ConnId, status: u16, not_begun: bool, detail: &str) {
         let Some(c) = self.conns.get_mut(&conn) else { return };
         let Some((access, push)) = c.serving.take() else { return };
-        let t = self.accesses.get_mut(&access).expect("it was asked for");
+        let t = self.accesses.get_mut(&access).expect("a tracked access");
         t.pushes[push] = status == 404 || not_begun && matches!(status, 503 | 504 | 508);
         let body = if status == 200 && t.offering != 2 { object_bytes(t.key) } else { Vec::new() };
         let not_begun_header = if not_begun { "Not-Begun: 1\r\n" } else { "" };
@@ -170,7 +170,7 @@
     /// A cache refuses with a head without a length, followed by text until the connection ends.
     pub fn refuse_without_length(&mut self, conn: ConnId) {
         let Some((access, push)) = self.conns.get_mut(&conn).and_then(|c| c.serving.take()) else { return };
-        self.accesses.get_mut(&access).expect("it was asked for").pushes[push] = true;
+        self.accesses.get_mut(&access).expect("a tracked access").pushes[push] = true;
         self.send(conn, b"HTTP/1.1 503 Busy\r\nNot-Begun: 1\r\n\r\ncome back later");
     }
 
@@ -201,7 +201,7 @@
             for t in self.accesses.values() {
                 let waits = !t.aborted && !self.not_reading.contains(&t.client);
                 let in_time = !waits || t.response.is_some() || self.now <= t.deadline + SLACK;
-                assert!(in_time, "rule 1: no final answer in time");
+                assert!(in_time, "rule 1: no final response in time");
             }
         }
     }
--- a/crates/front/tests/helper/messages.rs
+++ b/crates/front/tests/helper/messages.rs
@@ -51,7 +51,7 @@
     };
     let above = format!("\"{ORIGIN}\"");
     let shape = [member(ORIGIN, 2, ""), member(PARENT, 1, &above), member(SECOND_PARENT, 1, &above)].concat();
-    Files { settings, shape: doorgrade_operator::shape::read("s", &shape).expect("a sound shape") }
+    Files { settings, shape: doorgrade_operator::shape::read("s", &shape).expect("a valid shape") }
 }
 
 pub const OFFERINGS: [&str; 4] = ["images", "fonts", "orders", "votes"];
@@ -110,10 +110,10 @@
 }
 
 pub fn parse_response(bytes: &[u8]) -> Response {
-    let end = bytes.windows(4).position(|w| w == b"\r\n\r\n").expect("an answer has an empty line");
-    let head = String::from_utf8(bytes[..end].to_vec()).expect("its head is text");
+    let end = bytes.windows(4).position(|w| w == b"\r\n\r\n").expect("an empty line after the head");
+    let head = String::from_utf8(bytes[..end].to_vec()).expect("a head in UTF-8");
     let status = head.strip_prefix("Status: ").and_then(|h| h.get(..3)).and_then(|s| s.parse().ok());
-    Response { status: status.expect("an answer has a status"), head, body: bytes[end + 4..].to_vec() }
+    Response { status: status.expect("a status"), head, body: bytes[end + 4..].to_vec() }
 }
 
 /// The bytes of an object.
--- a/crates/front/tests/helper/mod.rs
+++ b/crates/front/tests/helper/mod.rs
@@ -189,7 +189,7 @@
             }
             Effect::Read(conn, buffer) => {
                 if let Some(c) = self.conns.get_mut(&conn) {
-                    assert!(c.reading.replace(buffer).is_none(), "one ring a direction");
+                    assert!(c.reading.replace(buffer).is_none(), "one buffer for each direction");
                     self.deliver(conn);
                 }
             }
@@ -230,7 +230,7 @@
                 let open = |t: &&TrackedAccess| t.client == conn && t.response.is_none() && !t.aborted;
                 assert!(
                     discard || self.accesses.values().find(open).is_none(),
-                    "rule 1: ended before its answer"
+                    "rule 1: closed before its response"
                 );
                 self.input(Input::HalfClosed(conn));
                 if !self.keeps_open.contains(&conn) {
@@ -278,7 +278,7 @@
         let mut buffer = RingBuffer::new(c.received.len().max(1));
         buffer.put(&c.received);
         c.received.clear();
-        while let Some(fragment) = c.decoder.next(&mut buffer).expect("the front's records can be read") {
+        while let Some(fragment) = c.decoder.next(&mut buffer).expect("valid records from the front") {
             let content = buffer.front()[..fragment.len].to_vec();
             buffer.consume(fragment.len);
             let output = c.outputs.entry(fragment.id).or_default();
@@ -290,12 +290,12 @@
                     t.client == conn && t.id == fragment.id && !t.aborted && t.response.is_none()
                 };
                 if let Some(t) = self.accesses.values_mut().find(open) {
-                    assert!(self.now <= t.deadline + SLACK, "rule 1: a late answer");
+                    assert!(self.now <= t.deadline + SLACK, "rule 1: a late response");
                     let response = parse_response(&bytes);
                     if response.status == 200 {
                         assert!(
                             t.offering == 2 || response.body == object_bytes(t.key),
-                            "the bytes are not whole"
+                            "the body is incomplete or wrong"
                         );
                     }
                     if matches!(response.status, 429 | 503) && t.offering >= 2 {
@@ -316,7 +316,7 @@
     fn cache_reads(&mut self, conn: ConnId, port: u16) {
         let c = self.conns.get_mut(&conn).expect("an open connection");
         let Some(end) = c.received.windows(4).position(|w| w == b"\r\n\r\n") else { return };
-        let head = String::from_utf8(c.received[..end].to_vec()).expect("the front's heads are text");
+        let head = String::from_utf8(c.received[..end].to_vec()).expect("heads in UTF-8");
         let field = |name: &str| {
             head.lines().find_map(|l| l.strip_prefix(name)?.strip_prefix(": ")).map(str::to_owned)
         };
@@ -326,14 +326,10 @@
         }
         c.received.drain(..end + 4 + length);
         let access = u64::from_str_radix(&field("Call-Id").expect("a Call-Id"), 16).expect("16 hex digits");
-        let t = self.accesses.get_mut(&access).expect("a push for a request nobody made");
-        assert!(t.response.is_none(), "rule 1: a push after the final answer");
+        let t = self.accesses.get_mut(&access).expect("a push for an unknown access");
+        assert!(t.response.is_none(), "rule 1: a push after the final response");
         assert_eq!(head.split('/').nth(2), Some(OFFERINGS[t.offering]));
-        assert_eq!(
-            field("Call-Once"),
-            repeat_id(t.offering, access),
-            "the mark goes on as it came, and no other"
-        );
+        assert_eq!(field("Call-Once"), repeat_id(t.offering, access), "the repeat id is passed on unchanged");
         if t.pushes.iter().all(|proved_unrun| *proved_unrun) {
             t.first_unproved_at = Some(self.now);
         } else {
@@ -376,7 +372,7 @@
             let max = 4.0 * share * warm + 1.0;
             assert!(
                 recent_pushes.len() as f64 <= max,
-                "rule 4: {} to a cold cache, {max} at the most",
+                "rule 4: {} to a cold cache, at most {max} allowed",
                 recent_pushes.len()
             );
         } else {
--- a/crates/front/tests/names.rs
+++ b/crates/front/tests/names.rs
@@ -41,10 +41,10 @@
     let mut named = BTreeSet::new();
     for row in page.lines().filter(|l| l.starts_with("| `")) {
         let cells: Vec<_> = row.trim_matches('|').split('|').map(str::trim).collect();
-        let [name, file, reason] = cells[..] else { panic!("three cells: {row}") };
+        let [name, file, reason] = cells[..] else { panic!("expected three cells: {row}") };
         let name = name.trim_matches('`');
-        assert!(named.insert(name.to_owned()), "{name} stands there twice");
-        assert!(!reason.is_empty(), "{name}: what is it, or why is it not used?");
+        assert!(named.insert(name.to_owned()), "{name} is in the table twice");
+        assert!(!reason.is_empty(), "{name}: the third cell must say what it is, or why it is not used");
         match file {
             "-" => {
                 assert!(
@@ -52,7 +52,7 @@
                     "{name} is used, and the table says it is not"
                 )
             }
-            file => assert!(contains_word(&code(file), name), "{name} does not stand in {file}"),
+            file => assert!(contains_word(&code(file), name), "{name} is not in {file}"),
         }
     }
     // The other direction: each name that the codecs match or write is in the table.
@@ -65,7 +65,7 @@
     read.iter_mut().for_each(|n| n.insert_str(0, "HTTP_"));
     read.extend(quoted("crates/front/src/http.rs", "if is(\"", "\""));
     read.extend(quoted("crates/front/src/http.rs", "format_args!(\"", ": "));
-    assert!(read.len() > 12, "the codecs are written otherwise now: {read:?}");
+    assert!(read.len() > 12, "the codecs are written differently now: {read:?}");
     // HTTP's own names, and this project's own headers for the hierarchy.
     let own = ["Content-Length", "Transfer-Encoding", "Connection", "CDN-Loop", "Ring"];
     for name in read.iter().filter(|n| !n.contains(' ') && !n.contains('{') && !own.contains(&n.as_str())) {
--- a/crates/front/tests/reducer.rs
+++ b/crates/front/tests/reducer.rs
@@ -34,10 +34,10 @@
             }
             25 => {
                 // A parent gets other sources, also the other parent; some changes would close a cycle.
-                let sources = [ORIGIN, PARENT, SECOND_PARENT][w.rng.usize(..3)];
+                let source = [ORIGIN, PARENT, SECOND_PARENT][w.rng.usize(..3)];
                 let member = [PARENT, SECOND_PARENT][w.rng.usize(..2)];
                 let change = format!(
-                    "member \"{member}\" {{\nincarnation = 1\nnumber = {}\ntier = 1\nfills_from = [\"{sources}\"]\n}}",
+                    "member \"{member}\" {{\nincarnation = 1\nnumber = {}\ntier = 1\nfills_from = [\"{source}\"]\n}}",
                     access + 2
                 );
                 let shape = doorgrade_operator::shape::read("s", &change).unwrap_or_default();
@@ -151,7 +151,7 @@
     assert!(w.max_open <= 200);
     w.input(Input::Stop);
     w.advance(7_000 * MS);
-    assert!(w.exited, "nothing is open, yet it does not exit");
+    assert!(w.exited, "no access is open, yet it does not exit");
 }
 
 proptest! {
@@ -270,28 +270,28 @@
         w.send_request(client, access as u16, access, offering, 5, 1_500);
         w.connecting().into_iter().for_each(|conn| w.finish_connect(conn));
         // First a lookup that misses; then a fill from the parent, which reports a cycle.
-        let mut sources_named = Vec::new();
+        let mut sources = Vec::new();
         for _ in 0..8 {
             for conn in w.busy_conns() {
                 let head = w.request_heads[&access].clone();
                 let source = head.lines().find_map(|l| l.strip_prefix("Miss-To: ")).map(str::to_owned);
                 assert!(head.contains("CDN-Loop: doorgrade-n1;most=3"), "{head}");
-                let named_first = sources_named.is_empty();
+                let first_push = sources.is_empty();
                 match &source {
                     // An unrepeatable access goes to the origin, which reports a cycle the first time.
-                    None if offering == 2 && named_first => w.reply(conn, 508, true, "r"),
+                    None if offering == 2 && first_push => w.reply(conn, 508, true, "r"),
                     None if offering == 2 => w.reply(conn, 200, false, "o"),
                     None => w.reply(conn, 404, false, "?"),
                     Some(s) if *s == PARENT => w.reply(conn, 508, true, "r"),
                     Some(_) => w.reply(conn, 200, false, "o"),
                 }
-                sources_named.extend(source.or(Some("itself".to_owned()).filter(|_| offering == 2)));
+                sources.extend(source.or(Some("itself".to_owned()).filter(|_| offering == 2)));
             }
             w.connecting().into_iter().for_each(|conn| w.finish_connect(conn));
         }
-        assert_eq!(w.response_to(access).map(|a| a.status), Some(200), "{sources_named:?}");
-        assert!(offering == 2 || sources_named.first().is_some_and(|n| n == PARENT), "{sources_named:?}");
-        assert!(sources_named.len() > 1, "{sources_named:?}");
+        assert_eq!(w.response_to(access).map(|a| a.status), Some(200), "{sources:?}");
+        assert!(offering == 2 || sources.first().is_some_and(|n| n == PARENT), "{sources:?}");
+        assert!(sources.len() > 1, "{sources:?}");
     }
 }
 
@@ -339,7 +339,7 @@
             .for_each(|c| w.finish_connect(c));
     }
     let second: Vec<_> = w.connecting().into_iter().filter(|&c| w.port_of(c) != 9092).collect();
-    assert!(!second.is_empty(), "no second copy waits for its connection");
+    assert!(!second.is_empty(), "no hedged push waits for its connection");
     w.reply(first[0], 200, false, "h");
     assert_eq!(w.response_to(200).map(|a| a.status), Some(200));
     // The helper fails at a push after the final response.
--- a/crates/front/tests/remote_times.rs
+++ b/crates/front/tests/remote_times.rs
@@ -36,7 +36,7 @@
             );
         }
     }
-    assert_eq!(times(0).to_local(NOW, NOW + HOUR), NOW, "nothing is told that lies in the future");
+    assert_eq!(times(0).to_local(NOW, NOW + HOUR), NOW, "no report lies in the future");
 }
 
 #[test]
