--- a/crates/front/src/bounds.rs
+++ b/crates/front/src/bounds.rs
@@ -52,9 +52,9 @@
         self.clients + 2
     }
 
-    /// How many connections to caches are allowed while this many clients are connected. Half of the slots
-    /// that clients don't use are lent to them: at tight limits they are worth more to open accesses than to
-    /// clients that rarely connect.
+    /// How many connections to caches are allowed while this many clients are connected. Caches' connections
+    /// may use half of the slots that clients leave free: at tight limits these are worth more to open accesses
+    /// than to clients that rarely connect.
     pub fn max_cache_conns(&self, clients: usize) -> usize {
         self.lines + self.clients.saturating_sub(clients) / 2
     }
--- a/crates/front/src/intake.rs
+++ b/crates/front/src/intake.rs
@@ -55,7 +55,7 @@
     params: Vec<u8>,
     params_done: bool,
     body: Vec<u8>,
-    /// There was no room for its body.
+    /// There was no room for it: its parameters and body are discarded.
     dropped: bool,
 }
 
--- a/crates/front/src/reducer/control_feed.rs
+++ b/crates/front/src/reducer/control_feed.rs
@@ -47,7 +47,7 @@
         }
     }
 
-    /// `at` is a time of this process.
+    /// Applies a purge; `at` is a time of this process.
     fn apply_purge(&mut self, object: Option<u64>, group: u64, at: Ticks) {
         let now = self.state.now;
         self.front.purge_received(now, object, group, now.saturating_sub(at));
--- a/crates/front/src/reducer/effects.rs
+++ b/crates/front/src/reducer/effects.rs
@@ -35,13 +35,13 @@
     }
 
     fn decline(&mut self, access: AccessId, reason: UnservedReason) {
-        self.trace_decided(access, 503, reason);
+        self.trace_unserved(access, 503, reason);
         self.answer(access, Reply::empty(503));
         self.remove_if_done(access);
     }
 
     fn give_up(&mut self, access: AccessId, reason: UnservedReason) {
-        self.trace_decided(access, 500, reason);
+        self.trace_unserved(access, 500, reason);
         self.answer(access, Reply::empty(500));
         self.remove_if_done(access);
     }
--- a/crates/front/src/reducer/hierarchy.rs
+++ b/crates/front/src/reducer/hierarchy.rs
@@ -113,7 +113,7 @@
         match restored {
             Ok(count) => {
                 tracing::info!(
-                    "homes: resumed a handover across {count} lists, the last one {age_ms} ms old"
+                    "homes: a hand-over is known again, over {count} lists, the last of {age_ms} ms ago"
                 );
             }
             Err(reason) => tracing::info!("homes: no handover restored: {reason}"),
--- a/crates/front/src/reducer/trace.rs
+++ b/crates/front/src/reducer/trace.rs
@@ -83,7 +83,12 @@
         tracing::debug!(request, status, "refused: {reason}");
     }
 
-    pub(super) fn trace_decided(&mut self, access: AccessId, status: u16, reason: doorgrade::UnservedReason) {
+    pub(super) fn trace_unserved(
+        &mut self,
+        access: AccessId,
+        status: u16,
+        reason: doorgrade::UnservedReason,
+    ) {
         let Some(open_access) = self.accesses.get(&access) else { return };
         let request = open_access.client_id().to_owned();
         self.trace_rejection(&request, status, Rejection::Unserved(reason));
--- a/crates/front/tests/remote_times.rs
+++ b/crates/front/tests/remote_times.rs
@@ -72,7 +72,7 @@
     assert_eq!(
         times.started_at(NOW + 5 * S, 1, reported, Arrival::Live),
         NOW,
-        "told again, it is the same start"
+        "reported again, it is the same start"
     );
     // By a clock that is ahead: not in the future, and the same if reported again.
     assert_eq!(times.started_at(NOW, 2, NOW + HOUR, Arrival::Live), NOW);
