--- a/crates/control-client/src/neighbours/mod.rs
+++ b/crates/control-client/src/neighbours/mod.rs
@@ -15,7 +15,7 @@
 use std::path::{Path, PathBuf};
 
 use doorgrade::{Offering, Ticks};
-use doorgrade_hierarchy::homes::Kept;
+use doorgrade_hierarchy::homes::SavedList;
 use doorgrade_operator::files;
 use doorgrade_operator::neighbours::{Neighbours, Recall};
 use doorgrade_recall::{Fill, Purge};
@@ -79,8 +79,8 @@
     fn read(settings: Neighbours, own: &Own<'_>) -> Result<Membership, SetupError> {
         let seal_keys = files::beside(own.settings, &settings.seal_keys);
         let secrets = read_keys(&seal_keys).map_err(fault)?;
-        if own.name.len() > doorgrade_members::MOST_NAME {
-            let (has, most) = (own.name.len(), doorgrade_members::MOST_NAME);
+        if own.name.len() > doorgrade_members::MAX_NAME_BYTES {
+            let (has, most) = (own.name.len(), doorgrade_members::MAX_NAME_BYTES);
             return Err(fault(format_args!("the front's name has {has} bytes: expected {most} at most")));
         }
         Ok(Membership { own: settings, name: own.name.into(), seed: own.seed, seal_keys, secrets })
@@ -123,7 +123,7 @@
     }
 
     /// Homes of objects as they were before, and when that was written.
-    pub fn homes(&self) -> Option<(Ticks, Vec<Kept>)> {
+    pub fn homes(&self) -> Option<(Ticks, Vec<SavedList>)> {
         self.remember.as_ref().and_then(Remember::homes)
     }
 
--- a/crates/lab/src/scale/rollouts/rig.rs
+++ b/crates/lab/src/scale/rollouts/rig.rs
@@ -10,10 +10,10 @@
 use doorgrade_control::ask::Asker;
 use doorgrade_keys::client;
 use doorgrade_standins::process::Process;
-use doorgrade_standins::versions::{Place, SERVICE};
-use doorgrade_standins::{Directory, Feed, Member, Role, Spec};
+use doorgrade_standins::versions::{Installation, SERVICE};
+use doorgrade_standins::{Directory, Feed, Member, MemberConfig, Role};
 use doorgrade_stream::FRONTS;
-use doorgrade_versions::service::{Answer, Ask, Totals};
+use doorgrade_versions::service::{Request, Response, Totals};
 use serde_json::json;
 
 use super::content::Facts;
@@ -36,7 +36,7 @@
     fn start() -> Result<Site, String> {
         let directory = Directory::default();
         let member = |id, role| {
-            Member::start(Spec::new(id, "127.0.0.1:0", role), &directory).map_err(|e| e.to_string())
+            Member::start(MemberConfig::new(id, "127.0.0.1:0", role), &directory).map_err(|e| e.to_string())
         };
         let (cache, archive) = (member("s-00000001", Role::Cache)?, member("s-000000ff", Role::Archive)?);
         Ok(Site { cache, archive, feed: Feed::start("127.0.0.1:0").map_err(|e| e.to_string())? })
@@ -56,7 +56,7 @@
                 "purgeDone": 6000.0, "upperKind": 1, "rootKind": 2, "parentCold": 1000.0, "parentColdFrom": 0.5,
                 "parentLimitFactor": 4.0, "sharesFills": true, "straight": true}
         });
-        json!({"name": name, "listen": "127.0.0.1:0", "feed": self.feed.at.to_string(), "seed": format!("{seed:x}"),
+        json!({"name": name, "listen": "127.0.0.1:0", "feed": self.feed.address.to_string(), "seed": format!("{seed:x}"),
             "known": {"n": 1, "events": [{"n": 1, "members": members}]}, "settings": settings,
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256}})
         .to_string()
@@ -65,7 +65,7 @@
 
 pub struct Rig {
     pub runtime: tokio::runtime::Runtime,
-    place: Place,
+    place: Installation,
     service: Process,
     operators: SocketAddr,
     site: Site,
@@ -88,21 +88,21 @@
     /// `publication`: the service's settings of that block.
     pub fn start(name: &str, program: &Path, publication: &str, seed: u64) -> Result<Rig, String> {
         let io = |e: std::io::Error| e.to_string();
-        let place = Place::new(&format!("scale-{name}")).map_err(io)?;
+        let place = Installation::new(&format!("scale-{name}")).map_err(io)?;
         place.write("shape.hcl", "").map_err(io)?;
         for region in 0..REGIONS {
             let station = station(region);
             place.issue(&station, &place.fronts, &[&format!("*.{station}")], 30).map_err(io)?;
         }
-        let file = place.control("127.0.0.1:0", "127.0.0.1:0", publication).map_err(io)?;
+        let file = place.write_control_settings("127.0.0.1:0", "127.0.0.1:0", publication).map_err(io)?;
         let service = Process::start(Command::new(program).arg("control").arg("--file").arg(file));
         let service = service.map_err(io)?;
-        let line = service.line("fronts at ", Duration::from_secs(20));
+        let line = service.wait_for_log("fronts at ", Duration::from_secs(20));
         let address = |after: &str| -> Option<SocketAddr> {
             line.as_deref()?.split_once(after)?.1.split([',', ' ']).next()?.parse().ok()
         };
         let (Some(fronts_at), Some(operators)) = (address("fronts at "), address("operators at ")) else {
-            return Err(format!("the service does not start: {:?}", service.lines()));
+            return Err(format!("the service does not start: {:?}", service.log_lines()));
         };
         let threads = std::thread::available_parallelism().map_or(4, |n| n.get()).min(4);
         let runtime =
@@ -158,7 +158,7 @@
     pub fn start_hollow(&mut self, count: usize) -> Result<(), String> {
         let mut tls = Vec::new();
         for region in 0..REGIONS {
-            let made = client(&self.place.papers(&station(region)), FRONTS).map_err(|t| t.to_string())?;
+            let made = client(&self.place.identity(&station(region)), FRONTS).map_err(|t| t.to_string())?;
             tls.push(made.made);
         }
         let _here = self.runtime.enter();
@@ -173,12 +173,12 @@
     }
 
     pub fn asker(&self) -> Result<Asker, String> {
-        self.runtime.block_on(Asker::at(self.operators, SERVICE, &self.place.papers("person")))
+        self.runtime.block_on(Asker::at(self.operators, SERVICE, &self.place.identity("person")))
     }
 
     pub fn totals(&self, asker: &mut Asker) -> Result<Totals, String> {
-        match self.runtime.block_on(asker.ask(&Ask::Status))? {
-            Answer::Status(totals) => Ok(*totals),
+        match self.runtime.block_on(asker.ask(&Request::Status))? {
+            Response::Status(totals) => Ok(*totals),
             other => Err(format!("{other:?}")),
         }
     }
@@ -186,14 +186,15 @@
     /// The content that changes are made to, and its number.
     pub fn head(&self, asker: &mut Asker) -> Result<(u64, String), String> {
         let number = self.totals(asker)?.last;
-        match self.runtime.block_on(asker.ask(&Ask::Content { number }))? {
-            Answer::Content { content, .. } => Ok((number, String::from_utf8_lossy(&content).into_owned())),
+        match self.runtime.block_on(asker.ask(&Request::Content { number }))? {
+            Response::Content { content, .. } => Ok((number, String::from_utf8_lossy(&content).into_owned())),
             other => Err(format!("{other:?}")),
         }
     }
 
-    pub fn publish(&self, asker: &mut Asker, content: &str, expects: u64) -> Result<Answer, String> {
-        let ask = Ask::Publish { content: content.as_bytes().into(), note: "".into(), expects };
+    pub fn publish(&self, asker: &mut Asker, content: &str, expects: u64) -> Result<Response, String> {
+        let ask =
+            Request::Publish { content: content.as_bytes().into(), note: "".into(), expected_last: expects };
         self.runtime.block_on(asker.ask(&ask))
     }
 
--- a/crates/lab/src/sizes.rs
+++ b/crates/lab/src/sizes.rs
@@ -9,8 +9,8 @@
 use std::sync::Arc;
 
 use doorgrade::Ticks;
-use doorgrade_members::{Effect, Id, Members, Settings};
-use doorgrade_recall::{Asking, Fill, Gave, Giver, Giving, Memory, Purge, Rules, Source};
+use doorgrade_members::{Effect, MemberId, Members, Settings};
+use doorgrade_recall::{Fill, Memory, PageFetcher, PageResponse, PageServer, Provider, Purge, Rules, Source};
 use fastrand::Rng;
 use rayon::prelude::*;
 
@@ -82,8 +82,8 @@
 struct One {
     members: Option<Members>,
     memory: Memory,
-    asking: Option<Asking>,
-    giving: Giving,
+    asking: Option<PageFetcher>,
+    giving: PageServer,
     run: u32,
     words: Count,
     pages: Count,
@@ -109,7 +109,7 @@
 }
 
 fn rules() -> Rules {
-    Rules { fresh: vec![3_600 * S], purge_done: 6 * S, most: 16_384 }
+    Rules { fresh_times: vec![3_600 * S], purge_done: 6 * S, max_fills: 16_384 }
 }
 
 impl World {
@@ -117,10 +117,16 @@
         let now = 1_000 * S;
         let one = |_| {
             let mut memory = Memory::new(rules());
-            let fill =
-                |object| Fill { offering: 0, object, part: 0, group: 0, made: now - object, seen: now };
-            (0..PARTS).for_each(|object| memory.saw(now, fill(object)));
-            let giving = Giving::new(PAGES, now);
+            let fill = |object| Fill {
+                offering: 0,
+                object,
+                part: 0,
+                group: 0,
+                made_at: now - object,
+                requested_at: now,
+            };
+            (0..PARTS).for_each(|object| memory.record_fill(now, fill(object)));
+            let giving = PageServer::new(PAGES, now);
             let (words, pages) = Default::default();
             One { members: None, memory, asking: None, giving, run: 0, words, pages, recalled: None }
         };
@@ -132,10 +138,21 @@
 
     fn start(&mut self, n: usize) {
         let station = format!("s{}", n % STATIONS).into();
-        let own = Id { name: format!("n{n}").into(), station, at: at(n), life: self.now / 10, again: 0 };
+        let own = MemberId {
+            name: format!("n{n}").into(),
+            station,
+            address: at(n),
+            incarnation: self.now / 10,
+            renewals: 0,
+        };
         let size = self.all.len();
         let seeds = [0, size / 2, size - 1].map(at).to_vec();
-        let settings = Settings { seeds, about: size as u32, probe: Settings::PROBE, words: Settings::WORDS };
+        let settings = Settings {
+            seeds,
+            expected_members: size as u32,
+            probe_interval: Settings::DEFAULT_PROBE_INTERVAL,
+            max_datagrams_per_second: Settings::DEFAULT_MAX_DATAGRAMS_PER_SECOND,
+        };
         let one = &mut self.all[n];
         one.members = Some(Members::new(own, settings, self.rng.u64(..), self.now));
         one.run += 1;
@@ -149,7 +166,7 @@
 
     fn later(&mut self, n: usize) {
         if let Some(members) = &self.all[n].members {
-            let (at, run) = (members.next().max(self.now + 1), self.all[n].run);
+            let (at, run) = (members.next_tick_at().max(self.now + 1), self.all[n].run);
             self.put(at, n, What::Tick(run));
         }
     }
@@ -163,11 +180,11 @@
     }
 
     fn perform(&mut self, n: usize) {
-        let done = self.all[n].members.as_mut().map(Members::take).unwrap_or_default();
+        let done = self.all[n].members.as_mut().map(Members::take_effects).unwrap_or_default();
         for done in done {
-            if let Effect::Send { to, said } = done {
+            if let Effect::Send { to, payload } = done {
                 self.all[n].words.one(self.now);
-                self.say(n, number(to), Said::Swim(said));
+                self.say(n, number(to), Said::Swim(payload));
             }
         }
     }
@@ -178,10 +195,12 @@
         else {
             return;
         };
-        let own = &members.own().station;
-        let givers: Vec<Giver> =
-            members.up().map(|id| Giver { at: id.at, near: id.station == *own }).collect();
-        for asked in asking.step(self.now, &givers) {
+        let own = &members.identity().station;
+        let givers: Vec<Provider> = members
+            .alive()
+            .map(|id| Provider { address: id.address, same_station: id.station == *own })
+            .collect();
+        for asked in asking.poll(self.now, &givers) {
             self.say(n, number(asked.to), Said::Ask(asked.page));
         }
     }
@@ -192,34 +211,37 @@
         let Some(members) = &mut one.members else { return };
         match said {
             Said::Swim(said) => {
-                members.hear(now, &said);
+                members.receive(now, &said);
                 return self.perform(n);
             }
             Said::Ask(page) => {
-                let asks = one.asking.as_ref().is_some_and(|a| !a.gives(false));
-                let gave =
-                    if asks { Gave::Nothing } else { one.giving.page(now, now, at(from), &one.memory, page) };
+                let asks = one.asking.as_ref().is_some_and(|a| !a.may_serve(false));
+                let gave = if asks {
+                    PageResponse::Nothing
+                } else {
+                    one.giving.serve(now, now, at(from), &one.memory, page)
+                };
                 let answer = match gave {
-                    Gave::Page { pages, fills, purges } => {
+                    PageResponse::Page { pages, fills, purges } => {
                         one.pages.one(now);
                         Said::Page(page, pages, Arc::new((fills, purges)))
                     }
-                    Gave::Busy => Said::Busy(page),
-                    Gave::Nothing => Said::Nothing(page),
+                    PageResponse::Busy => Said::Busy(page),
+                    PageResponse::Nothing => Said::Nothing(page),
                 };
                 return self.say(n, from, answer);
             }
             Said::Page(page, pages, told) => {
-                if one.asking.as_mut().is_some_and(|a| a.given(at(from), page, pages)) {
-                    one.memory.hear(now, Source::Neighbour, &told.0, &told.1);
+                if one.asking.as_mut().is_some_and(|a| a.on_page(at(from), page, pages)) {
+                    one.memory.import(now, Source::Neighbour, &told.0, &told.1);
                     if one.recalled.is_none() && one.memory.count(Source::Neighbour) as u64 >= PARTS * 9 / 10
                     {
                         one.recalled = Some(now);
                     }
                 }
             }
-            Said::Busy(page) => one.asking.iter_mut().for_each(|a| a.busy(now, at(from), page)),
-            Said::Nothing(page) => one.asking.iter_mut().for_each(|a| a.nothing(now, at(from), page)),
+            Said::Busy(page) => one.asking.iter_mut().for_each(|a| a.on_busy(now, at(from), page)),
+            Said::Nothing(page) => one.asking.iter_mut().for_each(|a| a.on_nothing(now, at(from), page)),
         }
         self.step(n);
     }
@@ -248,7 +270,7 @@
     /// Whether 99 in 100 of all pairs know each other. The last ones meet when one asks the other, as each does all in turn.
     fn agreed(&self) -> bool {
         let size = self.all.len();
-        let known: usize = self.all.iter().filter_map(|o| Some(o.members.as_ref()?.up().count())).sum();
+        let known: usize = self.all.iter().filter_map(|o| Some(o.members.as_ref()?.alive().count())).sum();
         known as f64 >= 0.99 * (size * (size - 1)) as f64
     }
 }
@@ -282,8 +304,8 @@
     }
     for n in 0..dead {
         world.start(n);
-        world.all[n].asking = Some(Asking::new(&format!("n{n}"), back));
-        world.all[n].giving = Giving::new(PAGES, back);
+        world.all[n].asking = Some(PageFetcher::new(&format!("n{n}"), back));
+        world.all[n].giving = PageServer::new(PAGES, back);
     }
     let mut agreed = None;
     let recalled = |world: &World| {
--- a/crates/lab/src/stream.rs
+++ b/crates/lab/src/stream.rs
@@ -17,10 +17,10 @@
 use doorgrade_control::ask::Asker;
 use doorgrade_control::serve::Running;
 use doorgrade_control::settings::Settings;
-use doorgrade_standins::versions::{Place, Puppet, SERVICE, Who, keys};
-use doorgrade_standins::{Client, Directory, Feed, Member, Role, Spec};
-use doorgrade_versions::Id;
-use doorgrade_versions::service::{Answer, Ask, Filter, Totals};
+use doorgrade_standins::versions::{Installation, SERVICE, StubConfig, StubFront, keys};
+use doorgrade_standins::{Client, Directory, Feed, Member, MemberConfig, Role};
+use doorgrade_versions::VersionId;
+use doorgrade_versions::service::{Filter, Request, Response, Totals};
 use fastrand::Rng;
 use serde_json::json;
 
@@ -54,7 +54,7 @@
     fn start() -> Result<Site, String> {
         let directory = Directory::default();
         let member = |id, role| {
-            Member::start(Spec::new(id, "127.0.0.1:0", role), &directory).map_err(|e| e.to_string())
+            Member::start(MemberConfig::new(id, "127.0.0.1:0", role), &directory).map_err(|e| e.to_string())
         };
         let (cache, archive) = (member("s-00000001", Role::Cache)?, member("s-000000ff", Role::Archive)?);
         Ok(Site { cache, archive, feed: Feed::start("127.0.0.1:0").map_err(|e| e.to_string())? })
@@ -62,7 +62,7 @@
 
     fn config(&self, name: &str, seed: u64) -> String {
         let row = |m: &Member, place: &str, flavor: &str| {
-            json!({"id": m.id, "host_port": m.at.to_string(), "locality": place, "flavor": flavor, "cell": 0,
+            json!({"id": m.id, "host_port": m.address.to_string(), "locality": place, "flavor": flavor, "cell": 0,
                 "phase": "in_service", "size": 1, "up_since_ms": 0})
         };
         let members = json!({"revision": 1, "complete": true,
@@ -77,7 +77,7 @@
                 "purgeDone": 6000.0, "upperKind": 1, "rootKind": 2, "parentCold": 1000.0, "parentColdFrom": 0.5,
                 "parentLimitFactor": 4.0, "sharesFills": true, "straight": true}
         });
-        json!({"name": name, "listen": "127.0.0.1:0", "feed": self.feed.at.to_string(), "seed": format!("{seed:x}"),
+        json!({"name": name, "listen": "127.0.0.1:0", "feed": self.feed.address.to_string(), "seed": format!("{seed:x}"),
             "known": {"n": 1, "events": [{"n": 1, "members": members}]}, "settings": settings,
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256}})
         .to_string()
@@ -85,7 +85,7 @@
 }
 
 /// A front's own settings: it follows the service at this address.
-fn settings(place: &Place, n: usize, service: &str) -> Result<PathBuf, String> {
+fn settings(place: &Installation, n: usize, service: &str) -> Result<PathBuf, String> {
     let station = format!("station{}", n % STATIONS);
     let text = format!(
         "hierarchy {{\n  enabled = true\n  shape = \"shape.hcl\"\n}}\nversions {{\n  enabled = true\n  \
@@ -98,7 +98,7 @@
 }
 
 struct Lab {
-    place: Place,
+    place: Installation,
     runtime: tokio::runtime::Runtime,
     running: Option<Running>,
     fronts_at: SocketAddr,
@@ -107,12 +107,12 @@
 
 impl Lab {
     fn asker(&self) -> Result<Asker, String> {
-        self.runtime.block_on(Asker::at(self.operators_at, SERVICE, &self.place.papers("person")))
+        self.runtime.block_on(Asker::at(self.operators_at, SERVICE, &self.place.identity("person")))
     }
 
     fn totals(&self, asker: &mut Asker) -> Result<Totals, String> {
-        match self.runtime.block_on(asker.ask(&Ask::Status))? {
-            Answer::Status(totals) => Ok(*totals),
+        match self.runtime.block_on(asker.ask(&Request::Status))? {
+            Response::Status(totals) => Ok(*totals),
             other => Err(format!("{other:?}")),
         }
     }
@@ -136,11 +136,12 @@
         }
     }
 
-    fn publish(&self, asker: &mut Asker, content: &str) -> Result<Id, String> {
+    fn publish(&self, asker: &mut Asker, content: &str) -> Result<VersionId, String> {
         let expects = self.totals(asker)?.last;
-        let ask = Ask::Publish { content: content.as_bytes().into(), note: "".into(), expects };
+        let ask =
+            Request::Publish { content: content.as_bytes().into(), note: "".into(), expected_last: expects };
         match self.runtime.block_on(asker.ask(&ask))? {
-            Answer::Published(id) => Ok(id),
+            Response::Published(id) => Ok(id),
             other => Err(format!("{other:?}")),
         }
     }
@@ -151,7 +152,8 @@
             self.runtime.block_on(running.stop());
         }
         let at = self.fronts_at.to_string();
-        let file = self.place.control(&at, "127.0.0.1:0", publication).map_err(|e| e.to_string())?;
+        let file =
+            self.place.write_control_settings(&at, "127.0.0.1:0", publication).map_err(|e| e.to_string())?;
         let running = self.runtime.block_on(Running::start(Settings::load(&file)?))?;
         (self.fronts_at, self.operators_at) = (running.fronts, running.operators);
         self.running = Some(running);
@@ -181,7 +183,7 @@
                 let mut own = own;
                 let key = format!("{:016x}", rng.u64(1..200));
                 asked += 1;
-                match own.ask("files", &key, 1_500) {
+                match own.request("files", &key, 1_500) {
                     Ok(_) => *client = Some(own),
                     Err(_) => lost += 1,
                 }
@@ -196,7 +198,7 @@
     let program = rig::program(named)?;
     let puppets = followers.unwrap_or(if how.quick { 100 } else { 300 });
     let io = |e: std::io::Error| e.to_string();
-    let place = Place::new("lab-config").map_err(io)?;
+    let place = Installation::new("lab-config").map_err(io)?;
     place.write("shape.hcl", "").map_err(io)?;
     for n in 0..STATIONS {
         let station = format!("station{n}");
@@ -204,7 +206,7 @@
     }
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build().map_err(io)?;
     let quick = "  soak_ms = 100\n  answer_within_ms = 10000\n  canaries = 2\n  missing = 0.5\n  drop = 1.0";
-    let file = place.control("127.0.0.1:0", "127.0.0.1:0", quick).map_err(io)?;
+    let file = place.write_control_settings("127.0.0.1:0", "127.0.0.1:0", quick).map_err(io)?;
     let running = runtime.block_on(Running::start(Settings::load(&file)?))?;
     let (fronts_at, operators_at) = (running.fronts, running.operators);
     let mut lab = Lab { place, runtime, running: Some(running), fronts_at, operators_at };
@@ -222,14 +224,14 @@
         fronts.push(Some(start(n, &lab)?));
     }
     let (begun, mut figures) = (Instant::now(), Figures::default());
-    let mut others: Vec<Puppet> = Vec::new();
+    let mut others: Vec<StubFront> = Vec::new();
     for n in 0..puppets {
         let _here = lab.runtime.enter();
         let station = format!("station{}", n % STATIONS);
-        let (name, papers) = (format!("p{n}.{station}"), lab.place.papers(&station));
+        let (name, papers) = (format!("p{n}.{station}"), lab.place.identity(&station));
         let (service, keys, seed) = (fronts_at, keys(&[1]), how.seed.wrapping_add(1_000 + n as u64));
-        let who = Who { name: &name, station: &station, service, papers: &papers, keys, seed };
-        others.push(Puppet::start(&who, Arc::new(|_: &Id, _: &[u8]| Ok(())))?);
+        let who = StubConfig { name: &name, station: &station, service, identity: &papers, keys, seed };
+        others.push(StubFront::start(&who, Arc::new(|_: &VersionId, _: &[u8]| Ok(())))?);
     }
     let all = FRONTS + puppets;
     let mut asker = lab.asker()?;
@@ -254,7 +256,7 @@
     let mut took: Vec<f64> = others
         .iter()
         .filter_map(|p| {
-            p.record.lock().ok()?.ran.iter().find(|r| r.0 == second).map(|r| (r.1 - at) as f64 / 1e4)
+            p.record.lock().ok()?.applied.iter().find(|r| r.0 == second).map(|r| (r.1 - at) as f64 / 1e4)
         })
         .collect();
     took.sort_by(f64::total_cmp);
@@ -262,8 +264,8 @@
     figures.ratio("line_in_use_p99_s", quantile(&took, 0.99));
     let delta = doorgrade_versions::delta::between(first_text.as_bytes(), second_text.as_bytes());
     let body = doorgrade_versions::message::Body::Delta(delta);
-    let seal = doorgrade_versions::seal::Seal { key: 1, code: [0; 32] };
-    let whole = doorgrade_versions::message::Body::Whole(second_text.as_bytes().into());
+    let seal = doorgrade_versions::seal::Seal { key: 1, mac: [0; 32] };
+    let whole = doorgrade_versions::message::Body::Full(second_text.as_bytes().into());
     let bytes = |body| {
         let message = doorgrade_versions::message::ToFront::Content { id: second, seal, body };
         doorgrade_stream::frame::frame(&message).map_or(0, |f| f.len())
@@ -311,7 +313,7 @@
 
     // What each front says it runs, against what its own log says.
     let rows = lab.runtime.block_on(asker.fronts(Filter::All))?;
-    let untrue = rows.iter().filter(|r| r.runs != Some(last) || r.lies).count();
+    let untrue = rows.iter().filter(|r| r.running != Some(last) || r.false_claim).count();
     figures.put("untrue_states", untrue);
     let bad: usize = others.iter().filter_map(|p| Some(p.record.lock().ok()?.bad_in_use)).sum();
     figures.ratio("on_good_version", if bad == 0 && bad_starts == 0 { 1.0 } else { 0.0 });
@@ -338,7 +340,7 @@
     let stopped = loop {
         for puppet in &others {
             let mut record = puppet.record.lock().map_err(|e| e.to_string())?;
-            if record.ran.last().is_some_and(|r| r.0 == bad) {
+            if record.applied.last().is_some_and(|r| r.0 == bad) {
                 record.serves = Some(0.5);
             }
         }
@@ -358,7 +360,7 @@
         "harmful_why",
         stopped.as_ref().and_then(|p| p.stopped.as_ref()).map_or(String::new(), ToString::to_string),
     );
-    figures.put("fronts_touched", stopped.as_ref().map_or(all, |p| p.went));
+    figures.put("fronts_touched", stopped.as_ref().map_or(all, |p| p.offered));
     figures.put("first_wave", 2);
     figures.ratio("harmful_stopped_s", begun.elapsed().as_secs_f64());
     Ok(figures)
