--- a/crates/lab/src/cold.rs
+++ b/crates/lab/src/cold.rs
@@ -1,52 +1,52 @@
-//! What all fronts of a zone together send caches and parents that have just started, against what acceptance allows: the
-//! very decisions, in virtual time. Answers take what their work takes; some fail and are tried again, some miss and are
-//! filled.
+//! The load that all fronts of a zone together send to caches and parents that have just started, compared with the allowed
+//! load, in virtual time and with the real decision module. Every response takes the time of its work; some pushes fail and
+//! are retried, and some miss and are filled.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
 use doorgrade::*;
 
-const WARM_FOR: Ticks = 300_000;
-/// The tightest that a deployment has: a multiple of 2, from a seventh or so.
-const COLD: ColdLimits =
+/// The fronts run for this long before members start.
+const WARM_UP: Ticks = 300_000;
+/// The tightest limits of any deployment: twice the load, from an initial share of about a seventh.
+const COLD_LIMITS: ColdLimits =
     ColdLimits { initial_share: 0.16, duration: 170_000, load_multiple: 2.0, window: 15_000 };
-/// A mean access, in tenths of a millisecond of sending.
-const WORK: f64 = 2_000.0;
-/// Of the accesses this share misses, and of the answers this share is an error.
-const MISSES: f64 = 0.25;
-const ERRORS: f64 = 0.03;
+/// The transfer time of a mean access.
+const MEAN_WORK: f64 = 2_000.0;
+const MISS_SHARE: f64 = 0.25;
+const ERROR_SHARE: f64 = 0.03;
 
 /// One case of the experiment.
 #[derive(Clone, Copy)]
-pub struct Case {
+pub struct ColdCase {
     pub fronts: usize,
-    /// What the settings allow a cache that has just started in their time, in accesses of mean work.
-    pub n: f64,
-    /// Fronts get from a tenth to ten times the mean, and accesses bring from a tenth to ten times its work.
+    /// N: how many accesses of mean work the settings allow a cache within `COLD_LIMITS.window` when it has just started.
+    pub budget: f64,
+    /// Fronts get from a tenth of the mean rate to ten times of it, and so does the work of accesses.
     pub uneven: bool,
-    /// All fronts start together with the cold ones, and know nothing of what is usual.
-    pub fresh: bool,
+    /// All fronts start together with the cold members, and have no measurements of normal load.
+    pub new_fronts: bool,
     /// A third of the caches start at once.
-    pub several: bool,
-    /// A parent starts at once with the cache.
-    pub parent: bool,
-    /// As if nobody had a budget.
-    pub baseline: bool,
+    pub several_caches: bool,
+    /// A parent starts at the same time as the cache.
+    pub cold_parent: bool,
+    /// The baseline: fronts do not limit what they send to cold members.
+    pub unlimited: bool,
 }
 
-impl Case {
-    pub const PLAIN: Case = Case {
+impl ColdCase {
+    pub const PLAIN: ColdCase = ColdCase {
         fronts: 1,
-        n: 2.0,
+        budget: 2.0,
         uneven: false,
-        fresh: false,
-        several: false,
-        parent: false,
-        baseline: false,
+        new_fronts: false,
+        several_caches: false,
+        cold_parent: false,
+        unlimited: false,
     };
 
-    /// Six fronts a cache, as on the platform's full days; not so many that a run takes minutes.
+    /// A cache for every six fronts, as on the platform's days of full load; at most 50, so that a run takes no minutes.
     fn caches(&self) -> usize {
         (self.fronts / 6).clamp(3, 50)
     }
@@ -55,38 +55,39 @@
         2.max(self.caches() / 8)
     }
 
-    /// What a warm cache carries in the settings' time, in accesses: it is taken to do no more, which is the worst case.
-    fn each(&self) -> f64 {
-        self.n / (COLD.load_multiple * COLD.initial_share)
+    /// How many accesses a warm cache can take within the window. Its load is exactly that, which is the worst case.
+    fn warm_capacity(&self) -> f64 {
+        self.budget / (COLD_LIMITS.load_multiple * COLD_LIMITS.initial_share)
     }
 }
 
-/// What came of a run.
+/// The result of one run.
 #[derive(Clone, Copy, Default)]
-pub struct Run {
-    /// The highest share of what is allowed that came to a cold cache in one window; to a cold parent.
-    pub cache: f64,
-    pub parent: f64,
-    /// What the cold caches got in their cold time against what warm ones did.
-    pub used: f64,
-    /// Of what came after the start.
+pub struct ColdRun {
+    /// The highest ratio of received to allowed load in any window, of a cold cache and of a cold parent.
+    pub cache_ratio: f64,
+    pub parent_ratio: f64,
+    /// The load of the cold caches while they were cold, relative to that of warm ones.
+    pub relative_use: f64,
+    /// Share of the accesses after the start.
     pub declined: f64,
 }
 
 #[derive(Default)]
-struct Out {
-    pushed: Vec<(AccessId, usize, usize, bool)>,
+struct CollectedEffects {
+    /// Access, index of the cache, index of the source, and `only_if_cached`.
+    pushes: Vec<(AccessId, usize, usize, bool)>,
     declined: u64,
 }
 
-/// Members by their places: caches, then parents, then the origin.
-fn place(id: &str) -> usize {
+/// The index of a member: caches come first, then parents, then the origin.
+fn member_index(id: &str) -> usize {
     id.strip_prefix("m-").and_then(|n| n.parse().ok()).unwrap_or(usize::MAX)
 }
 
-impl EffectSink for Out {
+impl EffectSink for CollectedEffects {
     fn push(&mut self, p: &Push<'_>) {
-        self.pushed.push((p.access, place(p.cache), place(p.source), p.only_if_cached));
+        self.pushes.push((p.access, member_index(p.cache), member_index(p.source), p.only_if_cached));
     }
     fn cancel_push(&mut self, _: AccessId, _: usize) {}
     fn decline(&mut self, _: AccessId, _: UnservedReason) {
@@ -95,23 +96,23 @@
     fn give_up(&mut self, _: AccessId, _: UnservedReason) {
         self.declined += 1;
     }
-    /// Every answer is in time here, so none is overdue.
+    /// No timer fires, since every response comes in time.
     fn set_timer(&mut self, _: Ticks, _: u64) {}
     fn request_member_list(&mut self) {}
     fn log(&mut self, _: std::fmt::Arguments<'_>) {}
 }
 
-fn settings(case: &Case) -> Settings {
-    let lasts = if case.baseline { 0 } else { COLD.duration };
-    let cold = ColdLimits { duration: lasts, ..COLD };
-    let (effect, fresh, uncacheable) = (RepeatPolicy::Idempotent, 0, false);
+fn settings(case: &ColdCase) -> Settings {
+    let duration = if case.unlimited { 0 } else { COLD_LIMITS.duration };
+    let cold = ColdLimits { duration, ..COLD_LIMITS };
+    let (repeat_policy, fresh_time, uncacheable) = (RepeatPolicy::Idempotent, 0, false);
     Settings {
         offerings: vec![Offering {
             soft_limit: 10_000,
             transfer_factor: 4.0,
             benefit: 1.0,
-            repeat_policy: effect,
-            fresh_time: fresh,
+            repeat_policy,
+            fresh_time,
             uncacheable,
         }],
         zone: 0,
@@ -136,162 +137,162 @@
     }
 }
 
-fn member(case: &Case, n: usize, started: Option<Ticks>) -> Member {
+fn member(case: &ColdCase, n: usize, started_at: Option<Ticks>) -> Member {
     let (caches, parents) = (case.caches(), case.parents());
     let kind = usize::from(n >= caches) + usize::from(n >= caches + parents);
     let id = format!("m-{n}").into();
-    Member { id, zone: 0, kind, cell: 0, status: MemberStatus::Listed, weight: 1.0, started_at: started }
+    Member { id, zone: 0, kind, cell: 0, status: MemberStatus::Listed, weight: 1.0, started_at }
 }
 
-/// The highest share of what acceptance allows (N + 2 root N + 2) that came in one window, by what was allowed when the
-/// window began.
-fn highest(came: &[Ticks], start: Ticks, each: f64) -> f64 {
+/// The highest ratio of received to allowed pushes in any window. With a budget of N at the start of the window,
+/// N + 2 sqrt(N) + 2 pushes are allowed.
+fn max_ratio(received: &[Ticks], start: Ticks, warm_capacity: f64) -> f64 {
     let allowed = |at: Ticks| {
-        let share =
-            COLD.initial_share + (1.0 - COLD.initial_share) * (at - start) as f64 / COLD.duration as f64;
-        let n = COLD.load_multiple * share.min(1.0) * each;
+        let share = COLD_LIMITS.initial_share
+            + (1.0 - COLD_LIMITS.initial_share) * (at - start) as f64 / COLD_LIMITS.duration as f64;
+        let n = COLD_LIMITS.load_multiple * share.min(1.0) * warm_capacity;
         n + 2.0 * n.sqrt() + 2.0
     };
-    let (mut first, mut worst) = (0, 0f64);
-    for (at, &t) in came.iter().enumerate() {
-        while came[first] + COLD.window <= t {
+    let (mut first, mut max) = (0, 0f64);
+    for (last, &at) in received.iter().enumerate() {
+        while received[first] + COLD_LIMITS.window <= at {
             first += 1;
         }
-        worst = worst.max((at + 1 - first) as f64 / allowed(came[first]));
+        max = max.max((last + 1 - first) as f64 / allowed(received[first]));
     }
-    worst
+    max
 }
 
-/// What happens next: to a front, an access that comes (none) or the end of a push of one.
-type Next = (Ticks, usize, Option<(AccessId, usize, u8)>);
+/// Time, front and kind of an event: the next access at the front (none), or the end of a push with its access, number and
+/// outcome.
+type Event = (Ticks, usize, Option<(AccessId, usize, u8)>);
 
-pub fn play(case: &Case, seed: u64) -> Run {
+/// Runs one case in virtual time.
+pub fn simulate(case: &ColdCase, seed: u64) -> ColdRun {
     let mut rng = fastrand::Rng::with_seed(seed);
-    let mut draw = |spread: bool| if spread { 10f64.powf(2.0 * rng.f64() - 1.0) / 2.15 } else { 1.0 };
-    let (set, caches, parents) = (settings(case), case.caches(), case.parents());
-    let rate = case.each() * caches as f64 / case.fronts as f64 / (COLD.window as f64 / 10_000.0);
-    // However they are spread, all fronts together send what the caches carry.
-    let drawn: Vec<f64> = (0..case.fronts).map(|_| draw(case.uneven)).collect();
-    let part = rate * case.fronts as f64 / drawn.iter().sum::<f64>();
-    let rates: Vec<f64> = drawn.iter().map(|of| of * part).collect();
-    let mut fronts: Vec<Front> = (0..case.fronts as u64).map(|n| Front::new(&set, seed << 20 | n)).collect();
-    let (mut out, mut heap) = (Out::default(), BinaryHeap::<Reverse<Next>>::new());
-    let all: Vec<Member> = (0..=caches + parents).map(|n| member(case, n, None)).collect();
-    let start = if case.fresh { 1 } else { WARM_FOR };
-    fronts.iter_mut().for_each(|f| f.member_list_received(0, &all, true, &mut out));
+    let mut random_weight =
+        |uneven: bool| if uneven { 10f64.powf(2.0 * rng.f64() - 1.0) / 2.15 } else { 1.0 };
+    let (settings, caches, parents) = (settings(case), case.caches(), case.parents());
+    let mean_rate =
+        case.warm_capacity() * caches as f64 / case.fronts as f64 / (COLD_LIMITS.window as f64 / 10_000.0);
+    // The rates always add up to the capacity of all caches.
+    let weights: Vec<f64> = (0..case.fronts).map(|_| random_weight(case.uneven)).collect();
+    let rate_per_weight = mean_rate * case.fronts as f64 / weights.iter().sum::<f64>();
+    let rates: Vec<f64> = weights.iter().map(|weight| weight * rate_per_weight).collect();
+    let mut fronts: Vec<Front> =
+        (0..case.fronts as u64).map(|n| Front::new(&settings, seed << 20 | n)).collect();
+    let (mut effects, mut events) = (CollectedEffects::default(), BinaryHeap::<Reverse<Event>>::new());
+    let members: Vec<Member> = (0..=caches + parents).map(|n| member(case, n, None)).collect();
+    let start = if case.new_fronts { 1 } else { WARM_UP };
+    fronts.iter_mut().for_each(|f| f.member_list_received(0, &members, true, &mut effects));
     let mut rng = fastrand::Rng::with_seed(seed ^ 0x5eed);
-    let wait = |rng: &mut fastrand::Rng, rate: f64| (-(1.0 - rng.f64()).ln() / rate * 10_000.0) as Ticks + 1;
+    let random_interval =
+        |rng: &mut fastrand::Rng, rate: f64| (-(1.0 - rng.f64()).ln() / rate * 10_000.0) as Ticks + 1;
     for (n, rate) in rates.iter().enumerate() {
-        heap.push(Reverse((wait(&mut rng, *rate), n, None)));
+        events.push(Reverse((random_interval(&mut rng, *rate), n, None)));
     }
-    heap.push(Reverse((start, usize::MAX, None)));
-    let cold = if case.several { (caches / 3).max(2) } else { 1 };
+    // The start of the cold members is an event of no front.
+    events.push(Reverse((start, usize::MAX, None)));
+    let cold_caches = if case.several_caches { (caches / 3).max(2) } else { 1 };
     let cold_parent = caches;
-    let end = start + COLD.duration;
-    let mut came = vec![Vec::new(); caches + parents + 1];
-    let (mut id, mut declined, mut asked) = (0, 0, 0);
-    while let Some(Reverse((now, n, what))) = heap.pop() {
+    let end = start + COLD_LIMITS.duration;
+    let mut received = vec![Vec::new(); caches + parents + 1];
+    let (mut id, mut declined_before, mut accesses_before) = (0, 0, 0);
+    while let Some(Reverse((now, n, push_end))) = events.pop() {
         if now >= end {
             break;
         }
         if n == usize::MAX {
-            let also = Some(cold_parent).filter(|_| case.parent);
-            let list: Vec<_> = (0..cold).chain(also).map(|n| member(case, n, Some(now))).collect();
-            fronts.iter_mut().for_each(|f| f.member_list_received(now, &list, false, &mut out));
-            (declined, asked) = (out.declined, id);
+            let parent = Some(cold_parent).filter(|_| case.cold_parent);
+            let started: Vec<_> =
+                (0..cold_caches).chain(parent).map(|n| member(case, n, Some(now))).collect();
+            fronts.iter_mut().for_each(|f| f.member_list_received(now, &started, false, &mut effects));
+            (declined_before, accesses_before) = (effects.declined, id);
             continue;
         }
-        match what {
+        match push_end {
             None => {
                 id += 1;
-                let work = WORK * if case.uneven { 10f64.powf(2.0 * rng.f64() - 1.0) / 2.15 } else { 1.0 };
-                let (object, until) = (rng.u64(..1 << 40), now + 60_000);
-                let (offering, part, group, marked) = (0, 0, 0, true);
-                let access = Access {
-                    id,
-                    offering,
-                    object,
-                    part,
-                    group,
-                    kb: work / 10.0,
-                    deadline: until,
-                    has_repeat_id: marked,
-                };
-                heap.push(Reverse((now + wait(&mut rng, rates[n]), n, None)));
-                fronts[n].access(now, &access, &mut out);
+                let work =
+                    MEAN_WORK * if case.uneven { 10f64.powf(2.0 * rng.f64() - 1.0) / 2.15 } else { 1.0 };
+                let (object, deadline) = (rng.u64(..1 << 40), now + 60_000);
+                let (offering, part, group, has_repeat_id) = (0, 0, 0, true);
+                let access =
+                    Access { id, offering, object, part, group, kb: work / 10.0, deadline, has_repeat_id };
+                events.push(Reverse((now + random_interval(&mut rng, rates[n]), n, None)));
+                fronts[n].access(now, &access, &mut effects);
             }
             Some((access, push, outcome)) => {
-                let (outcome, note, settled) = match outcome {
+                let (outcome, cache_status, access_done) = match outcome {
                     0 => (Outcome::Handled, CacheStatus::Hit, true),
                     1 => (Outcome::Handled, CacheStatus::Filled, true),
                     2 => (Outcome::Miss, CacheStatus::SourceLacks, false),
                     _ => (Outcome::Error, CacheStatus::Untold, false),
                 };
-                let ended = PushResult {
-                    push,
-                    outcome,
-                    access_done: settled,
-                    latency: 0,
-                    cache_status: note,
-                    origin_sent_at: None,
-                };
-                fronts[n].push_ended(now, access, &ended, &mut out);
+                let result =
+                    PushResult { push, outcome, access_done, latency: 0, cache_status, origin_sent_at: None };
+                fronts[n].push_ended(now, access, &result, &mut effects);
             }
         }
-        // Further pushes of one access come after its first.
-        let first = what.map_or(0, |(_, push, _)| push + 1);
-        for (at, (access, cache, source, kept)) in out.pushed.drain(..).enumerate() {
-            let (missed, failed) = (rng.f64() < MISSES, rng.f64() < ERRORS);
+        // New pushes of an access are numbered after the one that has ended.
+        let first_number = push_end.map_or(0, |(_, push, _)| push + 1);
+        for (at, (access, cache, source, only_if_cached)) in effects.pushes.drain(..).enumerate() {
+            let (missed, failed) = (rng.f64() < MISS_SHARE, rng.f64() < ERROR_SHARE);
             if now >= start {
-                came[cache].push(now);
-                if missed && source != cache && source < came.len() {
-                    came[source].push(now);
+                received[cache].push(now);
+                if missed && source != cache && source < received.len() {
+                    received[source].push(now);
                 }
             }
             let outcome = match (failed, missed) {
                 (true, _) => 3,
-                // A look, or a source that holds nothing.
-                (_, true) if source == cache || kept => 2,
+                // The push named no source, or one that answers only with what it holds.
+                (_, true) if source == cache || only_if_cached => 2,
                 (_, missed) => u8::from(missed),
             };
-            let takes = if outcome == 2 { 10 } else { WORK as Ticks };
-            heap.push(Reverse((now + takes, n, Some((access, first + at, outcome)))));
+            let latency = if outcome == 2 { 10 } else { MEAN_WORK as Ticks };
+            events.push(Reverse((now + latency, n, Some((access, first_number + at, outcome)))));
         }
     }
-    let worst =
-        |cold: std::ops::Range<usize>, each| cold.map(|c| highest(&came[c], start, each)).fold(0.0, f64::max);
-    let got = |of: std::ops::Range<usize>| {
-        of.clone().map(|c| came[c].len()).sum::<usize>() as f64 / of.len() as f64
+    let worst = |members: std::ops::Range<usize>, warm_capacity| {
+        members.map(|m| max_ratio(&received[m], start, warm_capacity)).fold(0.0, f64::max)
     };
-    // A warm parent does no more than its part of what misses.
-    let filled = case.each() * caches as f64 * MISSES / parents as f64;
-    Run {
-        cache: worst(0..cold, case.each()),
-        parent: if case.parent { worst(cold_parent..cold_parent + 1, filled) } else { 0.0 },
-        used: got(0..cold) / got(cold..caches).max(1.0),
-        declined: (out.declined - declined) as f64 / (id - asked).max(1) as f64,
+    let mean_received = |members: std::ops::Range<usize>| {
+        members.clone().map(|m| received[m].len()).sum::<usize>() as f64 / members.len() as f64
+    };
+    // A warm parent's load is its part of the misses.
+    let warm_parent_capacity = case.warm_capacity() * caches as f64 * MISS_SHARE / parents as f64;
+    ColdRun {
+        cache_ratio: worst(0..cold_caches, case.warm_capacity()),
+        parent_ratio: if case.cold_parent {
+            worst(cold_parent..cold_parent + 1, warm_parent_capacity)
+        } else {
+            0.0
+        },
+        relative_use: mean_received(0..cold_caches) / mean_received(cold_caches..caches).max(1.0),
+        declined: (effects.declined - declined_before) as f64 / (id - accesses_before).max(1) as f64,
     }
 }
 
-/// The share, and the 95% interval around it (Wilson's, which holds at none and at all).
-pub fn share(over: usize, of: usize) -> (f64, f64, f64) {
-    let (n, z) = (of.max(1) as f64, 1.96f64);
-    let p = over as f64 / n;
+/// A share with its 95% interval, by Wilson's method, which is also valid for none and for all.
+pub fn share_with_interval(count: usize, total: usize) -> (f64, f64, f64) {
+    let (n, z) = (total.max(1) as f64, 1.96f64);
+    let p = count as f64 / n;
     let middle = (p + z * z / (2.0 * n)) / (1.0 + z * z / n);
-    let half = z / (1.0 + z * z / n) * (p * (1.0 - p) / n + z * z / (4.0 * n * n)).sqrt();
-    (p, (middle - half).max(0.0), (middle + half).min(1.0))
+    let half_width = z / (1.0 + z * z / n) * (p * (1.0 - p) / n + z * z / (4.0 * n * n)).sqrt();
+    (p, (middle - half_width).max(0.0), (middle + half_width).min(1.0))
 }
 
-/// The cases by name, for so many fronts and so large a budget.
-pub fn cases(fronts: usize, n: f64) -> [(&'static str, Case); 7] {
-    let case = Case { fronts, n, ..Case::PLAIN };
+/// All cases with their names, for a number of fronts and a budget.
+pub fn cases(fronts: usize, budget: f64) -> [(&'static str, ColdCase); 7] {
+    let case = ColdCase { fronts, budget, ..ColdCase::PLAIN };
     [
         ("even", case),
-        ("uneven", Case { uneven: true, ..case }),
-        ("fresh", Case { uneven: true, fresh: true, ..case }),
-        ("several", Case { uneven: true, several: true, ..case }),
-        ("parent", Case { parent: true, ..case }),
-        ("all", Case { uneven: true, fresh: true, several: true, parent: true, ..case }),
-        ("baseline", Case { uneven: true, baseline: true, ..case }),
+        ("uneven", ColdCase { uneven: true, ..case }),
+        ("fresh", ColdCase { uneven: true, new_fronts: true, ..case }),
+        ("several", ColdCase { uneven: true, several_caches: true, ..case }),
+        ("parent", ColdCase { cold_parent: true, ..case }),
+        ("all", ColdCase { uneven: true, new_fronts: true, several_caches: true, cold_parent: true, ..case }),
+        ("baseline", ColdCase { uneven: true, unlimited: true, ..case }),
     ]
 }
--- a/crates/lab/src/evidence.rs
+++ b/crates/lab/src/evidence.rs
@@ -1,9 +1,9 @@
-//! The sequential test of a trial, played over many seeds in virtual time: how often it stops a change that does nothing,
-//! beside a test for one look that is looked at as often, and after how many accesses it finds which drop.
+//! The sequential test of a trial, simulated with many seeds in virtual time: how often it stops a harmless change, compared
+//! with a fixed-sample test that is evaluated as often, and after how many accesses it detects a drop of which runs.
 
 mod simulated;
 
-use doorgrade_lab::cold::share;
+use doorgrade_lab::cold::share_with_interval;
 use doorgrade_lab::{Figures, RunArgs};
 use doorgrade_versions::evidence::{FrontSample, TestSettings, Verdict};
 use rayon::prelude::*;
@@ -11,64 +11,66 @@
 
 use simulated::{CANARY, Liar, Reports, Storm, Trial, WIDE};
 
-/// As the rollout has them.
+/// Those of rollouts.
 const SETTINGS: TestSettings = TestSettings { false_stop: 1e-4, tolerated_drop: 0.03, least_fronts: 3 };
-/// Changes a day at the target.
-const CHANGES: f64 = 1_000.0;
-/// Share of the runs in which a drop counts as found.
-const FOUND: f64 = 0.9;
-/// Threads; the machine has others' work.
+/// By the target.
+const CHANGES_PER_DAY: f64 = 1_000.0;
+/// A drop counts as detected if at least this share of the runs detect it.
+const DETECTION_SHARE: f64 = 0.9;
+/// Few, since the machine is shared.
 const THREADS: usize = 2;
 
-struct Size {
+/// Runs of each kind of experiment.
+struct RunCounts {
     false_stops: u64,
     storms: u64,
     drops: u64,
     wide: u64,
 }
 
-const FULL: Size = Size { false_stops: 40_000, storms: 4_000, drops: 400, wide: 400 };
-const QUICK: Size = Size { false_stops: 2_000, storms: 400, drops: 40, wide: 20 };
+const FULL: RunCounts = RunCounts { false_stops: 40_000, storms: 4_000, drops: 400, wide: 400 };
+const QUICK: RunCounts = RunCounts { false_stops: 2_000, storms: 400, drops: 40, wide: 20 };
 
-pub fn run(how: &RunArgs) -> Figures {
-    let size = if how.quick { QUICK } else { FULL };
+pub fn run(run_args: &RunArgs) -> Figures {
+    let runs = if run_args.quick { QUICK } else { FULL };
     let mut figures = Figures::default();
-    let mut all = || {
-        false_stops(how, &size, &mut figures);
-        drops(how, &size, &mut figures);
+    let mut experiments = || {
+        false_stops(run_args, &runs, &mut figures);
+        drops(run_args, &runs, &mut figures);
     };
     match rayon::ThreadPoolBuilder::new().num_threads(THREADS).build() {
-        Ok(pool) => pool.install(all),
-        Err(_) => all(),
+        Ok(pool) => pool.install(experiments),
+        Err(_) => experiments(),
     }
     figures
 }
 
-fn seeds(how: &RunArgs, runs: u64) -> std::ops::Range<u64> {
-    let first = how.seed.wrapping_mul(1 << 32);
+fn seeds(run_args: &RunArgs, runs: u64) -> std::ops::Range<u64> {
+    let first = run_args.seed.wrapping_mul(1 << 32);
     first..first.saturating_add(runs)
 }
 
-/// Share of the runs in which it comes to that, with its interval of 95%.
+/// Puts the share of the runs for which the condition holds, with its 95% interval; returns the interval's upper end.
 fn put_share(
-    how: &RunArgs,
+    run_args: &RunArgs,
     figures: &mut Figures,
     name: &str,
     runs: u64,
-    of: impl Fn(u64) -> bool + Sync,
+    condition: impl Fn(u64) -> bool + Sync,
 ) -> f64 {
-    let so = seeds(how, runs).into_par_iter().filter(|seed| of(*seed)).count();
-    let (middle, low, high) = share(so, runs as usize);
-    figures.put(name, middle);
+    let count = seeds(run_args, runs).into_par_iter().filter(|seed| condition(*seed)).count();
+    let (share, low, high) = share_with_interval(count, runs as usize);
+    figures.put(name, share);
     figures.put(&format!("{name}_interval"), json!([low, high]));
     figures.put(&format!("{name}_runs"), runs);
     high
 }
 
-fn false_stops(how: &RunArgs, size: &Size, figures: &mut Figures) {
-    let ever = |trial: Trial| move |seed| trial.ever_harmful(SETTINGS, seed);
-    let most = put_share(how, figures, "false_stop_probability", size.false_stops, ever(CANARY));
-    figures.put("false_stops_a_day_at_most", most * CHANGES);
+fn false_stops(run_args: &RunArgs, runs: &RunCounts, figures: &mut Figures) {
+    let false_stop = |trial: Trial| move |seed| trial.ever_harmful(SETTINGS, seed);
+    let upper_end =
+        put_share(run_args, figures, "false_stop_probability", runs.false_stops, false_stop(CANARY));
+    figures.put("false_stops_a_day_at_most", upper_end * CHANGES_PER_DAY);
     let cases = [
         ("false_stop_beside_4", Trial { control: 4, ..CANARY }),
         ("false_stop_with_storm", Trial { storm: Storm::Everywhere, ..CANARY }),
@@ -80,35 +82,35 @@
         ("false_stop_with_liar_of_nothing", Trial { liar: Liar::AnswersNothing, ..CANARY }),
     ];
     for (name, trial) in cases {
-        put_share(how, figures, name, size.storms, ever(trial));
+        put_share(run_args, figures, name, runs.storms, false_stop(trial));
     }
     for (name, liar) in [("hidden_by_liar", Liar::AnswersAll), ("hidden_by_huge_liar", Liar::HugeAll)] {
         let trial = Trial { liar, drop: 0.1, ..CANARY };
         let hidden = |seed| matches!(trial.first_verdict(SETTINGS, seed).0, Verdict::Harmless { .. });
-        put_share(how, figures, name, size.storms, hidden);
+        put_share(run_args, figures, name, runs.storms, hidden);
     }
-    put_share(how, figures, "false_stop_wide", size.wide, ever(WIDE));
+    put_share(run_args, figures, "false_stop_wide", runs.wide, false_stop(WIDE));
     put_share(
-        how,
+        run_args,
         figures,
         "false_stop_wide_with_storm",
-        size.wide,
-        ever(Trial { storm: Storm::Everywhere, ..WIDE }),
+        runs.wide,
+        false_stop(Trial { storm: Storm::Everywhere, ..WIDE }),
     );
-    let naive = |trial: Trial| move |seed| looked_at_often(trial, seed);
-    put_share(how, figures, "one_look_test_false_stop", size.storms, naive(CANARY));
+    let fixed_sample = |trial: Trial| move |seed| fixed_sample_test_stops(trial, seed);
+    put_share(run_args, figures, "one_look_test_false_stop", runs.storms, fixed_sample(CANARY));
     put_share(
-        how,
+        run_args,
         figures,
         "one_look_test_false_stop_with_storm",
-        size.storms,
-        naive(Trial { storm: Storm::Everywhere, ..CANARY }),
+        runs.storms,
+        fixed_sample(Trial { storm: Storm::Everywhere, ..CANARY }),
     );
 }
 
-/// The baseline: two pooled shares, compared at each look as if it were the only one, at the same probability.
-fn looked_at_often(trial: Trial, seed: u64) -> bool {
-    /// Standard deviations for `false_stop` on one side.
+/// The baseline: a test of two pooled shares for a fixed sample, at the same significance, but evaluated at each report.
+fn fixed_sample_test_stops(trial: Trial, seed: u64) -> bool {
+    /// In standard deviations, for a probability of `SETTINGS.false_stop` on one side.
     const LIMIT: f64 = 3.719;
     let sums = |reports: &Reports| {
         let each = reports
@@ -116,58 +118,60 @@
             .map(|(_, FrontSample { counts, .. })| (counts.asked as f64, counts.answered as f64));
         each.fold((0.0, 0.0), |sum, each| (sum.0 + each.0, sum.1 + each.1))
     };
-    let (mut with, mut without) = ((0.0, 0.0), (0.0, 0.0));
+    let (mut arm_sums, mut control_sums) = ((0.0, 0.0), (0.0, 0.0));
     let mut stopped = false;
     trial.reports(seed, |_, arm, control| {
-        for (all, reports) in [(&mut with, arm), (&mut without, control)] {
+        for (total, reports) in [(&mut arm_sums, arm), (&mut control_sums, control)] {
             let (asked, answered) = sums(reports);
-            *all = (all.0 + asked, all.1 + answered);
+            *total = (total.0 + asked, total.1 + answered);
         }
-        let pooled = (with.1 + without.1) / (with.0 + without.0);
-        let noise = (pooled * (1.0 - pooled) * (1.0 / with.0 + 1.0 / without.0)).sqrt();
-        stopped = without.1 / without.0 - with.1 / with.0 > LIMIT * noise;
+        let pooled = (arm_sums.1 + control_sums.1) / (arm_sums.0 + control_sums.0);
+        let deviation = (pooled * (1.0 - pooled) * (1.0 / arm_sums.0 + 1.0 / control_sums.0)).sqrt();
+        stopped = control_sums.1 / control_sums.0 - arm_sums.1 / arm_sums.0 > LIMIT * deviation;
         stopped
     });
     stopped
 }
 
-fn drops(how: &RunArgs, size: &Size, figures: &mut Figures) {
-    let eight = Trial { arm: 8, ..CANARY };
+fn drops(run_args: &RunArgs, runs: &RunCounts, figures: &mut Figures) {
+    let eight_canaries = Trial { arm: 8, ..CANARY };
     for (name, trial, runs) in [
-        ("canary", CANARY, size.drops),
-        ("eight", eight, size.drops),
-        ("wide", WIDE, size.wide.min(size.drops) / 4),
+        ("canary", CANARY, runs.drops),
+        ("eight", eight_canaries, runs.drops),
+        ("wide", WIDE, runs.wide.min(runs.drops) / 4),
     ] {
-        figures.put(&format!("smallest_drop_found_{name}"), smallest(how, trial, runs));
+        figures.put(&format!("smallest_drop_found_{name}"), smallest_detected_drop(run_args, trial, runs));
         for drop in [0.0, 0.01, 0.03, 0.1, 0.5] {
-            decided(how, figures, &format!("{name}_drop_{drop}"), Trial { drop, ..trial }, runs);
+            put_decisions(run_args, figures, &format!("{name}_drop_{drop}"), Trial { drop, ..trial }, runs);
         }
     }
 }
 
-/// The smallest drop, in steps of a four-hundredth, that `FOUND` of the runs find within the trial's ten seconds.
-fn smallest(how: &RunArgs, trial: Trial, runs: u64) -> Option<f64> {
+/// The smallest drop, in steps of 1/400, that `DETECTION_SHARE` of the runs detect within the trial's ten seconds.
+fn smallest_detected_drop(run_args: &RunArgs, trial: Trial, runs: u64) -> Option<f64> {
     (1..=40).map(|step| f64::from(step) / 400.0).find(|drop| {
         let trial = Trial { drop: *drop, ..trial };
         let harmful = |seed: &u64| matches!(trial.first_verdict(SETTINGS, *seed).0, Verdict::Harmful { .. });
-        seeds(how, runs).into_par_iter().filter(harmful).count() as f64 >= FOUND * runs as f64
+        seeds(run_args, runs).into_par_iter().filter(harmful).count() as f64 >= DETECTION_SHARE * runs as f64
     })
 }
 
-fn decided(how: &RunArgs, figures: &mut Figures, name: &str, trial: Trial, runs: u64) {
-    let ends: Vec<_> =
-        seeds(how, runs).into_par_iter().map(|seed| trial.first_verdict(SETTINGS, seed)).collect();
-    let of = |so: fn(&Verdict) -> bool| ends.iter().filter(|e| so(&e.0)).count() as f64 / runs as f64;
-    figures.put_rounded(&format!("{name}_harmful"), of(|v| matches!(v, Verdict::Harmful { .. })));
-    figures.put_rounded(&format!("{name}_harmless"), of(|v| matches!(v, Verdict::Harmless { .. })));
-    let mut accesses: Vec<u64> = ends.iter().map(|e| accesses(e.0)).collect();
-    let mut seconds: Vec<f64> = ends.iter().map(|e| e.1 as f64 / 2.0).collect();
+fn put_decisions(run_args: &RunArgs, figures: &mut Figures, name: &str, trial: Trial, runs: u64) {
+    let decisions: Vec<_> =
+        seeds(run_args, runs).into_par_iter().map(|seed| trial.first_verdict(SETTINGS, seed)).collect();
+    let share = |condition: fn(&Verdict) -> bool| {
+        decisions.iter().filter(|d| condition(&d.0)).count() as f64 / runs as f64
+    };
+    figures.put_rounded(&format!("{name}_harmful"), share(|v| matches!(v, Verdict::Harmful { .. })));
+    figures.put_rounded(&format!("{name}_harmless"), share(|v| matches!(v, Verdict::Harmless { .. })));
+    let mut accesses: Vec<u64> = decisions.iter().map(|d| accesses(d.0)).collect();
+    let mut seconds: Vec<f64> = decisions.iter().map(|d| d.1 as f64 / 2.0).collect();
     accesses.sort_unstable();
     seconds.sort_by(f64::total_cmp);
-    for (quantile, share) in [("p50", 0.5), ("p99", 0.99)] {
-        let at = ((runs - 1) as f64 * share).round() as usize;
-        figures.put(&format!("accesses_to_decide_{quantile}_{name}"), accesses[at]);
-        figures.put(&format!("seconds_to_decide_{quantile}_{name}"), seconds[at]);
+    for (label, quantile) in [("p50", 0.5), ("p99", 0.99)] {
+        let index = ((runs - 1) as f64 * quantile).round() as usize;
+        figures.put(&format!("accesses_to_decide_{label}_{name}"), accesses[index]);
+        figures.put(&format!("seconds_to_decide_{label}_{name}"), seconds[index]);
     }
 }
 
--- a/crates/lab/src/evidence/simulated.rs
+++ b/crates/lab/src/evidence/simulated.rs
@@ -1,30 +1,30 @@
-//! A trial in virtual time: an arm and a control group of simulated fronts that report each half second, with what may
-//! befall them. Also included by the tests of `doorgrade-versions`.
+//! A trial in virtual time: simulated fronts of an arm and of a control group report every half second, under disturbances
+//! that a trial has to tolerate. The tests of `doorgrade-versions` include this file, too.
 
 use doorgrade_versions::evidence::{Comparison, Counts, FrontKey, FrontSample, TestSettings, Verdict};
 use fastrand::Rng;
 
-/// Accesses that a front ends in one report interval of 0.5 s, at 930 a second.
-pub const ASKED: f64 = 465.0;
-/// Accesses of a baseline of half a minute.
-pub const BASELINE: u64 = 27_900;
+/// Mean accesses of a front in a report interval of 0.5 s, at 930 a second.
+pub const INTERVAL_ACCESSES: f64 = 465.0;
+/// Accesses of a front in half a minute, which the baseline of its answered share is measured on.
+pub const BASELINE_ACCESSES: u64 = 27_900;
 
-/// Intervals that a storm takes, 3 s: it comes on while there is no verdict yet.
-const STORM: std::ops::Range<usize> = 1..7;
+/// The report intervals of a storm, which takes 3 s. It begins before there can be a verdict.
+const STORM_INTERVALS: std::ops::Range<usize> = 1..7;
 
-/// What befalls both groups while the trial is under way.
+/// A temporary drop of the answered share that the change under trial does not cause.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Storm {
     None,
-    /// All fronts answer 20 to 60% less for 3 s, each another share.
+    /// All fronts answer 20 to 60% less for 3 s, each by a share of its own.
     Everywhere,
-    /// The fronts of one station answer half for 3 s.
+    /// The fronts of one station answer half as much for 3 s.
     Station,
-    /// As `Station`, and the control group has no front there.
+    /// Like `Station`, but no front of the control group is affected.
     StationWithoutControl,
 }
 
-/// One front of the arm that does not tell the truth.
+/// The false counts that one front of the arm reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Liar {
     None,
@@ -32,7 +32,7 @@
     AnswersAll,
     /// A billion accesses, none answered.
     HugeNothing,
-    /// As many, all answered.
+    /// A billion accesses, all answered.
     HugeAll,
 }
 
@@ -41,19 +41,20 @@
     pub arm: usize,
     pub control: usize,
     pub stations: usize,
-    /// Of the answered share, in the arm, from its first interval.
+    /// The share by which the change lowers the answered share of the arm, from the first interval on.
     pub drop: f64,
-    /// Standard deviation of what a front's share strays from its baseline for the whole trial.
+    /// Standard deviation of the difference between a front's answered share during the trial and its baseline.
     pub drift: f64,
-    /// Standard deviation of what it strays in one interval.
+    /// Standard deviation of a front's answered share between intervals.
     pub jitter: f64,
+    /// Accesses that each front's baseline is measured on.
     pub baseline: u64,
     pub storm: Storm,
     pub liar: Liar,
     pub intervals: usize,
 }
 
-/// Four canaries beside sixteen, ten seconds.
+/// Four canaries and a control group of sixteen fronts, for ten seconds.
 pub const CANARY: Trial = Trial {
     arm: 4,
     control: 16,
@@ -61,13 +62,13 @@
     drop: 0.0,
     drift: 0.002,
     jitter: 0.005,
-    baseline: BASELINE,
+    baseline: BASELINE_ACCESSES,
     storm: Storm::None,
     liar: Liar::None,
     intervals: 20,
 };
 
-/// A tenth of 1,000 fronts beside another.
+/// A tenth of 1,000 fronts, and a control group of the same size.
 pub const WIDE: Trial = Trial { arm: 100, control: 100, ..CANARY };
 
 pub type Reports = Vec<(FrontKey, FrontSample)>;
@@ -75,19 +76,20 @@
 struct Front {
     station: usize,
     share: f64,
-    pace: f64,
+    /// Its access rate, relative to the mean.
+    relative_rate: f64,
     baseline: Counts,
-    /// What a storm everywhere leaves it.
-    left: f64,
+    /// The factor of its answered share during a storm everywhere.
+    storm_factor: f64,
 }
 
-/// Normal, mean 0 and deviation 1 (Box and Muller).
-fn normal(rng: &mut Rng) -> f64 {
+/// A standard normal variate, by the Box-Muller transform.
+fn standard_normal(rng: &mut Rng) -> f64 {
     let (u, v) = (1.0 - rng.f64(), rng.f64());
     (-2.0 * u.ln()).sqrt() * (v * std::f64::consts::TAU).cos()
 }
 
-/// How many of `n` come out with probability `p`: counted by the gaps between the rarer ones, or normal where many are rare.
+/// A binomial variate, from the geometric gaps between events, or by the normal approximation where there are many.
 fn binomial(rng: &mut Rng, n: u64, p: f64) -> u64 {
     if p > 0.5 {
         return n - binomial(rng, n, 1.0 - p);
@@ -97,13 +99,13 @@
         return 0;
     }
     if mean > 60.0 {
-        let drawn = mean + (mean * (1.0 - p)).sqrt() * normal(rng);
-        return drawn.round().clamp(0.0, n as f64) as u64;
+        let value = mean + (mean * (1.0 - p)).sqrt() * standard_normal(rng);
+        return value.round().clamp(0.0, n as f64) as u64;
     }
-    let (mut at, mut count) = (0.0, 0);
+    let (mut position, mut count) = (0.0, 0);
     loop {
-        at += ((1.0 - rng.f64()).ln() / (1.0 - p).ln()).floor() + 1.0;
-        if at > n as f64 {
+        position += ((1.0 - rng.f64()).ln() / (1.0 - p).ln()).floor() + 1.0;
+        if position > n as f64 {
             return count;
         }
         count += 1;
@@ -111,13 +113,13 @@
 }
 
 fn front(rng: &mut Rng, trial: &Trial, station: usize) -> Front {
-    let own = (0.97 + 0.015 * normal(rng)).clamp(0.85, 0.998);
-    let baseline = Counts { asked: trial.baseline, answered: binomial(rng, trial.baseline, own) };
-    let share = own + trial.drift * normal(rng);
-    Front { station, share, pace: 0.5 + rng.f64(), baseline, left: 0.4 + 0.4 * rng.f64() }
+    let baseline_share = (0.97 + 0.015 * standard_normal(rng)).clamp(0.85, 0.998);
+    let baseline = Counts { asked: trial.baseline, answered: binomial(rng, trial.baseline, baseline_share) };
+    let share = baseline_share + trial.drift * standard_normal(rng);
+    Front { station, share, relative_rate: 0.5 + rng.f64(), baseline, storm_factor: 0.4 + 0.4 * rng.f64() }
 }
 
-fn lie(liar: Liar, counts: Counts) -> Counts {
+fn reported(liar: Liar, counts: Counts) -> Counts {
     const HUGE: u64 = 1_000_000_000;
     match liar {
         Liar::None => counts,
@@ -129,20 +131,21 @@
 }
 
 impl Trial {
-    /// What the arm and the control group report at each interval, in order, until `done` says that it is enough.
+    /// Passes the reports of the arm and of the control group to `done`, interval by interval, until it returns true.
     pub fn reports(&self, seed: u64, mut done: impl FnMut(usize, &Reports, &Reports) -> bool) {
         let rng = &mut Rng::with_seed(seed);
         let arm: Vec<Front> = (0..self.arm).map(|n| front(rng, self, n % self.stations)).collect();
-        // The control group's stations are the arm's, in turn.
-        let places = self.arm.min(self.stations);
-        let control: Vec<Front> = (0..self.control).map(|n| front(rng, self, n % places)).collect();
-        let struck = rng.usize(..places);
+        // The control group's fronts are spread over the stations of the arm.
+        let arm_stations = self.arm.min(self.stations);
+        let control: Vec<Front> = (0..self.control).map(|n| front(rng, self, n % arm_stations)).collect();
+        let storm_station = rng.usize(..arm_stations);
         for interval in 0..self.intervals {
             let mut report = |fronts: &[Front], is_arm: bool| -> Reports {
                 let each = fronts.iter().enumerate().map(|(key, f)| {
-                    let counts = self.counts(rng, f, self.left(f, interval, struck, is_arm), is_arm);
+                    let counts =
+                        self.counts(rng, f, self.storm_factor(f, interval, storm_station, is_arm), is_arm);
                     let liar = if is_arm && key == 0 { self.liar } else { Liar::None };
-                    (key, FrontSample { counts: lie(liar, counts), baseline: f.baseline })
+                    (key, FrontSample { counts: reported(liar, counts), baseline: f.baseline })
                 });
                 each.collect()
             };
@@ -153,27 +156,28 @@
         }
     }
 
-    /// Share of its answers that a storm leaves a front.
-    fn left(&self, f: &Front, interval: usize, struck: usize, is_arm: bool) -> f64 {
-        let stormy = STORM.contains(&interval);
+    /// The factor of a front's answered share in an interval.
+    fn storm_factor(&self, f: &Front, interval: usize, storm_station: usize, is_arm: bool) -> f64 {
+        let in_storm = STORM_INTERVALS.contains(&interval);
         match self.storm {
-            Storm::Everywhere if stormy => f.left,
-            Storm::Station if stormy && f.station == struck => 0.5,
-            Storm::StationWithoutControl if stormy && is_arm && f.station == struck => 0.5,
+            Storm::Everywhere if in_storm => f.storm_factor,
+            Storm::Station if in_storm && f.station == storm_station => 0.5,
+            Storm::StationWithoutControl if in_storm && is_arm && f.station == storm_station => 0.5,
             _ => 1.0,
         }
     }
 
-    fn counts(&self, rng: &mut Rng, f: &Front, left: f64, is_arm: bool) -> Counts {
-        let asked = ASKED * f.pace;
-        let asked = (asked + asked.sqrt() * normal(rng)).round().max(0.0) as u64;
+    fn counts(&self, rng: &mut Rng, f: &Front, storm_factor: f64, is_arm: bool) -> Counts {
+        let asked = INTERVAL_ACCESSES * f.relative_rate;
+        let asked = (asked + asked.sqrt() * standard_normal(rng)).round().max(0.0) as u64;
         let drop = if is_arm { self.drop } else { 0.0 };
-        let share = (f.share * left * (1.0 - drop) + self.jitter * normal(rng)).clamp(0.0, 1.0);
+        let share =
+            (f.share * storm_factor * (1.0 - drop) + self.jitter * standard_normal(rng)).clamp(0.0, 1.0);
         Counts { asked, answered: binomial(rng, asked, share) }
     }
 
-    /// The verdict at each look, in order, until `done` says that it is enough.
-    pub fn play(&self, settings: TestSettings, seed: u64, mut done: impl FnMut(usize, Verdict) -> bool) {
+    /// Passes the verdict after each interval to `done`, until it returns true.
+    pub fn verdicts(&self, settings: TestSettings, seed: u64, mut done: impl FnMut(usize, Verdict) -> bool) {
         let mut comparison = Comparison::new(settings);
         self.reports(seed, |interval, arm, control| {
             comparison.observe(arm, control);
@@ -181,20 +185,20 @@
         });
     }
 
-    /// Where it ends if whoever runs the trial stops at the first verdict.
+    /// The first verdict other than undecided, or the last one, and the number of intervals until then.
     pub fn first_verdict(&self, settings: TestSettings, seed: u64) -> (Verdict, usize) {
         let mut last = (Verdict::Undecided { accesses: 0 }, 0);
-        self.play(settings, seed, |interval, verdict| {
+        self.verdicts(settings, seed, |interval, verdict| {
             last = (verdict, interval + 1);
             !matches!(verdict, Verdict::Undecided { .. })
         });
         last
     }
 
-    /// Whether it is called harmful at any look, also after it was called harmless.
+    /// Whether the verdict is harmful after any interval, also if it was harmless before.
     pub fn ever_harmful(&self, settings: TestSettings, seed: u64) -> bool {
         let mut harmful = false;
-        self.play(settings, seed, |_, verdict| {
+        self.verdicts(settings, seed, |_, verdict| {
             harmful = matches!(verdict, Verdict::Harmful { .. });
             harmful
         });
--- a/crates/lab/src/soak.rs
+++ b/crates/lab/src/soak.rs
@@ -1,9 +1,9 @@
-//! Memory and descriptors of one real front over as many accesses as 45 minutes bring, in minutes: it is played by
-//! count, not by the clock, so what only time lets go of has less time here. All the while caches are replaced by new
-//! ones under new ids, objects and clients' ids are always new in part, purges come, connections are made and dropped in the
-//! middle of requests, and some clients hold theirs for good. The front is a process on loopback, all else stand-ins.
+//! Memory and descriptors of one real front over as many accesses as 45 minutes bring, within minutes: the run ends after a
+//! number of accesses, so state that expires by time has less time to do so. All the while, caches are replaced by new ones
+//! under new ids, a part of the objects and client ids is always new, purges are sent, clients connect and disconnect in the
+//! middle of requests, and some keep idle connections open. The front is a process on loopback, everything else is simulated.
 //!
-//! It is read in quarters: memory that keeps growing shows as a last quarter above the second.
+//! Memory is reported by quarters of the run: a leak shows as a last quarter above the second.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering::SeqCst};
@@ -17,19 +17,19 @@
 use crate::rig::{self, Folder, Front};
 use crate::{Figures, RunArgs};
 
-/// Some tens of accesses a second at most come to one front of a large fleet: 60 of them, for 45 minutes.
+/// 60 a second for 45 minutes; a front of a large fleet gets some tens a second at most.
 const ACCESSES: u64 = 60 * 45 * 60;
 const CACHES: usize = 6;
-const WORKERS: usize = 24;
+const CLIENT_THREADS: usize = 24;
 
 fn config(caches: &[Member], archive: &Member, feed: &Feed, seed: u64) -> String {
-    let row = |m: &Member, place: &str, flavor: &str| {
-        json!({"id": m.id, "host_port": m.at.to_string(), "locality": place, "flavor": flavor, "cell": 0,
+    let member_json = |m: &Member, locality: &str, machine_type: &str| {
+        json!({"id": m.id, "host_port": m.at.to_string(), "locality": locality, "flavor": machine_type, "cell": 0,
             "phase": "in_service", "size": 1, "up_since_ms": 0})
     };
-    let mut members: Vec<_> = caches.iter().map(|m| row(m, "here", "cache")).collect();
-    members.push(row(archive, "here", "archive"));
-    let profile = |name: &str, kind: &str| json!({"name": name, "aim": 400.0, "deadline": 1500.0, "worth": 1.0, "semantics": kind});
+    let mut members: Vec<_> = caches.iter().map(|m| member_json(m, "here", "cache")).collect();
+    members.push(member_json(archive, "here", "archive"));
+    let profile = |name: &str, semantics: &str| json!({"name": name, "aim": 400.0, "deadline": 1500.0, "worth": 1.0, "semantics": semantics});
     let settings = json!({
         "zone": 0, "fleetSize": 1, "quantum": 2.0, "localities": ["here"], "machineTypes": ["cache", "archive"],
         "registryMode": "automatic", "weightKind": "nominal",
@@ -46,122 +46,127 @@
     .to_string()
 }
 
-/// Memory in use in MB, and descriptors.
-fn holds(process: u32) -> Result<(f64, usize), String> {
-    let open = std::fs::read_dir(format!("/proc/{process}/fd")).map_or(0, Iterator::count);
-    Ok((rig::memory_mb(process)?, open))
+/// Resident memory in MB, and open descriptors.
+fn memory_and_descriptors(process: u32) -> Result<(f64, usize), String> {
+    let descriptors = std::fs::read_dir(format!("/proc/{process}/fd")).map_or(0, Iterator::count);
+    Ok((rig::memory_mb(process)?, descriptors))
 }
 
 struct Shared {
-    done: AtomicU64,
-    lost: AtomicU64,
+    accesses: AtomicU64,
+    not_answered: AtomicU64,
     stop: AtomicBool,
 }
 
-/// One client after the other: some accesses on a connection, then another connection.
-fn clients(at: std::net::SocketAddr, seed: u64, most: u64, shared: &Shared) {
+/// One client after the other, each with some accesses on a connection of its own.
+fn run_clients(address: std::net::SocketAddr, seed: u64, max_accesses: u64, shared: &Shared) {
     let mut rng = Rng::with_seed(seed);
-    let mut held = Vec::new();
-    while shared.done.load(SeqCst) < most && !shared.stop.load(SeqCst) {
-        let Ok(mut client) = Client::connect(at) else { continue };
+    let mut idle = Vec::new();
+    while shared.accesses.load(SeqCst) < max_accesses && !shared.stop.load(SeqCst) {
+        let Ok(mut client) = Client::connect(address) else { continue };
         for _ in 0..rng.u32(1..20) {
-            // A third are of objects that nobody asks for twice.
+            // A third are of objects that are accessed only once.
             let key = if rng.u8(0..3) == 0 { rng.u64(..) } else { rng.u64(0..500) };
             let class = if rng.u8(0..20) == 0 { "license" } else { "files" };
-            let answer = client.ask(class, &format!("{key:016x}"), 1_500);
-            shared.done.fetch_add(1, SeqCst);
-            if answer.is_err() {
-                shared.lost.fetch_add(1, SeqCst);
+            let response = client.ask(class, &format!("{key:016x}"), 1_500);
+            shared.accesses.fetch_add(1, SeqCst);
+            if response.is_err() {
+                shared.not_answered.fetch_add(1, SeqCst);
                 break;
             }
         }
         match rng.u8(0..40) {
-            // Gone in the middle of a request.
+            // Disconnects in the middle of a request.
             0 => drop(client.send(&[("SCRIPT_NAME", "/do/files"), ("HTTP_REQ_KEY", "00")], b"")),
-            // Held for good: the front has to close it.
-            1 if held.len() < 8 => held.push(client),
+            // Keeps the connection open until the front closes it.
+            1 if idle.len() < 8 => idle.push(client),
             _ => {}
         }
     }
 }
 
-pub fn run(how: &RunArgs, named: Option<std::path::PathBuf>) -> Result<Figures, String> {
-    let program = rig::program(named)?;
-    let most = if how.quick { ACCESSES / 10 } else { ACCESSES };
+pub fn run(run_args: &RunArgs, front_path: Option<std::path::PathBuf>) -> Result<Figures, String> {
+    let program = rig::program(front_path)?;
+    let max_accesses = if run_args.quick { ACCESSES / 10 } else { ACCESSES };
     let io = |e: std::io::Error| e.to_string();
     let folder = Folder::new("soak")?;
     let directory = Directory::default();
-    let mut ids = 1u32;
-    let mut next = || {
-        ids += 1;
-        format!("s-{ids:08x}")
+    let mut last_id = 1u32;
+    let mut next_id = || {
+        last_id += 1;
+        format!("s-{last_id:08x}")
     };
     let spec =
         |id: &str, role| Spec { keeps: 200, lag: Duration::ZERO, ..Spec::new(id, "127.0.0.1:0", role) };
     let mut caches = Vec::new();
     for _ in 0..CACHES {
-        caches.push(Member::start(spec(&next(), Role::Cache), &directory).map_err(io)?);
+        caches.push(Member::start(spec(&next_id(), Role::Cache), &directory).map_err(io)?);
     }
-    let archive = Member::start(spec(&next(), Role::Archive), &directory).map_err(io)?;
+    let archive = Member::start(spec(&next_id(), Role::Archive), &directory).map_err(io)?;
     let feed = Feed::start("127.0.0.1:0").map_err(io)?;
-    let path = folder.put("config.json", &config(&caches, &archive, &feed, how.seed))?;
+    let path = folder.put("config.json", &config(&caches, &archive, &feed, run_args.seed))?;
     let front = Front::start(&program, &path, None)?;
-    let shared =
-        Arc::new(Shared { done: AtomicU64::new(0), lost: AtomicU64::new(0), stop: AtomicBool::new(false) });
-    let begun = Instant::now();
-    let workers: Vec<_> = (0..WORKERS as u64)
+    let shared = Arc::new(Shared {
+        accesses: AtomicU64::new(0),
+        not_answered: AtomicU64::new(0),
+        stop: AtomicBool::new(false),
+    });
+    let began_at = Instant::now();
+    let threads: Vec<_> = (0..CLIENT_THREADS as u64)
         .map(|n| {
-            let (shared, at, seed) = (shared.clone(), front.at, how.seed.wrapping_mul(1_000).wrapping_add(n));
-            std::thread::spawn(move || clients(at, seed, most, &shared))
+            let (shared, address, seed) =
+                (shared.clone(), front.at, run_args.seed.wrapping_mul(1_000).wrapping_add(n));
+            std::thread::spawn(move || run_clients(address, seed, max_accesses, &shared))
         })
         .collect();
 
-    // The largest of each eighth, so that a moment's low does not hide growth.
-    let (mut eighths, mut open, mut replaced, mut purges, mut number) =
+    // The maximum in each eighth of the run, since a single low sample could hide growth.
+    let (mut memory_mb, mut descriptors, mut replaced, mut purges, mut last_event) =
         (vec![0f64; 8], vec![0; 8], 0u64, 0u64, 1u64);
-    let mut rng = Rng::with_seed(how.seed);
-    // As often as 45 minutes would see with one cache replaced in 3 s, and as many purges.
-    let changes = most / 180;
-    let mut changed = 0;
+    let mut rng = Rng::with_seed(run_args.seed);
+    // One cache is replaced and one object purged for each 180 accesses, which 60 a second would bring in 3 s.
+    let replacements = max_accesses / 180;
+    let mut started_replacements = 0;
     loop {
-        let done = shared.done.load(SeqCst);
-        if done >= most || begun.elapsed() > Duration::from_secs(1_200) {
+        let accesses = shared.accesses.load(SeqCst);
+        if accesses >= max_accesses || began_at.elapsed() > Duration::from_secs(1_200) {
             break;
         }
-        let at = (8 * done / most).min(7) as usize;
-        let (mb, fds) = holds(front.process())?;
-        (eighths[at], open[at]) = (eighths[at].max(mb), open[at].max(fds));
-        while changed < done * changes / most {
-            changed += 1;
-            let (old, new) =
-                (rng.usize(0..CACHES), Member::start(spec(&next(), Role::Cache), &directory).map_err(io)?);
-            let gone = std::mem::replace(&mut caches[old], new);
-            let listed = record(&caches[old].id, caches[old].at, 0, 0, 0, unix_ms());
-            let left = record(&gone.id, gone.at, 2, 0, 0, 0);
-            number += 1;
-            feed.list(number, &[listed, left]);
-            gone.kill();
+        let eighth = (8 * accesses / max_accesses).min(7) as usize;
+        let (mb, open) = memory_and_descriptors(front.process())?;
+        (memory_mb[eighth], descriptors[eighth]) = (memory_mb[eighth].max(mb), descriptors[eighth].max(open));
+        while started_replacements < accesses * replacements / max_accesses {
+            started_replacements += 1;
+            let (index, new) =
+                (rng.usize(0..CACHES), Member::start(spec(&next_id(), Role::Cache), &directory).map_err(io)?);
+            let old = std::mem::replace(&mut caches[index], new);
+            let listed = record(&caches[index].id, caches[index].at, 0, 0, 0, unix_ms());
+            let removed = record(&old.id, old.at, 2, 0, 0, 0);
+            last_event += 1;
+            feed.list(last_event, &[listed, removed]);
+            old.kill();
             replaced += 1;
-            number += 1;
-            feed.purge(number, rng.u64(0..500), unix_ms());
+            last_event += 1;
+            feed.purge(last_event, rng.u64(0..500), unix_ms());
             purges += 1;
         }
         std::thread::sleep(Duration::from_millis(20));
     }
     shared.stop.store(true, SeqCst);
-    workers.into_iter().for_each(|w| drop(w.join()));
-    let half = |from: usize, of: &[f64]| of[from..from + 2].iter().copied().fold(0.0, f64::max);
+    threads.into_iter().for_each(|t| drop(t.join()));
+    let quarter_max =
+        |from: usize, values: &[f64]| values[from..from + 2].iter().copied().fold(0.0, f64::max);
     let mut figures = Figures::default();
-    figures.put("accesses", shared.done.load(SeqCst));
-    figures.put("not_answered", shared.lost.load(SeqCst));
-    figures.put_rounded("seconds", begun.elapsed().as_secs_f64());
+    figures.put("accesses", shared.accesses.load(SeqCst));
+    figures.put("not_answered", shared.not_answered.load(SeqCst));
+    figures.put_rounded("seconds", began_at.elapsed().as_secs_f64());
     figures.put("caches_replaced", replaced);
     figures.put("purges", purges);
     for (quarter, from) in [("first", 0), ("second", 2), ("third", 4), ("last", 6)] {
-        figures.put_rounded(&format!("memory_mb_{quarter}_quarter"), half(from, &eighths));
+        figures.put_rounded(&format!("memory_mb_{quarter}_quarter"), quarter_max(from, &memory_mb));
     }
-    figures.put_rounded("growth_mb_second_half", half(6, &eighths) - half(2, &eighths));
-    figures.put("descriptors_most", open.into_iter().max().unwrap_or(0));
+    figures.put_rounded("growth_mb_second_half", quarter_max(6, &memory_mb) - quarter_max(2, &memory_mb));
+    figures.put("descriptors_most", descriptors.into_iter().max().unwrap_or(0));
     figures.put("limit_mb", 48);
     Ok(figures)
 }
