--- a/crates/lab/src/front_state/cost.rs
+++ b/crates/lab/src/front_state/cost.rs
@@ -48,8 +48,12 @@
         };
         let age = if miss { 0 } else { self.0.u64(0..HOUR) };
         let filled_at = (outcome == Outcome::Handled).then(|| now.saturating_sub(age));
-        let latency = min_latency + self.0.u64(0..2 * min_latency);
-        CacheResponse { outcome, cache_status, filled_at, latency }
+        CacheResponse {
+            outcome,
+            cache_status,
+            filled_at,
+            latency: min_latency + self.0.u64(0..2 * min_latency),
+        }
     }
 }
 
--- a/crates/lab/src/front_state/site.rs
+++ b/crates/lab/src/front_state/site.rs
@@ -183,8 +183,8 @@
     let objects = steady_state(case, &mut rng);
     let mut caches = SiteCaches { objects, own: FxHashMap::default(), reported: Vec::new(), rng };
     let mut rng = fastrand::Rng::with_seed(case.seed);
-    let members = MemberCounts { own_zone: 6, other_zones: 232, parents: 12 };
-    let mut simulation = Simulation::new(members, case.seed, HOUR);
+    let mut simulation =
+        Simulation::new(MemberCounts { own_zone: 6, other_zones: 232, parents: 12 }, case.seed, HOUR);
     let mut tables: Vec<Table> = case.tables.iter().map(|&t| Table::new(t)).collect();
     let mut shared = SharedTables::default();
     let mut counts = Counts { tables_known: vec![0; tables.len()], min_stay: u32::MAX, ..Counts::default() };
