--- a/crates/lab/src/capacity/data.rs
+++ b/crates/lab/src/capacity/data.rs
@@ -275,8 +275,12 @@
         }
         for missing in &self.missing {
             if !self.requirements.iter().any(|r| r.description == missing.requirement) {
-                let (entry, name) = (missing.mechanism.clone(), missing.requirement.clone());
-                return Err(PageError::Unknown { entry, kind: "requirement", name });
+                let name = missing.requirement.clone();
+                return Err(PageError::Unknown {
+                    entry: missing.mechanism.clone(),
+                    kind: "requirement",
+                    name,
+                });
             }
         }
         Ok(())
@@ -308,9 +312,7 @@
         match (&budget.quantity, &budget.figure) {
             (Some(name), None) => self.quantity(entry, name).map(drop)?,
             (None, Some(name)) => self.figure(entry, name).map(drop)?,
-            _ => {
-                return Err(invalid(entry, "has a budget of both or neither", "one of the two"));
-            }
+            _ => return Err(invalid(entry, "has a budget of both or neither", "a quantity or a figure")),
         }
         check_number(entry, "factor", budget.factor, 0.0, MAX_VALUE)
     }
@@ -352,7 +354,7 @@
             return Err(invalid(
                 entry,
                 format!("is measured on commit {commit:?}"),
-                "the commit's hash, 7 digits at least",
+                "a hash of 7 digits or more",
             ));
         }
         if measured.seeds.is_empty() || measured.sizes.is_empty() {
--- a/crates/lab/src/evidence/simulated.rs
+++ b/crates/lab/src/evidence/simulated.rs
@@ -119,6 +119,7 @@
     Front { station, share, relative_rate: 0.5 + rng.f64(), baseline, storm_factor: 0.4 + 0.4 * rng.f64() }
 }
 
+/// The counts that a front reports instead of the true ones.
 fn reported(liar: Liar, counts: Counts) -> Counts {
     const HUGE: u64 = 1_000_000_000;
     match liar {
