--- a/crates/lab/src/capacity/data.rs
+++ b/crates/lab/src/capacity/data.rs
@@ -351,11 +351,7 @@
         }
         let commit = &measured.commit;
         if commit.len() < 7 || !commit.bytes().all(|b| b.is_ascii_hexdigit()) {
-            return Err(invalid(
-                entry,
-                format!("is measured on commit {commit:?}"),
-                "a hash of 7 digits or more",
-            ));
+            return Err(invalid(entry, format!("is measured on commit {commit:?}"), "7 or more hex digits"));
         }
         if measured.seeds.is_empty() || measured.sizes.is_empty() {
             return Err(invalid(entry, "is measured without sizes or seeds", "both"));
--- a/crates/lab/src/scale/front_state.rs
+++ b/crates/lab/src/scale/front_state.rs
@@ -18,7 +18,7 @@
     run,
 };
 
-/// The members that a front of the target lists: the caches of its own site and of the others, and a parent for each of
+/// The 250 members that a front of the target lists: the caches of its own site and of the others, and a parent for each of
 /// the 12 regions.
 const SITE: MemberCounts = MemberCounts { own_zone: 6, other_zones: 232, parents: 12 };
 const PARENTS: usize = 12;
@@ -126,9 +126,9 @@
         context.check()?;
         let result = front.cut(cut, 1_000_000 + n as u64).map_err(|e| context.fault(e))?;
         let none = serde_json::Value::Null;
-        let seconds = |time: Option<f64>| time.map_or(none.clone(), |s| ((s * 1e3).round() / 1e3).into());
-        context.put(&format!("cut_{cut}_noticed_s"), seconds(result.noticed_s));
-        context.put(&format!("cut_{cut}_purge_heeded_s"), seconds(result.purge_applied_s));
+        let rounded = |time: Option<f64>| time.map_or(none.clone(), |s| ((s * 1e3).round() / 1e3).into());
+        context.put(&format!("cut_{cut}_noticed_s"), rounded(result.noticed_s));
+        context.put(&format!("cut_{cut}_purge_heeded_s"), rounded(result.purge_applied_s));
         context.put(&format!("cut_{cut}_old_answers"), result.stale_responses);
         context.put(&format!("cut_{cut}_said_ready"), result.ready);
     }
