--- a/crates/agent/src/door.rs
+++ b/crates/agent/src/door.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 use std::sync::Arc;
 
-use doorgrade_stream::wire::{Ended, Reader, Writer};
+use doorgrade_stream::wire::{ConnectionError, Reader, Writer};
 use tokio::net::{UnixListener, UnixStream};
 use tokio::sync::{Semaphore, mpsc, oneshot};
 
@@ -79,7 +79,7 @@
             read = reader.read::<Ask>() => {
                 let ask = match read {
                     Ok(ask) => ask,
-                    Err(Ended::Closed) => return,
+                    Err(ConnectionError::Closed) => return,
                     Err(ended) => return tracing::debug!("a command: {ended}"),
                 };
                 let watches = matches!(ask, Ask::Watch);
--- a/crates/agent/src/journal.rs
+++ b/crates/agent/src/journal.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 
 use doorgrade_fleet::instance::Kept;
-use doorgrade_store::{Records, Trouble};
+use doorgrade_store::{Records, StoreError};
 
 pub struct Journal {
     records: Records,
@@ -22,16 +22,16 @@
 impl Journal {
     /// One agent holds it at a time: the store's file is locked. What can't be read is told and left out; what runs is found
     /// by its marks all the same.
-    pub fn open(path: &Path) -> Result<(Journal, Found, Vec<Trouble>), Trouble> {
+    pub fn open(path: &Path) -> Result<(Journal, Found, Vec<StoreError>), StoreError> {
         let (records, trouble) = Records::open(path)?;
-        let mut troubles: Vec<Trouble> = trouble.into_iter().collect();
+        let mut troubles: Vec<StoreError> = trouble.into_iter().collect();
         let mut kept = BTreeMap::new();
         for key in records.keys("instance/")? {
             let name = key.trim_start_matches("instance/");
             match records.read(&key).map(|payload| payload.map(|p| postcard::from_bytes::<Kept>(&p))) {
                 Ok(Some(Ok(of))) => drop(kept.insert(name.into(), of)),
                 Ok(None) => {}
-                Ok(Some(Err(_))) => troubles.push(Trouble::Damaged(key.into())),
+                Ok(Some(Err(_))) => troubles.push(StoreError::Damaged(key.into())),
                 Err(trouble) => troubles.push(trouble),
             }
         }
@@ -44,17 +44,17 @@
         Ok((journal, kept, troubles))
     }
 
-    fn put(&self, key: &str, value: &impl serde::Serialize) -> Result<(), Trouble> {
-        let payload = postcard::to_stdvec(value).map_err(|e| Trouble::Failed(e.to_string().into()))?;
+    fn put(&self, key: &str, value: &impl serde::Serialize) -> Result<(), StoreError> {
+        let payload = postcard::to_stdvec(value).map_err(|e| StoreError::Failed(e.to_string().into()))?;
         self.records.write(&[(key, payload)], &[])
     }
 
     /// Whether it can be written now.
-    pub fn check(&self) -> Result<(), Trouble> {
+    pub fn check(&self) -> Result<(), StoreError> {
         self.put("term", &self.term)
     }
 
-    pub fn keep(&self, name: &str, kept: &Kept) -> Result<(), Trouble> {
+    pub fn keep(&self, name: &str, kept: &Kept) -> Result<(), StoreError> {
         self.put(&key(name), kept)
     }
 }
--- a/crates/cli/src/config.rs
+++ b/crates/cli/src/config.rs
@@ -7,7 +7,7 @@
 use std::path::{Path, PathBuf};
 
 use clap::Subcommand;
-use doorgrade_control::ask::Asker;
+use doorgrade_control::operator_client::OperatorClient;
 use doorgrade_operator::settings::Manage;
 use doorgrade_operator::{Settings, Version, files};
 use doorgrade_versions::service::{ChangeRow, Filter, Request, Response, Totals};
@@ -107,7 +107,7 @@
     let (manage, path) = manage(settings)?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     runtime.map_err(|e| e.to_string())?.block_on(async {
-        let mut asker = Asker::connect(&manage, &path).await?;
+        let mut asker = OperatorClient::connect(&manage, &path).await?;
         talk(&mut asker, command).await
     })
 }
@@ -122,16 +122,16 @@
     }
 }
 
-async fn totals(asker: &mut Asker) -> Result<Totals, String> {
-    match asker.ask(&Request::Status).await? {
+async fn totals(asker: &mut OperatorClient) -> Result<Totals, String> {
+    match asker.request(&Request::Status).await? {
         Response::Status(totals) => Ok(*totals),
         other => Err(refusal(other)),
     }
 }
 
 /// Changes that are not settled, or were lately; none where rollouts go in waves.
-async fn rows(asker: &mut Asker) -> Result<Vec<ChangeRow>, String> {
-    match asker.ask(&Request::Changes).await? {
+async fn rows(asker: &mut OperatorClient) -> Result<Vec<ChangeRow>, String> {
+    match asker.request(&Request::Changes).await? {
         Response::Changes(rows) => Ok(rows),
         other => Err(refusal(other)),
     }
@@ -151,15 +151,15 @@
     }
 }
 
-async fn content(asker: &mut Asker, number: u64) -> Result<Vec<u8>, String> {
-    match asker.ask(&Request::Content { number }).await? {
+async fn content(asker: &mut OperatorClient, number: u64) -> Result<Vec<u8>, String> {
+    match asker.request(&Request::Content { number }).await? {
         Response::Content { content, .. } => Ok(content.to_vec()),
         other => Err(refusal(other)),
     }
 }
 
 /// A version by its number, or else a file.
-async fn one(asker: &mut Asker, named: &str) -> Result<String, String> {
+async fn one(asker: &mut OperatorClient, named: &str) -> Result<String, String> {
     let bytes = match named.parse() {
         Ok(number) => content(asker, number).await?,
         Err(_) => read(Path::new(named))?,
@@ -167,7 +167,7 @@
     String::from_utf8(bytes).map_err(|_| format!("{named}: is no text"))
 }
 
-async fn talk(asker: &mut Asker, command: Config) -> Result<End, String> {
+async fn talk(asker: &mut OperatorClient, command: Config) -> Result<End, String> {
     match command {
         Config::Check { .. } => Ok(End::Done),
         Config::Publish { file, note, expect, no_wait, json } => {
@@ -212,12 +212,12 @@
             status(asker, (fronts || behind || trouble).then_some(filter), json).await
         }
         Config::Watch { json } => {
-            match asker.ask(&Request::Watch).await? {
+            match asker.request(&Request::Watch).await? {
                 Response::Watching => {}
                 other => return Err(refusal(other)),
             }
             loop {
-                let line = asker.line().await?;
+                let line = asker.next_log_event().await?;
                 say(&if json {
                     format!("{}\n", line_json(&line))
                 } else {
@@ -230,8 +230,8 @@
     }
 }
 
-async fn done(asker: &mut Asker, ask: &Request) -> Result<End, String> {
-    match asker.ask(ask).await? {
+async fn done(asker: &mut OperatorClient, ask: &Request) -> Result<End, String> {
+    match asker.request(ask).await? {
         Response::Done => Ok(End::Done),
         other => Err(refusal(other)),
     }
--- a/crates/cli/src/config/publish.rs
+++ b/crates/cli/src/config/publish.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use doorgrade_control::ask::Asker;
+use doorgrade_control::operator_client::OperatorClient;
 use doorgrade_versions::VersionId;
 use doorgrade_versions::service::{ChangeState, Request, Response};
 use indicatif::{ProgressBar, ProgressStyle};
@@ -15,8 +15,13 @@
 const LOOK_EACH: Duration = Duration::from_millis(250);
 
 /// Publishes, and stays until it is known what came of it: it runs everywhere, has stopped, or was taken out.
-pub async fn published(asker: &mut Asker, ask: &Request, no_wait: bool, json: bool) -> Result<End, String> {
-    let id = match asker.ask(ask).await? {
+pub async fn published(
+    asker: &mut OperatorClient,
+    ask: &Request,
+    no_wait: bool,
+    json: bool,
+) -> Result<End, String> {
+    let id = match asker.request(ask).await? {
         Response::Published(id) => id,
         other => return Err(refusal(other)),
     };
@@ -43,7 +48,7 @@
 }
 
 /// Until the change is in force, or out.
-async fn by_evidence(asker: &mut Asker, id: VersionId, json: bool) -> Result<End, String> {
+async fn by_evidence(asker: &mut OperatorClient, id: VersionId, json: bool) -> Result<End, String> {
     let bar = shown("{msg}, {elapsed}")?;
     loop {
         let row = rows(asker).await?.into_iter().find(|row| row.number == id.number);
@@ -82,7 +87,7 @@
 }
 
 /// Until it runs everywhere or has stopped.
-async fn in_waves(asker: &mut Asker, id: VersionId, json: bool) -> Result<End, String> {
+async fn in_waves(asker: &mut OperatorClient, id: VersionId, json: bool) -> Result<End, String> {
     let bar = shown("{msg} [{bar:30}] {pos} of {len} fronts, {elapsed}")?;
     loop {
         let totals = totals(asker).await?;
--- a/crates/cli/src/config/show.rs
+++ b/crates/cli/src/config/show.rs
@@ -1,6 +1,6 @@
 //! What the service knows, as tables for people and JSON for scripts.
 
-use doorgrade_control::ask::Asker;
+use doorgrade_control::operator_client::OperatorClient;
 use doorgrade_stream::clock::now;
 use doorgrade_versions::VersionId;
 use doorgrade_versions::service::{
@@ -21,10 +21,10 @@
     }
 }
 
-pub async fn history(asker: &mut Asker, json: bool) -> Result<End, String> {
+pub async fn history(asker: &mut OperatorClient, json: bool) -> Result<End, String> {
     let (mut all, mut below) = (Vec::new(), u64::MAX);
     loop {
-        let page = match asker.ask(&Request::History { below }).await? {
+        let page = match asker.request(&Request::History { below }).await? {
             Response::History(page) => page,
             other => return Err(refusal(other)),
         };
@@ -129,7 +129,7 @@
     text
 }
 
-pub async fn status(asker: &mut Asker, fronts: Option<Filter>, json: bool) -> Result<End, String> {
+pub async fn status(asker: &mut OperatorClient, fronts: Option<Filter>, json: bool) -> Result<End, String> {
     let totals = totals(asker).await?;
     let open: Vec<ChangeRow> = rows(asker).await?.into_iter().filter(under_way).collect();
     let rows = match fronts {
@@ -198,7 +198,7 @@
     json!({"number": row.number, "note": row.note, "state": state_name(&row.state), "why": why})
 }
 
-pub async fn changes(asker: &mut Asker, json: bool) -> Result<End, String> {
+pub async fn changes(asker: &mut OperatorClient, json: bool) -> Result<End, String> {
     let all = rows(asker).await?;
     if json {
         let all: Vec<Value> = all.iter().map(change_json).collect();
--- a/crates/cli/src/keys.rs
+++ b/crates/cli/src/keys.rs
@@ -3,8 +3,8 @@
 use std::path::{Path, PathBuf};
 
 use clap::Subcommand;
-use doorgrade_keys::make::{self, Pair};
-use doorgrade_keys::{Dated, dates};
+use doorgrade_keys::generate::{self, CertificateAndKey};
+use doorgrade_keys::{CertificateInfo, certificate_infos};
 use doorgrade_stream::clock::now;
 use serde_json::{Value, json};
 
@@ -55,33 +55,33 @@
     })
 }
 
-fn write(prefix: &Path, pair: &Pair) -> Result<End, String> {
+fn write(prefix: &Path, pair: &CertificateAndKey) -> Result<End, String> {
     let [certificate, key] = ends(prefix);
     // The key first: a certificate without one would look like a whole pair.
-    make::write_new(&key, &pair.key).map_err(|t| t.to_string())?;
-    make::write_new(&certificate, &pair.certificate).map_err(|t| t.to_string())?;
+    generate::write_new(&key, &pair.key).map_err(|t| t.to_string())?;
+    generate::write_new(&certificate, &pair.certificate).map_err(|t| t.to_string())?;
     say(&format!("{}\n{}\n", certificate.display(), key.display())).map(|()| End::Done)
 }
 
-fn read(prefix: &Path) -> Result<Pair, String> {
+fn read(prefix: &Path) -> Result<CertificateAndKey, String> {
     let [certificate, key] = ends(prefix);
     let text = |path: &Path| std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()));
-    Ok(Pair { certificate: text(&certificate)?, key: text(&key)? })
+    Ok(CertificateAndKey { certificate: text(&certificate)?, key: text(&key)? })
 }
 
 pub fn run(command: Keys) -> Result<End, String> {
     match command {
         Keys::Authority { prefix, called, days } => {
-            let pair = make::authority(&called, days.into()).map_err(|t| t.to_string())?;
+            let pair = generate::authority(&called, days.into()).map_err(|t| t.to_string())?;
             write(&prefix, &pair)
         }
         Keys::Issue { prefix, authority, names, days } => {
             let names: Vec<&str> = names.iter().map(String::as_str).collect();
-            let pair = make::issue(&read(&authority)?, &names, days.into()).map_err(|t| t.to_string())?;
+            let pair = generate::issue(&read(&authority)?, &names, days.into()).map_err(|t| t.to_string())?;
             write(&prefix, &pair)
         }
         Keys::Seal { number } => {
-            let secret = make::secret().map_err(|t| t.to_string())?;
+            let secret = generate::secret().map_err(|t| t.to_string())?;
             say(&format!("key \"{number}\" {{ secret = \"{secret}\" }}\n")).map(|()| End::Done)
         }
         Keys::Show { files, json } => show(&files, json),
@@ -89,13 +89,13 @@
 }
 
 fn show(files: &[PathBuf], as_json: bool) -> Result<End, String> {
-    let (mut all, mut wrong): (Vec<Dated>, bool) = Default::default();
+    let (mut all, mut wrong): (Vec<CertificateInfo>, bool) = Default::default();
     for file in files {
-        all.extend(dates(file).map_err(|t| t.to_string())?);
+        all.extend(certificate_infos(file).map_err(|t| t.to_string())?);
     }
     let mut rows = vec![["file", "for", "stands"].map(str::to_owned).to_vec()];
     let mut list: Vec<Value> = Vec::new();
-    for Dated { file, of, span } in &all {
+    for CertificateInfo { file, subject: of, validity: span } in &all {
         let word = span.warning(now());
         wrong |= word.is_some();
         let days = span.not_after.saturating_sub(now()) / doorgrade_trust::TICKS_PER_DAY;
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -64,7 +64,7 @@
     /// Serves versions of the configuration to fronts, and answers the commands below `config`
     Control {
         /// The service's settings, an HCL file
-        #[arg(long, value_name = "FILE", default_value = doorgrade_control::settings::USUAL)]
+        #[arg(long, value_name = "FILE", default_value = doorgrade_control::settings::DEFAULT_PATH)]
         file: PathBuf,
     },
     /// Publishes versions of the configuration and shows how they fare; talks to the service that the settings name
--- a/crates/cli/src/recall.rs
+++ b/crates/cli/src/recall.rs
@@ -7,7 +7,7 @@
 use doorgrade_control_client::memory::{Remembers, read};
 use doorgrade_operator::files;
 use doorgrade_recall::{Memory, Snapshot, Source};
-use doorgrade_store::{Records, Trouble};
+use doorgrade_store::{Records, StoreError};
 use doorgrade_stream::clock::now;
 use serde_json::json;
 
@@ -85,7 +85,7 @@
     let records = match Records::open(path) {
         Ok((records, None)) => records,
         Ok((_, Some(trouble))) => return Err(named(&trouble)),
-        Err(Trouble::InUse) => {
+        Err(StoreError::InUse) => {
             return Err(named(&"a front that runs has it open: name its address to ask it"));
         }
         Err(trouble) => return Err(named(&trouble)),
--- a/crates/control-client/src/configuration.rs
+++ b/crates/control-client/src/configuration.rs
@@ -10,14 +10,14 @@
 
 use doorgrade_keys::rustls::ClientConfig;
 use doorgrade_keys::rustls::pki_types::ServerName;
-use doorgrade_keys::{Paths, Reloading, client};
+use doorgrade_keys::{Paths, Reloader, client_config};
 use doorgrade_operator::settings::Versions;
 use doorgrade_operator::{Version, files};
 use doorgrade_store::{FrontStore, Records};
-use doorgrade_stream::FRONTS;
+use doorgrade_stream::FRONT_PROTOCOL;
 use doorgrade_stream::clock::now;
-pub use doorgrade_stream::follow::AccessCounts;
-use doorgrade_stream::follow::{Command, Follow, Host, To};
+pub use doorgrade_stream::front_client::AccessCounts;
+use doorgrade_stream::front_client::{Command, FrontClient, Host, ServiceEndpoint};
 use doorgrade_versions::front::{Content, Front, LogEvent, StoredState};
 use doorgrade_versions::seal::{Keys, Seal};
 use doorgrade_versions::{RejectionReason, VersionId};
@@ -122,9 +122,9 @@
         let fault = |what: String| SetupError::Settings { block: "versions", what };
         let server = ServerName::try_from(self.own.server_name.to_string());
         let server = server.map_err(|e| fault(format!("key 'server_name': {e}")))?;
-        let paths = Paths::beside(&self.settings, &self.own.papers);
+        let paths = Paths::resolve(&self.settings, &self.own.papers);
         let files = paths.all();
-        let credentials = Reloading::new(files, move || client(&paths, FRONTS));
+        let credentials = Reloader::new(files, move || client_config(&paths, FRONT_PROTOCOL));
         let credentials = credentials.map_err(|t| fault(t.to_string()))?;
         let seal_keys = files::beside(&self.settings, &self.own.seal_keys);
         let keys = read_keys(&seal_keys).map_err(fault)?;
@@ -147,7 +147,7 @@
     stored: StoredVersion,
     name: String,
     server: ServerName<'static>,
-    credentials: Reloading<ClientConfig>,
+    credentials: Reloader<ClientConfig>,
     seal_keys: PathBuf,
     keys: SealKeys,
     instance: I,
@@ -160,9 +160,9 @@
         let StoredVersion { own, store, found, usable, seed, .. } = stored;
         let host = Applies { store, instance, before: Served::default(), next: None, lost: None };
         let (commands, mut told) = queue::channel(4);
-        let to = To { at: own.service, name: server };
+        let to = ServiceEndpoint { addresses: own.service, server_name: server };
         let first_keys = Keys::new(keys.clone());
-        let (mut follow, first) = Follow::new(host, to, credentials.made(), |at, out| {
+        let (mut follow, first) = FrontClient::new(host, to, credentials.config(), |at, out| {
             Front::start(at, seed, (&name, &own.station), first_keys, found, usable, out)
         });
         tokio::select! {
@@ -177,22 +177,22 @@
 
 /// Keys and certificates that change, and those that will end.
 async fn reload(
-    mut credentials: Reloading<ClientConfig>,
+    mut credentials: Reloader<ClientConfig>,
     seal_keys: PathBuf,
     mut keys: SealKeys,
     commands: queue::Sender<Command>,
 ) {
     loop {
-        for (file, of, word) in credentials.due(now()) {
+        for (file, of, word) in credentials.take_warnings(now()) {
             tracing::warn!("versions: {}: the certificate of {of} {word}", file.display());
         }
         tokio::time::sleep(RELOAD_EACH).await;
         let mut news = Vec::new();
-        match credentials.refresh(false) {
+        match credentials.reload(false) {
             None => {}
             Some(Ok(())) => {
                 tracing::info!("versions: certificates read anew; a connection that is up stays");
-                news.push(Command::Tls(credentials.made()));
+                news.push(Command::Tls(credentials.config()));
             }
             Some(Err(trouble)) => tracing::error!("versions: {trouble}; what was read before stays in use"),
         }
@@ -222,7 +222,7 @@
 
 impl<I> Applies<I> {
     /// Whether a write came to be; what stands in its way is told.
-    fn stored(&self, write: impl FnOnce(&FrontStore) -> Result<(), doorgrade_store::Trouble>) -> bool {
+    fn stored(&self, write: impl FnOnce(&FrontStore) -> Result<(), doorgrade_store::StoreError>) -> bool {
         let Some(store) = &self.store else { return false };
         match write(store) {
             Ok(()) => true,
@@ -253,15 +253,15 @@
         self.stored(|store| store.stage(id, falls))
     }
 
-    fn keep(&mut self, id: VersionId, seal: Seal, content: &Content) -> bool {
-        self.stored(|store| store.keep(id, seal, content))
+    fn store(&mut self, id: VersionId, seal: Seal, content: &Content) -> bool {
+        self.stored(|store| store.put_last_good(id, seal, content))
     }
 
     fn unstage(&mut self) {
         self.stored(FrontStore::unstage);
     }
 
-    fn tell(&mut self, line: LogEvent) {
+    fn log(&mut self, line: LogEvent) {
         match line {
             LogEvent::Running(id) => {
                 self.lost = None;
@@ -289,7 +289,7 @@
         }
     }
 
-    fn serves(&mut self) -> Option<f32> {
+    fn service_level(&mut self) -> Option<f32> {
         let now = self.instance.served();
         let asked = now.asked.saturating_sub(self.before.asked);
         let in_time = now.in_time.saturating_sub(self.before.in_time);
@@ -298,11 +298,11 @@
         (asked > 0).then(|| (in_time as f32 / asked as f32).min(1.0))
     }
 
-    fn counts(&mut self) -> AccessCounts {
+    fn access_counts(&mut self) -> AccessCounts {
         self.instance.served().accesses
     }
 
-    fn lost(&mut self, at: SocketAddr, why: &str) {
+    fn connection_lost(&mut self, at: SocketAddr, why: &str) {
         let line = format!("versions: the service at {at}: {why}");
         // The same again and again while it is away is one line.
         if self.lost.as_ref() != Some(&line) {
--- a/crates/control-client/src/memory.rs
+++ b/crates/control-client/src/memory.rs
@@ -11,7 +11,7 @@
 use doorgrade_recall::{
     Asked, Asking, Fill, Gave, Giver, Giving, Memory, Purge, Rules, Snapshot, Source, Tally,
 };
-use doorgrade_store::{Records, Trouble};
+use doorgrade_store::{Records, StoreError};
 use serde::{Deserialize, Serialize};
 
 use crate::{Learned, clock};
@@ -195,7 +195,7 @@
         let homes = (!homes.lists.is_empty()).then(|| postcard::to_stdvec(&homes)).transpose();
         let wrote = postcard::to_stdvec(&snapshot)
             .and_then(|bytes| Ok((bytes, homes?)))
-            .map_err(|e| Trouble::Failed(e.to_string().into()))
+            .map_err(|e| StoreError::Failed(e.to_string().into()))
             .and_then(|(bytes, homes)| {
                 let puts: Vec<_> =
                     std::iter::once((RECORD, bytes)).chain(homes.map(|h| (HOMES, h))).collect();
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,15 +1,15 @@
-//! The service of versions as a program, and whoever asks it something. Decisions are `doorgrade-versions`' and
-//! `doorgrade-trust`'s; here connections are made, read and written, records stored and lines told.
+//! The control service as a program, and a client for operators' commands. Decisions are made in `doorgrade-versions` and
+//! `doorgrade-trust`; this package handles connections, storage and logging.
 //!
-//! - [`settings`]: the operators' file made into what the rest needs.
-//! - [`core`]: the one task that owns the machine and the store; all else sends it what happened.
-//! - [`door`]: the listeners for fronts and for operators, and a task for each connection.
-//! - [`serve`]: all of it together, until it is told to stop.
-//! - [`ask`]: the other end of the operators' door, for commands.
+//! - [`settings`]: reads the operators' file and converts it for the other modules.
+//! - [`event_loop`]: the task that owns the state machine and the store; the other tasks send it events.
+//! - [`acceptor`]: the listeners for fronts and for operators, and a task for each connection.
+//! - [`serve`]: starts and stops all of them.
+//! - [`operator_client`]: the client side of an operator's connection, for commands.
 #![forbid(unsafe_code)]
 
-pub mod ask;
-pub mod core;
-pub mod door;
+pub mod acceptor;
+pub mod event_loop;
+pub mod operator_client;
 pub mod serve;
 pub mod settings;
--- a/crates/control/src/serve.rs
+++ b/crates/control/src/serve.rs
@@ -1,5 +1,5 @@
-//! All of the service together, until SIGTERM or SIGINT. SIGHUP reads keys, certificates and roles anew; changed files
-//! are found without it, too.
+//! Starts the service and runs it until SIGTERM or SIGINT. SIGHUP reloads keys, certificates and roles; changed keys and
+//! certificates are also detected without it.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -7,195 +7,209 @@
 use std::time::Duration;
 
 use doorgrade_keys::rustls::ServerConfig;
-use doorgrade_keys::{Reloading, server};
-use doorgrade_store::{Records, ServiceStore, Trouble};
+use doorgrade_keys::{Reloader, server_config};
+use doorgrade_store::{Records, ServiceStore, StoreError};
 use doorgrade_stream::clock::now;
-use doorgrade_stream::{FRONTS, OPERATORS};
+use doorgrade_stream::{FRONT_PROTOCOL, OPERATOR_PROTOCOL};
 use doorgrade_versions::seal::Keys;
 use doorgrade_versions::service::Service;
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
 
-use crate::core::{Core, Event};
-use crate::door::{Door, RoleOf, Roles, Tls};
+use crate::acceptor::{Acceptor, RoleOf, Roles, Tls};
+use crate::event_loop::{Event, EventLoop};
 use crate::settings::{self, Settings};
 
-/// What happens waits here for the machine; whoever brings more waits, too.
-const MOST_EVENTS: usize = 4_096;
-/// How often files are looked at.
-const LOOK_EACH: Duration = Duration::from_secs(10);
+/// Events that may wait for the event loop. Connections that send more of them wait.
+const MAX_PENDING_EVENTS: usize = 4_096;
+/// How often files are checked for changes.
+const FILE_CHECK_INTERVAL: Duration = Duration::from_secs(10);
 
-/// A service that runs.
+/// A running service.
 pub struct Running {
+    /// The address of the listener for fronts.
     pub fronts: SocketAddr,
+    /// The address of the listener for operators.
     pub operators: SocketAddr,
     events: mpsc::Sender<Event>,
-    core: tokio::task::JoinHandle<()>,
-    doors: Vec<tokio::task::JoinHandle<()>>,
-    look: mpsc::Sender<()>,
+    event_loop: tokio::task::JoinHandle<()>,
+    /// The tasks of the listeners and of the file watch.
+    tasks: Vec<tokio::task::JoinHandle<()>>,
+    reload: mpsc::Sender<()>,
 }
 
-/// One listener's files, and TLS as it is made of them now.
-struct Papers {
-    files: Reloading<ServerConfig>,
+/// A listener's TLS files, and its current TLS configuration.
+struct ListenerTls {
+    reloader: Reloader<ServerConfig>,
     tls: Tls,
-    whose: &'static str,
+    /// The peers of the listener, for the log.
+    peers: &'static str,
 }
 
-impl Papers {
+impl ListenerTls {
     fn new(
         paths: doorgrade_keys::Paths,
         protocol: &'static [u8],
-        whose: &'static str,
-    ) -> Result<Papers, String> {
-        let files =
-            Reloading::new(paths.all(), move || server(&paths, protocol)).map_err(|t| t.to_string())?;
-        let tls = Arc::new(RwLock::new(files.made()));
-        Ok(Papers { files, tls, whose })
+        peers: &'static str,
+    ) -> Result<ListenerTls, String> {
+        let reloader =
+            Reloader::new(paths.all(), move || server_config(&paths, protocol)).map_err(|e| e.to_string())?;
+        let tls = Arc::new(RwLock::new(reloader.config()));
+        Ok(ListenerTls { reloader, tls, peers })
     }
 
-    fn look(&mut self, told: bool) {
-        match self.files.refresh(told) {
+    fn check(&mut self, forced: bool) {
+        match self.reloader.reload(forced) {
             None => {}
             Some(Ok(())) => {
-                *self.tls.write().unwrap_or_else(PoisonError::into_inner) = self.files.made();
-                tracing::info!("certificates for {} read anew; connections that are up stay", self.whose);
+                *self.tls.write().unwrap_or_else(PoisonError::into_inner) = self.reloader.config();
+                tracing::info!("certificates for {} reloaded; established connections are kept", self.peers);
             }
-            Some(Err(trouble)) => tracing::error!("{trouble}; what was read before stays in use"),
+            Some(Err(error)) => tracing::error!("{error}; the previous certificates stay in use"),
         }
-        for (file, of, word) in self.files.due(now()) {
-            tracing::warn!("{}: the certificate of {of} {word}", file.display());
+        for (file, subject, warning) in self.reloader.take_warnings(now()) {
+            tracing::warn!("{}: the certificate of {subject} {warning}", file.display());
         }
     }
 }
 
-struct Watch {
-    file: PathBuf,
-    papers: [Papers; 2],
+/// Reloads the service's files when they change.
+struct FileWatch {
+    settings_file: PathBuf,
+    listeners: [ListenerTls; 2],
     roles: Roles,
-    seal_keys: PathBuf,
-    keys: Vec<(u32, Vec<u8>)>,
+    seal_keys_file: PathBuf,
+    seal_keys: Vec<(u32, Vec<u8>)>,
     events: mpsc::Sender<Event>,
 }
 
-fn roles_of(settings: Settings) -> Box<RoleOf> {
+fn role_lookup(settings: Settings) -> Box<RoleOf> {
     Box::new(move |names: &[String]| settings.role(names))
 }
 
-impl Watch {
-    async fn look(&mut self, told: bool) {
-        self.papers.iter_mut().for_each(|p| p.look(told));
-        match settings::keys(&self.seal_keys) {
-            Ok(keys) if keys != self.keys => {
-                self.keys.clone_from(&keys);
-                let _ = self.events.send(Event::Keys(keys)).await;
+impl FileWatch {
+    /// `forced`: reload the settings and report errors of the seal keys, too.
+    async fn check(&mut self, forced: bool) {
+        self.listeners.iter_mut().for_each(|l| l.check(forced));
+        match settings::read_seal_keys(&self.seal_keys_file) {
+            Ok(keys) if keys != self.seal_keys => {
+                self.seal_keys.clone_from(&keys);
+                let _ = self.events.send(Event::SetSealKeys(keys)).await;
             }
             Ok(_) => {}
-            Err(why) if told => tracing::error!("{why}; the keys in use stay"),
+            Err(reason) if forced => tracing::error!("{reason}; the previous seal keys stay in use"),
             Err(_) => {}
         }
-        if told {
-            match Settings::load(&self.file) {
-                Ok(new) => *self.roles.write().unwrap_or_else(PoisonError::into_inner) = roles_of(new),
-                Err(why) => tracing::error!("{why}; the settings in use stay"),
+        if forced {
+            match Settings::load(&self.settings_file) {
+                Ok(new) => *self.roles.write().unwrap_or_else(PoisonError::into_inner) = role_lookup(new),
+                Err(reason) => tracing::error!("{reason}; the previous settings stay in use"),
             }
         }
     }
 }
 
 impl Running {
-    /// Starts all of it on the runtime that this is called on, which has to have more than one thread.
+    /// Starts the service on the current runtime, which needs more than one thread since the store blocks.
     pub async fn start(settings: Settings) -> Result<Running, String> {
-        let mut papers = [
-            Papers::new(settings.fronts(), FRONTS, "fronts")?,
-            Papers::new(settings.operators(), OPERATORS, "operators")?,
+        let mut listeners = [
+            ListenerTls::new(settings.front_paths(), FRONT_PROTOCOL, "fronts")?,
+            ListenerTls::new(settings.operator_paths(), OPERATOR_PROTOCOL, "operators")?,
         ];
-        papers.iter_mut().for_each(|p| p.look(false));
-        let seal_keys = settings.seal_keys();
-        let keys = settings::keys(&seal_keys)?;
-        let path = settings.store();
-        let (records, trouble) = Records::open(&path).map_err(|t| format!("{}: {t}", path.display()))?;
-        if let Some(trouble) = trouble {
-            tracing::error!("{trouble}");
+        listeners.iter_mut().for_each(|l| l.check(false));
+        let seal_keys_file = settings.seal_keys_path();
+        let seal_keys = settings::read_seal_keys(&seal_keys_file)?;
+        let path = settings.store_path();
+        let (records, error) = Records::open(&path).map_err(|e| format!("{}: {e}", path.display()))?;
+        if let Some(error) = error {
+            tracing::error!("{error}");
         }
         let store = ServiceStore::new(records);
-        let (found, troubles) = store.load();
-        // A history that can't be read now is not a history that is lost: beginning anew would end it.
-        let unread = |t: &&Trouble| matches!(t, Trouble::Newer { .. } | Trouble::Failed(_));
-        if let Some(trouble) = troubles.iter().find(unread) {
-            return Err(format!("{}: {trouble}", settings.store().display()));
+        let (stored, errors) = store.load();
+        // The history is unreadable for now, but not lost. A start without it would overwrite it.
+        let unreadable =
+            |e: &&StoreError| matches!(e, StoreError::NewerFormat { .. } | StoreError::Failed(_));
+        if let Some(error) = errors.iter().find(unreadable) {
+            return Err(format!("{}: {error}", settings.store_path().display()));
         }
-        troubles.iter().for_each(|trouble| tracing::error!("{trouble}"));
-        let mut out = Vec::new();
-        let service = Service::start(now(), settings.rules(), Keys::new(keys.clone()), found, &mut out);
+        errors.iter().for_each(|error| tracing::error!("{error}"));
+        let mut effects = Vec::new();
+        let service =
+            Service::start(now(), settings.rules(), Keys::new(seal_keys.clone()), stored, &mut effects);
         tracing::info!(epoch = service.epoch(), "epoch {}, last version {}", service.epoch(), service.last());
 
-        let (events, happened) = mpsc::channel(MOST_EVENTS);
-        let bind = async |at: SocketAddr, key: &str| {
-            TcpListener::bind(at)
+        let (events, received) = mpsc::channel(MAX_PENDING_EVENTS);
+        let bind = async |address: SocketAddr, key: &str| {
+            TcpListener::bind(address)
                 .await
-                .map_err(|e| format!("{}: key 'control.{key}': {at}: {e}", settings.file.display()))
+                .map_err(|e| format!("{}: key 'control.{key}': {address}: {e}", settings.file.display()))
         };
         let fronts = bind(settings.control.listen, "listen").await?;
         let operators = bind(settings.control.operators_listen, "operators_listen").await?;
-        let at = |l: &TcpListener| l.local_addr().map_err(|e| e.to_string());
-        let (fronts_at, operators_at) = (at(&fronts)?, at(&operators)?);
-        let core = tokio::spawn(Core::new(service, store, out).run(happened));
-        let door = Door::new(events.clone(), settings.control.most_fronts as usize);
-        let roles: Roles = Arc::new(RwLock::new(roles_of(settings.clone())));
-        let [for_fronts, for_operators] = [papers[0].tls.clone(), papers[1].tls.clone()];
-        let mut doors = vec![
-            tokio::spawn(door.clone().fronts(fronts, for_fronts)),
-            tokio::spawn(door.operators(operators, for_operators, roles.clone())),
+        let local_address = |l: &TcpListener| l.local_addr().map_err(|e| e.to_string());
+        let (front_address, operator_address) = (local_address(&fronts)?, local_address(&operators)?);
+        let event_loop = tokio::spawn(EventLoop::new(service, store, effects).run(received));
+        let acceptor = Acceptor::new(events.clone(), settings.control.most_fronts as usize);
+        let roles: Roles = Arc::new(RwLock::new(role_lookup(settings.clone())));
+        let [front_tls, operator_tls] = [listeners[0].tls.clone(), listeners[1].tls.clone()];
+        let mut tasks = vec![
+            tokio::spawn(acceptor.clone().accept_fronts(fronts, front_tls)),
+            tokio::spawn(acceptor.accept_operators(operators, operator_tls, roles.clone())),
         ];
-        let (look, mut told) = mpsc::channel(1);
-        let mut watch =
-            Watch { file: settings.file.clone(), papers, roles, seal_keys, keys, events: events.clone() };
-        doors.push(tokio::spawn(async move {
+        let (reload, mut reload_requests) = mpsc::channel(1);
+        let mut watch = FileWatch {
+            settings_file: settings.file.clone(),
+            listeners,
+            roles,
+            seal_keys_file,
+            seal_keys,
+            events: events.clone(),
+        };
+        tasks.push(tokio::spawn(async move {
             loop {
-                let told = match tokio::time::timeout(LOOK_EACH, told.recv()).await {
+                let forced = match tokio::time::timeout(FILE_CHECK_INTERVAL, reload_requests.recv()).await {
                     Ok(Some(())) => true,
                     Ok(None) => return,
                     Err(_) => false,
                 };
-                watch.look(told).await;
+                watch.check(forced).await;
             }
         }));
-        tracing::info!("fronts at {fronts_at}, operators at {operators_at}");
-        Ok(Running { fronts: fronts_at, operators: operators_at, events, core, doors, look })
+        tracing::info!("fronts at {front_address}, operators at {operator_address}");
+        Ok(Running { fronts: front_address, operators: operator_address, events, event_loop, tasks, reload })
     }
 
-    /// Reads keys, certificates and roles anew.
-    pub async fn look(&self) {
-        let _ = self.look.send(()).await;
+    /// Reloads keys, certificates and roles. Returns once the request is queued.
+    pub async fn reload(&self) {
+        let _ = self.reload.send(()).await;
     }
 
-    /// Ends it: what is being stored is stored, connections are closed.
+    /// Stops the service after the events before this, and closes all connections.
     pub async fn stop(self) {
-        self.doors.iter().for_each(tokio::task::JoinHandle::abort);
+        self.tasks.iter().for_each(tokio::task::JoinHandle::abort);
         let _ = self.events.send(Event::Stop).await;
-        let _ = self.core.await;
+        let _ = self.event_loop.await;
     }
 }
 
-/// Serves until it is told to stop.
+/// Runs the service until SIGTERM or SIGINT.
 pub fn serve(settings: Settings) -> Result<(), String> {
     use tokio::signal::unix::{SignalKind, signal};
     let runtime =
         tokio::runtime::Builder::new_multi_thread().enable_all().build().map_err(|e| e.to_string())?;
     runtime.block_on(async {
-        let heard = |kind| signal(kind).map_err(|e| format!("signals: {e}"));
-        let (mut term, mut int) = (heard(SignalKind::terminate())?, heard(SignalKind::interrupt())?);
-        let mut hup = heard(SignalKind::hangup())?;
+        let listen = |kind| signal(kind).map_err(|e| format!("signals: {e}"));
+        let (mut term, mut int) = (listen(SignalKind::terminate())?, listen(SignalKind::interrupt())?);
+        let mut hup = listen(SignalKind::hangup())?;
         let running = Running::start(settings).await?;
         loop {
             tokio::select! {
                 _ = term.recv() => break,
                 _ = int.recv() => break,
-                _ = hup.recv() => running.look().await,
+                _ = hup.recv() => running.reload().await,
             }
         }
-        tracing::info!("told to stop");
+        tracing::info!("stopping");
         running.stop().await;
         Ok(())
     })
--- a/crates/control/src/settings.rs
+++ b/crates/control/src/settings.rs
@@ -1,17 +1,17 @@
-//! The operators' file made into what the rest needs.
+//! The settings file of the control service, and its conversion for the other modules.
 
 use std::path::{Path, PathBuf};
 
 use doorgrade_keys::Paths;
 use doorgrade_operator::control::{
-    Control, Papers, Publication, Role as Told, Rollout, ThinTraffic, seal_keys,
+    Control, Papers, Publication, Role as RoleSetting, Rollout, ThinTraffic as ThinTrafficSetting, seal_keys,
 };
 use doorgrade_operator::files::beside;
 use doorgrade_trust::rotation;
-use doorgrade_versions::service::{Role, RolloutMode, Rules, ThinTraffic as Thin, TrialRules};
+use doorgrade_versions::service::{Role, RolloutMode, Rules, ThinTraffic, TrialRules};
 
-/// Where the settings stand, seen from where the program is started, if nobody says otherwise.
-pub const USUAL: &str = "deploy/control.hcl";
+/// The default path of the settings file, relative to the current directory.
+pub const DEFAULT_PATH: &str = "deploy/control.hcl";
 
 #[derive(Clone, Debug)]
 pub struct Settings {
@@ -27,26 +27,29 @@
         Ok(Settings { control, file: file.into() })
     }
 
-    fn beside(&self, named: &str) -> PathBuf {
-        beside(&self.file, named)
+    /// Resolves a path that is relative to the settings file.
+    fn resolve(&self, path: &str) -> PathBuf {
+        beside(&self.file, path)
     }
 
-    pub fn store(&self) -> PathBuf {
-        self.beside(&self.control.store)
+    pub fn store_path(&self) -> PathBuf {
+        self.resolve(&self.control.store)
     }
 
-    pub fn seal_keys(&self) -> PathBuf {
-        self.beside(&self.control.seal_keys)
+    pub fn seal_keys_path(&self) -> PathBuf {
+        self.resolve(&self.control.seal_keys)
     }
 
-    pub fn fronts(&self) -> Paths {
-        Paths::beside(&self.file, &self.control.papers)
+    /// The TLS files of the listener for fronts.
+    pub fn front_paths(&self) -> Paths {
+        Paths::resolve(&self.file, &self.control.papers)
     }
 
-    pub fn operators(&self) -> Paths {
-        let papers =
+    /// The TLS files of the listener for operators.
+    pub fn operator_paths(&self) -> Paths {
+        let files =
             Papers { authority: self.control.operators_authority.clone(), ..self.control.papers.clone() };
-        Paths::beside(&self.file, &papers)
+        Paths::resolve(&self.file, &files)
     }
 
     pub fn rules(&self) -> Rules {
@@ -68,24 +71,26 @@
         }
     }
 
-    /// What whoever holds a certificate of these names may do; none where nobody said so.
+    /// The role of an operator whose certificate has these names, and the name to log. Without any configured operators,
+    /// each trusted certificate has the operator role;
+    /// with them, None for a certificate that is not listed.
     pub fn role(&self, names: &[String]) -> Option<(Role, String)> {
-        let own = names.first().cloned()?;
+        let name = names.first().cloned()?;
         if self.control.operators.is_empty() {
-            return Some((Role::Operator, own));
+            return Some((Role::Operator, name));
         }
-        let told = self.control.operators.iter().find(|o| names.iter().any(|name| **name == *o.0))?;
-        let role = match told.1 {
-            Told::Viewer => Role::Viewer,
-            Told::Operator => Role::Operator,
+        let configured = self.control.operators.iter().find(|o| names.iter().any(|name| **name == *o.0))?;
+        let role = match configured.1 {
+            RoleSetting::Viewer => Role::Viewer,
+            RoleSetting::Operator => Role::Operator,
         };
-        Some((role, told.0.to_string()))
+        Some((role, configured.0.to_string()))
     }
 }
 
-fn mode(told: &Publication) -> RolloutMode {
-    let trials = &told.trials;
-    match told.rollout {
+fn mode(publication: &Publication) -> RolloutMode {
+    let trials = &publication.trials;
+    match publication.rollout {
         Rollout::Waves => RolloutMode::Waves,
         Rollout::Evidence => RolloutMode::Evidence(TrialRules {
             canaries: trials.canaries as usize,
@@ -93,8 +98,8 @@
             watch: trials.watch_ms * 10,
             evidence_timeout: trials.evidence_within_ms * 10,
             thin_traffic: match trials.thin_traffic {
-                ThinTraffic::Wait => Thin::Wait,
-                ThinTraffic::GoOn => Thin::Continue,
+                ThinTrafficSetting::Wait => ThinTraffic::Wait,
+                ThinTrafficSetting::GoOn => ThinTraffic::Continue,
             },
             false_stop: trials.false_stop,
             ..TrialRules::default()
@@ -102,8 +107,8 @@
     }
 }
 
-/// The keys of a file, sound on their own.
-pub fn keys(file: &Path) -> Result<Vec<(u32, Vec<u8>)>, String> {
+/// Reads the keys of a file and checks them.
+pub fn read_seal_keys(file: &Path) -> Result<Vec<(u32, Vec<u8>)>, String> {
     let name = file.display().to_string();
     let text = std::fs::read_to_string(file).map_err(|e| format!("{name}: can't be read: {e}"))?;
     let keys = seal_keys(&name, &text).map_err(|problems| problems.to_string())?;
--- a/crates/control/tests/reports.rs
+++ b/crates/control/tests/reports.rs
@@ -3,11 +3,11 @@
 
 use std::time::{Duration, Instant};
 
-use doorgrade_keys::server;
+use doorgrade_keys::server_config;
 use doorgrade_standins::versions::{Place, Puppet, Who, keys};
-use doorgrade_stream::follow::AccessCounts;
+use doorgrade_stream::front_client::AccessCounts;
 use doorgrade_stream::wire::{Reader, Writer};
-use doorgrade_stream::{FRONTS, MOST_WITH_CONTENT};
+use doorgrade_stream::{FRONT_PROTOCOL, MAX_CONTENT_MESSAGE_BYTES};
 use doorgrade_versions::message::{ToFront, ToService};
 use tokio::io::{ReadHalf, WriteHalf};
 use tokio::net::{TcpListener, TcpStream};
@@ -28,7 +28,8 @@
     async fn accept(listener: &TcpListener, tls: &TlsAcceptor) -> End {
         let (stream, _) = listener.accept().await.unwrap();
         let (read, write) = tokio::io::split(tls.accept(stream).await.unwrap());
-        let mut end = End { reader: Reader::new(read, None, MOST_WITH_CONTENT), writer: Writer::new(write) };
+        let mut end =
+            End { reader: Reader::new(read, None, MAX_CONTENT_MESSAGE_BYTES), writer: Writer::new(write) };
         assert!(matches!(end.next().await, ToService::Hello { .. }));
         end.writer.write(&ToFront::Welcome { heartbeat_interval: 50_000 }).await.unwrap();
         end
@@ -58,7 +59,7 @@
     runtime.block_on(async {
         let place = Place::new("reports").unwrap();
         place.issue("n1", &place.fronts, &["n1"], 30).unwrap();
-        let tls = TlsAcceptor::from(server(&place.papers("control"), FRONTS).unwrap().made);
+        let tls = TlsAcceptor::from(server_config(&place.papers("control"), FRONT_PROTOCOL).unwrap().config);
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let (service, papers) = (listener.local_addr().unwrap(), place.papers("n1"));
         let who = Who { name: "n1", station: "hill", service, papers: &papers, keys: keys(&[1]), seed: 3 };
@@ -67,14 +68,14 @@
         assert_eq!(end.reports(Duration::from_millis(600)).await, [], "nobody has asked");
         assert_eq!(front.record.lock().unwrap().counted, 0, "what nobody asks for is not counted either");
 
-        front.record.lock().unwrap().counts = AccessCounts { asked: 930, answered: 920 };
+        front.record.lock().unwrap().counts = AccessCounts { accesses: 930, answered: 920 };
         // One millisecond is out of bounds: a quarter of a second at the soonest.
         end.writer.write(&ToFront::SetReportInterval { millis: 1 }).await.unwrap();
         let got = end.reports(Duration::from_millis(1_100)).await;
         assert!((3..=5).contains(&got.len()), "{got:?}");
         assert!(got.iter().zip(1..).all(|(report, n)| *report == (n, 930, 920)), "{got:?}");
 
-        front.record.lock().unwrap().counts = AccessCounts { asked: 940, answered: 930 };
+        front.record.lock().unwrap().counts = AccessCounts { accesses: 940, answered: 930 };
         end.writer.write(&ToFront::SetReportInterval { millis: 30_000 }).await.unwrap();
         let later = end.reports(Duration::from_millis(900)).await;
         let before = got.len() as u64;
--- a/crates/control/tests/service.rs
+++ b/crates/control/tests/service.rs
@@ -3,18 +3,18 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use doorgrade_control::ask::Asker;
+use doorgrade_control::operator_client::OperatorClient;
 use doorgrade_control::serve::Running;
 use doorgrade_control::settings::Settings;
 use doorgrade_keys::rustls::ClientConfig;
 use doorgrade_keys::rustls::pki_types::pem::PemObject;
 use doorgrade_keys::rustls::pki_types::{CertificateDer, ServerName};
-use doorgrade_keys::{Paths, client};
+use doorgrade_keys::{Paths, client_config};
 use doorgrade_standins::versions::{Place, Puppet, SERVICE, Verdict, Who, keys, seal_key};
-use doorgrade_stream::follow::Command;
-use doorgrade_stream::frame::frame;
+use doorgrade_stream::frame::encode_frame;
+use doorgrade_stream::front_client::Command;
 use doorgrade_stream::wire::{Reader, Writer};
-use doorgrade_stream::{FRONTS, MOST_FIRST, MOST_WITH_CONTENT, OPERATORS};
+use doorgrade_stream::{FRONT_PROTOCOL, MAX_CONTENT_MESSAGE_BYTES, MAX_HELLO_BYTES, OPERATOR_PROTOCOL};
 use doorgrade_versions::message::{Body, ToFront, ToService};
 use doorgrade_versions::seal::Keys;
 use doorgrade_versions::service::{
@@ -74,12 +74,12 @@
         Puppet::start(&who, verdict).unwrap()
     }
 
-    async fn asker(&self, prefix: &str) -> Result<Asker, String> {
-        Asker::at(self.running().operators, SERVICE, &self.place.papers(prefix)).await
+    async fn asker(&self, prefix: &str) -> Result<OperatorClient, String> {
+        OperatorClient::connect_to(self.running().operators, SERVICE, &self.place.papers(prefix)).await
     }
 
     async fn totals(&self) -> Totals {
-        match self.asker("person").await.unwrap().ask(&Request::Status).await.unwrap() {
+        match self.asker("person").await.unwrap().request(&Request::Status).await.unwrap() {
             Response::Status(totals) => *totals,
             other => panic!("{other:?}"),
         }
@@ -103,7 +103,7 @@
             note: "a note".into(),
             expected_last: expects,
         };
-        self.asker("person").await.unwrap().ask(&ask).await.unwrap()
+        self.asker("person").await.unwrap().request(&ask).await.unwrap()
     }
 }
 
@@ -124,8 +124,8 @@
         assert_eq!(rig.publish(INFO, 0).await, Response::NotPublished(PublishError::Conflict { last: 1 }));
         let ask = Request::Publish { content: INFO.as_bytes().into(), note: "".into(), expected_last: 1 };
         let mut onlooker = rig.asker("onlooker").await.unwrap();
-        assert_eq!(onlooker.ask(&ask).await.unwrap(), Response::Denied(Denial::ReadOnly));
-        assert!(matches!(onlooker.ask(&Request::Status).await.unwrap(), Response::Status(_)));
+        assert_eq!(onlooker.request(&ask).await.unwrap(), Response::Denied(Denial::ReadOnly));
+        assert!(matches!(onlooker.request(&Request::Status).await.unwrap(), Response::Status(_)));
         // What no front could use is not numbered.
         let Response::Invalid(why) = rig.publish("log { level = \"loud\" }", 1).await else { panic!() };
         assert!(why.contains("version:1:15: key 'log.level': expected one of"), "{why}");
@@ -136,7 +136,8 @@
         let back = rig.until("all are back", |t| t.connected == 8).await;
         assert_eq!((back.last, back.base, back.current), (2, Some(second), 8));
         let ask = Request::RollBack { to: 1, expected_last: 2 };
-        let Response::Published(third) = rig.asker("person").await.unwrap().ask(&ask).await.unwrap() else {
+        let Response::Published(third) = rig.asker("person").await.unwrap().request(&ask).await.unwrap()
+        else {
             panic!()
         };
         assert_eq!((third.number, third.hash), (3, first.hash));
@@ -208,13 +209,13 @@
             let Ok(stream) = tls(&rig, config).await else { return false };
             let (reader, writer) = tokio::io::split(stream);
             let (mut reader, mut writer) =
-                (Reader::new(reader, None, MOST_WITH_CONTENT), Writer::new(writer));
+                (Reader::new(reader, None, MAX_CONTENT_MESSAGE_BYTES), Writer::new(writer));
             let _ = writer.write(&hello(name)).await;
             let answer =
                 tokio::time::timeout(soon, reader.read::<ToFront>()).await.expect("an answer or an end");
             matches!(answer, Ok(ToFront::Welcome { .. }))
         };
-        let made = |paths: &Paths| client(paths, FRONTS).unwrap().made;
+        let made = |paths: &Paths| client_config(paths, FRONT_PROTOCOL).unwrap().config;
         assert!(comes(made(&papers), "n3.hill").await, "a good one is let in");
         // Without a certificate.
         let mut roots = doorgrade_keys::rustls::RootCertStore::empty();
@@ -225,7 +226,7 @@
         let nobody =
             ClientConfig::builder_with_provider(provider).with_safe_default_protocol_versions().unwrap();
         let mut nobody = nobody.with_root_certificates(roots).with_no_client_auth();
-        nobody.alpn_protocols = vec![FRONTS.to_vec()];
+        nobody.alpn_protocols = vec![FRONT_PROTOCOL.to_vec()];
         assert!(!comes(Arc::new(nobody), "n3.hill").await);
         // Of another authority: that of operators, who are nobody here.
         rig.place.issue("stranger", &rig.place.operators, &["*.hill"], 30).unwrap();
@@ -236,10 +237,10 @@
         // Under a name that its certificate is not for.
         assert!(!comes(made(&papers), "n1.harbour").await);
         // With the protocol of operators.
-        assert!(!comes(client(&papers, OPERATORS).unwrap().made, "n3.hill").await);
+        assert!(!comes(client_config(&papers, OPERATOR_PROTOCOL).unwrap().config, "n3.hill").await);
         // First words that are none: too long, not a greeting, noise, and one that never ends.
-        let long = [&(MOST_FIRST as u32 + 1).to_be_bytes()[..], &[0; 64]].concat();
-        let ask = frame(&ToService::ServiceLevel { share: 0.5 }).unwrap();
+        let long = [&(MAX_HELLO_BYTES as u32 + 1).to_be_bytes()[..], &[0; 64]].concat();
+        let ask = encode_frame(&ToService::ServiceLevel { share: 0.5 }).unwrap();
         for (what, bytes) in [("long", long), ("no greeting", ask), ("noise", vec![0xff; 5_000])] {
             let mut stream = tls(&rig, made(&papers)).await.unwrap();
             let _ = stream.write_all(&bytes).await;
@@ -247,7 +248,7 @@
         }
         // A good first word in single bytes: the time for it runs out.
         let mut stream = tls(&rig, made(&papers)).await.unwrap();
-        let word = frame(&hello("n3.hill")).unwrap();
+        let word = encode_frame(&hello("n3.hill")).unwrap();
         let begun = Instant::now();
         for byte in &word {
             if stream.write_all(&[*byte]).await.is_err() || stream.flush().await.is_err() {
@@ -302,22 +303,22 @@
         }
         // Dropping the old key at once is refused; with both the new one seals.
         rig.place.write("seal-keys.hcl", &seal_key(2)).unwrap();
-        rig.running().look().await;
+        rig.running().reload().await;
         rig.place.write("seal-keys.hcl", &(seal_key(1) + &seal_key(2))).unwrap();
         rig.place.issue("control", &rig.place.fronts, &[SERVICE], 60).unwrap();
-        rig.running().look().await;
+        rig.running().reload().await;
         let seen = rig.totals().await;
         assert_eq!((seen.seal_keys, seen.spare_keys), (vec![(1, 2)], vec![]));
         let Response::Published(second) = rig.publish(INFO, 1).await else { panic!() };
         let seen = rig.until("the second runs", |t| t.base == Some(second) && t.current == 2).await;
         assert_eq!((seen.seal_keys, seen.spare_keys), (vec![(2, 2)], vec![1]));
         rig.place.write("seal-keys.hcl", &seal_key(2)).unwrap();
-        rig.running().look().await;
+        rig.running().reload().await;
         let Response::Published(third) = rig.publish(DEBUG, 2).await else { panic!() };
         rig.until("the third runs", |t| t.base == Some(third) && t.current == 2).await;
         // A certificate that can't be read changes nothing.
         rig.place.write("control.pem", "spoilt").unwrap();
-        rig.running().look().await;
+        rig.running().reload().await;
         let late = rig.puppet("n3", "hill", good());
         late.tell(Command::Keys(new())).await;
         rig.until("one more comes", |t| t.connected == 3).await;
@@ -333,7 +334,7 @@
     runtime().block_on(async {
         let place = Place::new("between").unwrap();
         place.issue("hill", &place.fronts, &["*.hill"], 30).unwrap();
-        let tls = doorgrade_keys::server(&place.papers("control"), FRONTS).unwrap().made;
+        let tls = doorgrade_keys::server_config(&place.papers("control"), FRONT_PROTOCOL).unwrap().config;
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
         let papers = place.papers("hill");
         let service = listener.local_addr().unwrap();
@@ -344,7 +345,7 @@
         let stream = tokio_rustls::TlsAcceptor::from(tls).accept(stream).await.unwrap();
         let (reader, writer) = tokio::io::split(stream);
         let (mut reader, mut writer) =
-            (Reader::new(reader, Some(MOST_FIRST), MOST_FIRST), Writer::new(writer));
+            (Reader::new(reader, Some(MAX_HELLO_BYTES), MAX_HELLO_BYTES), Writer::new(writer));
         assert!(matches!(reader.read::<ToService>().await.unwrap(), ToService::Hello { .. }));
         writer.write(&ToFront::Welcome { heartbeat_interval: 10_000 }).await.unwrap();
         let sealed = |id: &VersionId| Keys::new(keys(&[1])).seal(id).unwrap();
--- a/crates/front/src/clock.rs
+++ b/crates/front/src/clock.rs
@@ -5,7 +5,7 @@
 
 use doorgrade::Ticks;
 
-pub use doorgrade_control_client::clock::{heed_tests, now, unix};
+pub use doorgrade_control_client::clock::{load_test_offset, now, unix};
 
 /// Things to do later, the earliest first, in the order asked where times are equal.
 pub struct Timers<T> {
--- a/crates/front/src/in_use.rs
+++ b/crates/front/src/in_use.rs
@@ -133,7 +133,7 @@
         let load = |sum: &AtomicU64| sum.load(Ordering::Relaxed);
         // The ones answered first: read the other way round, one that ends in between would be answered and not asked.
         let answered = load(&self.served.answered);
-        let accesses = AccessCounts { asked: load(&self.served.ended).max(answered), answered };
+        let accesses = AccessCounts { accesses: load(&self.served.ended).max(answered), answered };
         configuration::Served {
             asked: load(&self.served.asked),
             in_time: load(&self.served.in_time),
--- a/crates/front/src/serve.rs
+++ b/crates/front/src/serve.rs
@@ -40,7 +40,7 @@
         },
     );
     let _named = tracing::info_span!("serve", front = config.name).entered();
-    clock::heed_tests();
+    clock::load_test_offset();
     // One core is told; a coroutine reads and writes through rings on the heap, so small stacks do.
     may::config().set_workers(1).set_stack_size(0x1000);
     // Bound to the first core, the workers of all fronts on a machine would share it, whatever others are free.
@@ -148,7 +148,7 @@
                     }
                     // Last: the files may take long, or for ever.
                     if renew.swap(false, Ordering::SeqCst) {
-                        clock::heed_tests();
+                        clock::load_test_offset();
                         lock(&in_use).reload();
                     }
                 }
--- a/crates/keys/src/lib.rs
+++ b/crates/keys/src/lib.rs
@@ -1,39 +1,39 @@
 //! Certificates and keys: read from files, checked against each other, reloaded while in use, and watched for
-//! their end; mutual TLS 1.3 made from them. Problems name the file and what was expected.
+//! expiry; configurations for mutual TLS 1.3 are built from them. Errors name the file and what was expected.
 //!
-//! TLS is `rustls` with `ring`; what a certificate says of names and dates is read by `x509-parser`; `rcgen` makes
-//! authorities and certificates for installations that have none. What to make of dates and names is decided in
-//! `doorgrade-trust`.
+//! TLS is `rustls` with `ring`; names and validity periods of certificates are read by `x509-parser`; `rcgen` creates
+//! authorities and certificates for installations that have none. Which names are accepted and when an expiry is
+//! reported is decided in `doorgrade-trust`.
 #![forbid(unsafe_code)]
 
-pub mod make;
-mod papers;
+pub mod generate;
 mod reload;
+mod tls;
 
-pub use papers::{Dated, Loaded, Paths, client, dates, names, server};
-pub use reload::Reloading;
+pub use reload::Reloader;
 pub use rustls;
+pub use tls::{CertificateInfo, Loaded, Paths, certificate_infos, client_config, dns_names, server_config};
 
 use std::fmt;
 use std::path::{Path, PathBuf};
 
-/// What is wrong with a file, or with how it goes with another.
+/// A file that can't be read or used, or does not match another.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Trouble {
+pub struct KeyFileError {
     pub file: PathBuf,
-    pub what: Box<str>,
+    pub message: Box<str>,
 }
 
-impl Trouble {
-    pub(crate) fn new(file: &Path, what: impl fmt::Display) -> Trouble {
-        Trouble { file: file.into(), what: what.to_string().into() }
+impl KeyFileError {
+    pub(crate) fn new(file: &Path, message: impl fmt::Display) -> KeyFileError {
+        KeyFileError { file: file.into(), message: message.to_string().into() }
     }
 }
 
-impl fmt::Display for Trouble {
+impl fmt::Display for KeyFileError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {}", self.file.display(), self.what)
+        write!(f, "{}: {}", self.file.display(), self.message)
     }
 }
 
-impl std::error::Error for Trouble {}
+impl std::error::Error for KeyFileError {}
--- a/crates/keys/src/reload.rs
+++ b/crates/keys/src/reload.rs
@@ -1,4 +1,5 @@
-//! Files that are read again when they change. What can't be used changes nothing; connections that are up stay.
+//! Reloads TLS files when they change. If the new files can't be used, the previous ones stay in use; established
+//! connections are not affected.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -8,89 +9,90 @@
 use doorgrade_trust::Ticks;
 use doorgrade_trust::expiry::{ExpiryWatch, Warning};
 
-use crate::Trouble;
-use crate::papers::{Dated, Loaded};
+use crate::KeyFileError;
+use crate::tls::{CertificateInfo, Loaded};
 
-type Stamp = Vec<Option<(SystemTime, u64)>>;
+/// Time of modification and length of each file.
+type Stamps = Vec<Option<(SystemTime, u64)>>;
 
-/// One set of files, and what was made of them last.
-pub struct Reloading<T> {
+/// A set of files, and the configuration that was last built from them.
+pub struct Reloader<T> {
     files: Vec<PathBuf>,
-    read: Box<dyn Fn() -> Result<Loaded<T>, Trouble> + Send + Sync>,
+    read: Box<dyn Fn() -> Result<Loaded<T>, KeyFileError> + Send + Sync>,
     loaded: RwLock<Loaded<T>>,
-    stamp: Stamp,
-    watched: BTreeMap<(PathBuf, Box<str>), ExpiryWatch>,
+    stamps: Stamps,
+    expiry_watches: BTreeMap<(PathBuf, Box<str>), ExpiryWatch>,
 }
 
-fn stamp(files: &[PathBuf]) -> Stamp {
-    let one = |file: &PathBuf| {
-        let about = std::fs::metadata(file).ok()?;
-        Some((about.modified().ok()?, about.len()))
+fn stamps(files: &[PathBuf]) -> Stamps {
+    let stamp = |file: &PathBuf| {
+        let metadata = std::fs::metadata(file).ok()?;
+        Some((metadata.modified().ok()?, metadata.len()))
     };
-    files.iter().map(one).collect()
+    files.iter().map(stamp).collect()
 }
 
-impl<T> Reloading<T> {
+impl<T> Reloader<T> {
     pub fn new(
         files: Vec<PathBuf>,
-        read: impl Fn() -> Result<Loaded<T>, Trouble> + Send + Sync + 'static,
-    ) -> Result<Self, Trouble> {
-        let stamp = stamp(&files);
+        read: impl Fn() -> Result<Loaded<T>, KeyFileError> + Send + Sync + 'static,
+    ) -> Result<Self, KeyFileError> {
+        let stamps = stamps(&files);
         let loaded = read()?;
-        let mut new = Reloading {
+        let mut reloader = Reloader {
             files,
             read: Box::new(read),
-            watched: BTreeMap::new(),
+            expiry_watches: BTreeMap::new(),
             loaded: RwLock::new(loaded),
-            stamp,
+            stamps,
         };
-        new.watch();
-        Ok(new)
+        reloader.update_watches();
+        Ok(reloader)
     }
 
-    fn watch(&mut self) {
-        let dated = self.loaded.get_mut().unwrap_or_else(PoisonError::into_inner).dated.clone();
-        let mut old = std::mem::take(&mut self.watched);
-        for Dated { file, of, span } in dated {
-            let key = (file, of);
-            let mut watched = old.remove(&key).unwrap_or_else(|| ExpiryWatch::new(span));
-            watched.replace(span);
-            self.watched.insert(key, watched);
+    fn update_watches(&mut self) {
+        let certificates = self.loaded.get_mut().unwrap_or_else(PoisonError::into_inner).certificates.clone();
+        let mut old = std::mem::take(&mut self.expiry_watches);
+        for CertificateInfo { file, subject, validity } in certificates {
+            let key = (file, subject);
+            let mut watch = old.remove(&key).unwrap_or_else(|| ExpiryWatch::new(validity));
+            watch.replace(validity);
+            self.expiry_watches.insert(key, watch);
         }
     }
 
-    pub fn made(&self) -> Arc<T> {
-        self.loaded.read().unwrap_or_else(PoisonError::into_inner).made.clone()
+    pub fn config(&self) -> Arc<T> {
+        self.loaded.read().unwrap_or_else(PoisonError::into_inner).config.clone()
     }
 
     pub fn names(&self) -> Vec<String> {
         self.loaded.read().unwrap_or_else(PoisonError::into_inner).names.clone()
     }
 
-    /// Reads the files again if they have changed, or if `told` to; what came of it.
-    pub fn refresh(&mut self, told: bool) -> Option<Result<(), Trouble>> {
-        let stamp = stamp(&self.files);
-        if stamp == self.stamp && !told {
+    /// Reads the files again if they have changed, or if `forced`. None if they were not read.
+    pub fn reload(&mut self, forced: bool) -> Option<Result<(), KeyFileError>> {
+        let stamps = stamps(&self.files);
+        if stamps == self.stamps && !forced {
             return None;
         }
-        // Also where it can't be used: it is not to be told of again until it changes once more.
-        self.stamp = stamp;
+        // Also if the files can't be used, so that the error is reported once for each change.
+        self.stamps = stamps;
         match (self.read)() {
             Ok(loaded) => {
                 *self.loaded.get_mut().unwrap_or_else(PoisonError::into_inner) = loaded;
-                self.watch();
+                self.update_watches();
                 Some(Ok(()))
             }
-            Err(trouble) => Some(Err(trouble)),
+            Err(error) => Some(Err(error)),
         }
     }
 
-    /// What there is to say now of what will end, once for each step.
-    pub fn due(&mut self, now: Ticks) -> Vec<(PathBuf, Box<str>, Warning)> {
-        let words = self.watched.iter_mut().filter_map(|((file, of), watched)| {
-            let word = watched.take_warning(now)?;
-            Some((file.clone(), of.clone(), word))
+    /// The expiry warnings that are due now. Each is returned once.
+    pub fn take_warnings(&mut self, now: Ticks) -> Vec<(PathBuf, Box<str>, Warning)> {
+        let warnings = self.expiry_watches.iter_mut().filter_map(|((file, subject), watch)| {
+            let warning = watch.take_warning(now)?;
+            Some((file.clone(), subject.clone(), warning))
         });
-        words.collect()
+        warnings.collect()
     }
 }
--- a/crates/lab/src/scale/commands.rs
+++ b/crates/lab/src/scale/commands.rs
@@ -4,11 +4,11 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use doorgrade_control::ask::Asker;
+use doorgrade_control::operator_client::OperatorClient;
 use doorgrade_control::serve::Running;
 use doorgrade_control::settings::Settings;
 use doorgrade_standins::versions::{Place, Puppet, SERVICE, Who, keys};
-use doorgrade_stream::frame::frame;
+use doorgrade_stream::frame::encode_frame;
 use doorgrade_versions::VersionId;
 use doorgrade_versions::service::{Filter, LogEvent, Request, Response, Totals};
 use tokio::runtime::Runtime;
@@ -88,22 +88,31 @@
         Ok(rig)
     }
 
-    fn asker(&self) -> Result<Asker, String> {
-        self.runtime.block_on(Asker::at(self.running.operators, SERVICE, &self.place.papers("person")))
+    fn asker(&self) -> Result<OperatorClient, String> {
+        self.runtime.block_on(OperatorClient::connect_to(
+            self.running.operators,
+            SERVICE,
+            &self.place.papers("person"),
+        ))
     }
 
-    fn ask(&self, asker: &mut Asker, ask: &Request) -> Result<Response, String> {
-        self.runtime.block_on(asker.ask(ask))
+    fn ask(&self, asker: &mut OperatorClient, ask: &Request) -> Result<Response, String> {
+        self.runtime.block_on(asker.request(ask))
     }
 
-    fn totals(&self, asker: &mut Asker) -> Result<Totals, String> {
+    fn totals(&self, asker: &mut OperatorClient) -> Result<Totals, String> {
         match self.ask(asker, &Request::Status)? {
             Response::Status(totals) => Ok(*totals),
             other => Err(format!("the service: an answer to something else: {other:?}")),
         }
     }
 
-    fn until(&self, asker: &mut Asker, what: &str, holds: impl Fn(&Totals) -> bool) -> Result<(), String> {
+    fn until(
+        &self,
+        asker: &mut OperatorClient,
+        what: &str,
+        holds: impl Fn(&Totals) -> bool,
+    ) -> Result<(), String> {
         let begun = Instant::now();
         loop {
             let totals = self.totals(asker)?;
@@ -117,7 +126,7 @@
         }
     }
 
-    fn publish(&self, asker: &mut Asker, level: &str, note: &str) -> Result<VersionId, String> {
+    fn publish(&self, asker: &mut OperatorClient, level: &str, note: &str) -> Result<VersionId, String> {
         let expects = self.totals(asker)?.last;
         let content = format!("log {{ level = \"{level}\" }}\n").into_bytes().into();
         match self.ask(asker, &Request::Publish { content, note: note.into(), expected_last: expects })? {
@@ -139,7 +148,7 @@
 }
 
 fn bytes(answer: &Response) -> f64 {
-    frame(answer).map_or(0, |f| f.len()) as f64
+    encode_frame(answer).map_or(0, |f| f.len()) as f64
 }
 
 fn median(mut all: Vec<f64>) -> f64 {
@@ -150,7 +159,7 @@
 /// The median of some answers; `page` asks for the next page after an answer, as the commands do.
 fn cost(
     rig: &Rig,
-    asker: &mut Asker,
+    asker: &mut OperatorClient,
     first: &Request,
     page: impl Fn(&Response) -> Option<Request>,
 ) -> Result<Cost, String> {
@@ -168,10 +177,11 @@
 }
 
 /// Lines that a watcher is told until a version is everyone's.
-fn watched(rig: &Rig, watcher: &mut Asker, id: VersionId) -> Result<f64, String> {
+fn watched(rig: &Rig, watcher: &mut OperatorClient, id: VersionId) -> Result<f64, String> {
     let mut size = 0.0;
     loop {
-        let line = rig.runtime.block_on(async { tokio::time::timeout(WITHIN, watcher.line()).await });
+        let line =
+            rig.runtime.block_on(async { tokio::time::timeout(WITHIN, watcher.next_log_event()).await });
         let line = line.map_err(|_| "a watcher is told nothing more".to_owned())??;
         let last = matches!(&line, LogEvent::Everywhere(told) if *told == id);
         size += bytes(&Response::LogEvent(line));
--- a/crates/lab/src/scale/control_rig.rs
+++ b/crates/lab/src/scale/control_rig.rs
@@ -5,7 +5,7 @@
 use std::process::Command;
 use std::time::{Duration, Instant};
 
-use doorgrade_control::ask::Asker;
+use doorgrade_control::operator_client::OperatorClient;
 use doorgrade_standins::links::{Links, Way};
 use doorgrade_standins::process::Process;
 use doorgrade_standins::versions::{Place, SERVICE};
@@ -205,7 +205,11 @@
     /// Asks the service as an operator.
     pub fn operator(&self) -> Result<Operator, Fault> {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(fault)?;
-        let asker = runtime.block_on(Asker::at(self.operators, SERVICE, &self.place.papers("person")))?;
+        let asker = runtime.block_on(OperatorClient::connect_to(
+            self.operators,
+            SERVICE,
+            &self.place.papers("person"),
+        ))?;
         Ok(Operator { runtime, asker })
     }
 }
@@ -213,12 +217,12 @@
 /// An operator's connection.
 pub struct Operator {
     runtime: Runtime,
-    asker: Asker,
+    asker: OperatorClient,
 }
 
 impl Operator {
     pub fn totals(&mut self) -> Result<Totals, Fault> {
-        match self.runtime.block_on(self.asker.ask(&Request::Status))? {
+        match self.runtime.block_on(self.asker.request(&Request::Status))? {
             Response::Status(totals) => Ok(*totals),
             other => Err(format!("{other:?}")),
         }
@@ -234,7 +238,7 @@
                 note: "".into(),
                 expected_last: expects,
             };
-            match self.runtime.block_on(self.asker.ask(&ask))? {
+            match self.runtime.block_on(self.asker.request(&ask))? {
                 Response::Published(id) => return Ok((id, refused)),
                 Response::NotPublished(_) if begun.elapsed() < WITHIN => refused += 1,
                 other => return Err(format!("not published: {other:?}")),
--- a/crates/lab/src/scale/hollow.rs
+++ b/crates/lab/src/scale/hollow.rs
@@ -125,7 +125,7 @@
         let answered = self.record.in_time.load(Ordering::Relaxed).min(asked);
         // Benefit is told in thousandths.
         let (asked_benefit, in_time) = (asked.saturating_mul(1_000), answered.saturating_mul(1_000));
-        Served { asked: asked_benefit, in_time, accesses: AccessCounts { asked, answered } }
+        Served { asked: asked_benefit, in_time, accesses: AccessCounts { accesses: asked, answered } }
     }
 }
 
--- a/crates/lab/src/scale/rollouts.rs
+++ b/crates/lab/src/scale/rollouts.rs
@@ -116,13 +116,13 @@
     let mut asker = rig.asker()?;
     let lines = Arc::new(Mutex::new(Vec::new()));
     let mut watcher = rig.asker()?;
-    match rig.runtime.block_on(watcher.ask(&Request::Watch))? {
+    match rig.runtime.block_on(watcher.request(&Request::Watch))? {
         Response::Watching => {}
         other => return Err(format!("{other:?}")),
     }
     let told = lines.clone();
     let watching = rig.runtime.spawn(async move {
-        while let Ok(line) = watcher.line().await {
+        while let Ok(line) = watcher.next_log_event().await {
             told.lock().unwrap_or_else(PoisonError::into_inner).push((now(), line));
         }
     });
--- a/crates/lab/src/scale/rollouts/hollow.rs
+++ b/crates/lab/src/scale/rollouts/hollow.rs
@@ -10,7 +10,7 @@
 use doorgrade_keys::rustls::pki_types::ServerName;
 use doorgrade_standins::versions::{SERVICE, keys};
 use doorgrade_stream::clock::now;
-use doorgrade_stream::follow::{AccessCounts, Command, Follow, Host, To};
+use doorgrade_stream::front_client::{AccessCounts, Command, FrontClient, Host, ServiceEndpoint};
 use doorgrade_versions::front::{Content, Front, LogEvent, StoredState};
 use doorgrade_versions::seal::{Keys, Seal};
 use doorgrade_versions::{RejectionReason, Ticks, VersionId};
@@ -86,7 +86,7 @@
         let asked = due.floor();
         self.rest = due - asked;
         let answered = self.draw(asked, (self.own - drop - storm).clamp(0.0, 1.0));
-        self.counts.asked += asked as u64;
+        self.counts.accesses += asked as u64;
         self.counts.answered += answered as u64;
     }
 }
@@ -110,23 +110,23 @@
         true
     }
 
-    fn keep(&mut self, _: VersionId, _: Seal, _: &Content) -> bool {
+    fn store(&mut self, _: VersionId, _: Seal, _: &Content) -> bool {
         true
     }
 
     fn unstage(&mut self) {}
 
-    fn tell(&mut self, _: LogEvent) {}
+    fn log(&mut self, _: LogEvent) {}
 
     /// As a front of the waves' mode says it.
-    fn serves(&mut self) -> Option<f32> {
+    fn service_level(&mut self) -> Option<f32> {
         let before = self.counts;
         self.count();
-        let asked = self.counts.asked - before.asked;
+        let asked = self.counts.accesses - before.accesses;
         (asked > 0).then(|| (self.counts.answered - before.answered) as f32 / asked as f32)
     }
 
-    fn counts(&mut self) -> AccessCounts {
+    fn access_counts(&mut self) -> AccessCounts {
         self.count();
         self.counts
     }
@@ -150,9 +150,9 @@
         let counts = AccessCounts::default();
         let (counted_at, rest) = (now(), 0.0);
         let host = Runs { shared, ran: ran.clone(), rng, own, counts, counted_at, rest };
-        let to = To { at: vec![who.service], name };
+        let to = ServiceEndpoint { addresses: vec![who.service], server_name: name };
         let (keys, named) = (Keys::new(keys(&[1])), (who.name, who.station));
-        let (mut follow, first) = Follow::new(host, to, tls, |at, out| {
+        let (mut follow, first) = FrontClient::new(host, to, tls, |at, out| {
             Front::start(at, who.seed, named, keys, StoredState::default(), Ok(()), out)
         });
         let (commands, mut told) = mpsc::channel(4);
--- a/crates/lab/src/scale/rollouts/rig.rs
+++ b/crates/lab/src/scale/rollouts/rig.rs
@@ -7,12 +7,12 @@
 use std::sync::{Arc, PoisonError};
 use std::time::{Duration, Instant};
 
-use doorgrade_control::ask::Asker;
-use doorgrade_keys::client;
+use doorgrade_control::operator_client::OperatorClient;
+use doorgrade_keys::client_config;
 use doorgrade_standins::process::Process;
 use doorgrade_standins::versions::{Place, SERVICE};
 use doorgrade_standins::{Directory, Feed, Member, Role, Spec};
-use doorgrade_stream::FRONTS;
+use doorgrade_stream::FRONT_PROTOCOL;
 use doorgrade_versions::service::{Request, Response, Totals};
 use serde_json::json;
 
@@ -158,8 +158,9 @@
     pub fn start_hollow(&mut self, count: usize) -> Result<(), String> {
         let mut tls = Vec::new();
         for region in 0..REGIONS {
-            let made = client(&self.place.papers(&station(region)), FRONTS).map_err(|t| t.to_string())?;
-            tls.push(made.made);
+            let made = client_config(&self.place.papers(&station(region)), FRONT_PROTOCOL)
+                .map_err(|t| t.to_string())?;
+            tls.push(made.config);
         }
         let _here = self.runtime.enter();
         for n in 0..count {
@@ -172,36 +173,45 @@
         Ok(())
     }
 
-    pub fn asker(&self) -> Result<Asker, String> {
-        self.runtime.block_on(Asker::at(self.operators, SERVICE, &self.place.papers("person")))
+    pub fn asker(&self) -> Result<OperatorClient, String> {
+        self.runtime.block_on(OperatorClient::connect_to(
+            self.operators,
+            SERVICE,
+            &self.place.papers("person"),
+        ))
     }
 
-    pub fn totals(&self, asker: &mut Asker) -> Result<Totals, String> {
-        match self.runtime.block_on(asker.ask(&Request::Status))? {
+    pub fn totals(&self, asker: &mut OperatorClient) -> Result<Totals, String> {
+        match self.runtime.block_on(asker.request(&Request::Status))? {
             Response::Status(totals) => Ok(*totals),
             other => Err(format!("{other:?}")),
         }
     }
 
     /// The content that changes are made to, and its number.
-    pub fn head(&self, asker: &mut Asker) -> Result<(u64, String), String> {
+    pub fn head(&self, asker: &mut OperatorClient) -> Result<(u64, String), String> {
         let number = self.totals(asker)?.last;
-        match self.runtime.block_on(asker.ask(&Request::Content { number }))? {
+        match self.runtime.block_on(asker.request(&Request::Content { number }))? {
             Response::Content { content, .. } => Ok((number, String::from_utf8_lossy(&content).into_owned())),
             other => Err(format!("{other:?}")),
         }
     }
 
-    pub fn publish(&self, asker: &mut Asker, content: &str, expects: u64) -> Result<Response, String> {
+    pub fn publish(
+        &self,
+        asker: &mut OperatorClient,
+        content: &str,
+        expects: u64,
+    ) -> Result<Response, String> {
         let ask =
             Request::Publish { content: content.as_bytes().into(), note: "".into(), expected_last: expects };
-        self.runtime.block_on(asker.ask(&ask))
+        self.runtime.block_on(asker.request(&ask))
     }
 
     /// Waits for as long as it takes, within reason.
     pub fn until(
         &self,
-        asker: &mut Asker,
+        asker: &mut OperatorClient,
         what: &str,
         within: Duration,
         holds: impl Fn(&Totals) -> bool,
--- a/crates/lab/src/stream.rs
+++ b/crates/lab/src/stream.rs
@@ -14,7 +14,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use doorgrade_control::ask::Asker;
+use doorgrade_control::operator_client::OperatorClient;
 use doorgrade_control::serve::Running;
 use doorgrade_control::settings::Settings;
 use doorgrade_standins::versions::{Place, Puppet, SERVICE, Who, keys};
@@ -106,12 +106,16 @@
 }
 
 impl Lab {
-    fn asker(&self) -> Result<Asker, String> {
-        self.runtime.block_on(Asker::at(self.operators_at, SERVICE, &self.place.papers("person")))
+    fn asker(&self) -> Result<OperatorClient, String> {
+        self.runtime.block_on(OperatorClient::connect_to(
+            self.operators_at,
+            SERVICE,
+            &self.place.papers("person"),
+        ))
     }
 
-    fn totals(&self, asker: &mut Asker) -> Result<Totals, String> {
-        match self.runtime.block_on(asker.ask(&Request::Status))? {
+    fn totals(&self, asker: &mut OperatorClient) -> Result<Totals, String> {
+        match self.runtime.block_on(asker.request(&Request::Status))? {
             Response::Status(totals) => Ok(*totals),
             other => Err(format!("{other:?}")),
         }
@@ -119,7 +123,7 @@
 
     fn until(
         &self,
-        asker: &mut Asker,
+        asker: &mut OperatorClient,
         what: &str,
         holds: impl Fn(&Totals) -> bool,
     ) -> Result<Totals, String> {
@@ -136,11 +140,11 @@
         }
     }
 
-    fn publish(&self, asker: &mut Asker, content: &str) -> Result<VersionId, String> {
+    fn publish(&self, asker: &mut OperatorClient, content: &str) -> Result<VersionId, String> {
         let expects = self.totals(asker)?.last;
         let ask =
             Request::Publish { content: content.as_bytes().into(), note: "".into(), expected_last: expects };
-        match self.runtime.block_on(asker.ask(&ask))? {
+        match self.runtime.block_on(asker.request(&ask))? {
             Response::Published(id) => Ok(id),
             other => Err(format!("{other:?}")),
         }
@@ -267,7 +271,7 @@
     let whole = doorgrade_versions::message::Body::Full(second_text.as_bytes().into());
     let bytes = |body| {
         let message = doorgrade_versions::message::ToFront::Content { id: second, seal, body };
-        doorgrade_stream::frame::frame(&message).map_or(0, |f| f.len())
+        doorgrade_stream::frame::encode_frame(&message).map_or(0, |f| f.len())
     };
     figures.put("line_bytes_sent", bytes(body));
     figures.put("line_bytes_whole", bytes(whole));
--- a/crates/lab/tests/hollow.rs
+++ b/crates/lab/tests/hollow.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
-use doorgrade_control::ask::Asker;
+use doorgrade_control::operator_client::OperatorClient;
 use doorgrade_control::serve::Running;
 use doorgrade_control::settings::Settings;
 use doorgrade_lab::scale::control_rig::{content, files, one_way};
@@ -53,11 +53,13 @@
             start(&files, Does { stores: n == 0 }, handle, Some(handle)).unwrap()
         })
         .collect();
-    let mut asker = runtime.block_on(Asker::at(service.operators, SERVICE, &place.papers("person"))).unwrap();
+    let mut asker = runtime
+        .block_on(OperatorClient::connect_to(service.operators, SERVICE, &place.papers("person")))
+        .unwrap();
     let mut publish = |text: String| {
         let begun = Instant::now();
         loop {
-            let Response::Status(totals) = runtime.block_on(asker.ask(&Request::Status)).unwrap() else {
+            let Response::Status(totals) = runtime.block_on(asker.request(&Request::Status)).unwrap() else {
                 panic!("no status")
             };
             let ask = Request::Publish {
@@ -66,7 +68,7 @@
                 expected_last: totals.last,
             };
             let connected = totals.connected == 2;
-            if connected && let Response::Published(id) = runtime.block_on(asker.ask(&ask)).unwrap() {
+            if connected && let Response::Published(id) = runtime.block_on(asker.request(&ask)).unwrap() {
                 return id;
             }
             assert!(begun.elapsed() < LONG, "not published: {totals:?}");
--- a/crates/standins/src/versions.rs
+++ b/crates/standins/src/versions.rs
@@ -6,12 +6,12 @@
 use std::path::PathBuf;
 use std::sync::{Arc, Mutex};
 
-use doorgrade_keys::make::{self, Pair};
+use doorgrade_keys::generate::{self, CertificateAndKey};
 use doorgrade_keys::rustls::pki_types::ServerName;
-use doorgrade_keys::{Paths, client};
-use doorgrade_stream::FRONTS;
+use doorgrade_keys::{Paths, client_config};
+use doorgrade_stream::FRONT_PROTOCOL;
 use doorgrade_stream::clock::now;
-use doorgrade_stream::follow::{AccessCounts, Command, Follow, Host, To};
+use doorgrade_stream::front_client::{AccessCounts, Command, FrontClient, Host, ServiceEndpoint};
 use doorgrade_versions::front::{Content, Front, LogEvent, StoredState};
 use doorgrade_versions::seal::{Keys, Seal};
 use doorgrade_versions::{RejectionReason, Ticks, VersionId};
@@ -25,8 +25,8 @@
 /// A folder of papers, removed when this is dropped.
 pub struct Place {
     pub folder: PathBuf,
-    pub fronts: Pair,
-    pub operators: Pair,
+    pub fronts: CertificateAndKey,
+    pub operators: CertificateAndKey,
 }
 
 impl Drop for Place {
@@ -51,9 +51,11 @@
         let folder = std::env::temp_dir().join(format!("doorgrade-{}-{name}", std::process::id()));
         let _ = std::fs::remove_dir_all(&folder);
         std::fs::create_dir_all(&folder)?;
-        let made = |pair: Result<Pair, doorgrade_keys::Trouble>| pair.map_err(std::io::Error::other);
+        let made = |pair: Result<CertificateAndKey, doorgrade_keys::KeyFileError>| {
+            pair.map_err(std::io::Error::other)
+        };
         let (fronts, operators) =
-            (made(make::authority("fronts", 30))?, made(make::authority("operators", 30))?);
+            (made(generate::authority("fronts", 30))?, made(generate::authority("operators", 30))?);
         let place = Place { folder, fronts, operators };
         place.write("fronts-ca.pem", &place.fronts.certificate)?;
         place.write("operators-ca.pem", &place.operators.certificate)?;
@@ -69,8 +71,14 @@
         std::fs::write(self.folder.join(name), text)
     }
 
-    pub fn issue(&self, prefix: &str, authority: &Pair, names: &[&str], days: i64) -> std::io::Result<()> {
-        let pair = make::issue(authority, names, days).map_err(std::io::Error::other)?;
+    pub fn issue(
+        &self,
+        prefix: &str,
+        authority: &CertificateAndKey,
+        names: &[&str],
+        days: i64,
+    ) -> std::io::Result<()> {
+        let pair = generate::issue(authority, names, days).map_err(std::io::Error::other)?;
         self.write(&format!("{prefix}.pem"), &pair.certificate)?;
         self.write(&format!("{prefix}.key"), &pair.key)
     }
@@ -156,29 +164,29 @@
         true
     }
 
-    fn keep(&mut self, _: VersionId, _: Seal, _: &Content) -> bool {
+    fn store(&mut self, _: VersionId, _: Seal, _: &Content) -> bool {
         true
     }
 
     fn unstage(&mut self) {}
 
-    fn tell(&mut self, line: LogEvent) {
+    fn log(&mut self, line: LogEvent) {
         if let LogEvent::Rejected(id, why) = line {
             lock(&self.record).turned_down.push((id, why));
         }
     }
 
-    fn serves(&mut self) -> Option<f32> {
+    fn service_level(&mut self) -> Option<f32> {
         lock(&self.record).serves
     }
 
-    fn counts(&mut self) -> AccessCounts {
+    fn access_counts(&mut self) -> AccessCounts {
         let mut record = lock(&self.record);
         record.counted += 1;
         record.counts
     }
 
-    fn lost(&mut self, _: SocketAddr, why: &str) {
+    fn connection_lost(&mut self, _: SocketAddr, why: &str) {
         lock(&self.record).lost.push(why.to_owned());
     }
 }
@@ -196,19 +204,19 @@
 impl Puppet {
     /// On the runtime that this is called on.
     pub fn start(who: &Who<'_>, verdict: Arc<Verdict>) -> Result<Puppet, String> {
-        let tls = client(who.papers, FRONTS).map_err(|t| t.to_string())?.made;
+        let tls = client_config(who.papers, FRONT_PROTOCOL).map_err(|t| t.to_string())?.config;
         let name = ServerName::try_from(SERVICE).map_err(|e| e.to_string())?;
         let record = Arc::new(Mutex::new(Record::default()));
         let host = Runs { record: record.clone(), verdict, good: BTreeMap::new() };
-        let to = To { at: vec![who.service], name };
+        let to = ServiceEndpoint { addresses: vec![who.service], server_name: name };
         let (keys, who_is) = (Keys::new(who.keys.clone()), (who.name, who.station));
-        let (mut follow, first) = Follow::new(host, to, tls, |at, out| {
+        let (mut follow, first) = FrontClient::new(host, to, tls, |at, out| {
             Front::start(at, who.seed, who_is, keys, StoredState::default(), Ok(()), out)
         });
         let (commands, mut told) = mpsc::channel(4);
         let task = tokio::spawn(async move {
             follow.run(first, &mut told).await;
-            (follow.sent, follow.connections)
+            (follow.sent_bytes, follow.connections)
         });
         Ok(Puppet { record, commands, task })
     }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,9 +1,9 @@
-//! What survives a crash, on `redb`, an embedded store with transactions: after a crash at any point it has all of a
-//! transaction or nothing of it. On top of that each record has a checksum of its own (`blake3`), since a disk may
-//! give back other bytes than it was given, and a format number, so that an upgrade reads what was written before.
+//! Crash-safe storage on `redb`, an embedded transactional database: after a crash at any point a transaction is either
+//! complete or absent. In addition each record has its own checksum (`blake3`), since a disk may return other bytes than
+//! were written, and a format number, so that an upgrade can read the records of earlier releases.
 //!
-//! A store that is damaged is set aside under another name and begun anew; whoever opens it is told. A disk that fails for
-//! a while, or is full, fails what is asked meanwhile and nothing else. A store is opened by one process at a time.
+//! A damaged store is moved aside under another name and replaced by an empty one, which the caller is told. If the disk
+//! fails for a while, or is full, only the operations of that time fail. A store is open in one process at a time.
 #![forbid(unsafe_code)]
 
 mod records;
@@ -13,7 +13,7 @@
 use std::sync::Arc;
 
 use doorgrade_versions::seal::Seal;
-use doorgrade_versions::service::{SavedRollout, SavedTrials, StoredState as ServiceFound, Version};
+use doorgrade_versions::service::{SavedRollout, SavedTrials, StoredState, Version};
 use doorgrade_versions::{VersionId, front};
 use serde::Serialize;
 
@@ -21,49 +21,49 @@
 use records::{FORMAT, failed};
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Trouble {
-    /// The store was damaged; it was set aside under this name, and is begun anew.
+pub enum StoreError {
+    /// The store was damaged. Its file was moved to this path, and an empty store was created.
     SetAside(PathBuf, Box<str>),
-    /// One record is not what was written; it counts as not there.
+    /// A record has a wrong checksum or can't be decoded. It is treated as missing.
     Damaged(Box<str>),
-    /// One record was written by a later release. It is left as it is: read wrongly it would be worth less than nothing.
-    Newer { key: Box<str>, format: u8 },
-    /// Another process has it open; it is left alone.
+    /// A record was written by a later release. It is left unchanged, since misreading it would do harm.
+    NewerFormat { key: Box<str>, format: u8 },
+    /// Another process has the store open. It is not touched.
     InUse,
-    /// What is in its file is no store, or one in pieces.
+    /// The file is not a store, or a damaged one.
     Unreadable(Box<str>),
-    /// It could not be read or written now; the disk fails, or is full.
+    /// The store can't be read or written at present: the disk fails, or is full.
     Failed(Box<str>),
 }
 
-impl fmt::Display for Trouble {
+impl fmt::Display for StoreError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Trouble::SetAside(path, why) => {
-                write!(f, "the store can't be opened ({why}): set aside as {}", path.display())
+            StoreError::SetAside(path, reason) => {
+                write!(f, "the store can't be opened ({reason}): set aside as {}", path.display())
             }
-            Trouble::Damaged(key) => {
-                write!(f, "the store's record '{key}' is not what was written: left out")
+            StoreError::Damaged(key) => {
+                write!(f, "the store's record '{key}' is damaged: ignored")
             }
-            Trouble::Newer { key, format } => write!(
+            StoreError::NewerFormat { key, format } => write!(
                 f,
                 "the store's record '{key}' was written in format {format} by a later release, and this one reads up to \
                  {FORMAT}: start that release, or move the store's file away"
             ),
-            Trouble::InUse => f.write_str("the store is open in another process"),
-            Trouble::Unreadable(why) => write!(f, "the store's file is damaged: {why}"),
-            Trouble::Failed(why) => write!(f, "the store: {why}"),
+            StoreError::InUse => f.write_str("the store is open in another process"),
+            StoreError::Unreadable(reason) => write!(f, "the store's file is damaged: {reason}"),
+            StoreError::Failed(reason) => write!(f, "the store: {reason}"),
         }
     }
 }
 
-impl std::error::Error for Trouble {}
+impl std::error::Error for StoreError {}
 
-fn payload(value: &impl Serialize) -> Result<Vec<u8>, Trouble> {
+fn encode(value: &impl Serialize) -> Result<Vec<u8>, StoreError> {
     postcard::to_stdvec(value).map_err(failed)
 }
 
-/// What a front keeps: the version that was good last, and the one that was being applied.
+/// What a front stores: the last good version, and the one that is being applied.
 pub struct FrontStore(Records);
 
 impl FrontStore {
@@ -71,32 +71,34 @@
         FrontStore(records)
     }
 
-    pub fn load(&self) -> (front::StoredState, Vec<Trouble>) {
-        let mut troubles = Vec::new();
-        let good: Option<(VersionId, Seal, Arc<[u8]>)> = self.0.value("good", &mut troubles);
-        // Its own hash, too: a content under the wrong number is no better than a damaged one.
-        let whole = |(id, _, content): &(VersionId, Seal, Arc<[u8]>)| {
+    pub fn load(&self) -> (front::StoredState, Vec<StoreError>) {
+        let mut errors = Vec::new();
+        let last_good: Option<(VersionId, Seal, Arc<[u8]>)> = self.0.value("good", &mut errors);
+        // The content has to match the hash in its id, too: a content under the wrong number is as bad as a damaged one.
+        let matches_id = |(id, _, content): &(VersionId, Seal, Arc<[u8]>)| {
             VersionId::of(id.epoch, id.number, content) == *id
         };
-        let good = good.filter(whole);
-        (front::StoredState { last_good: good, staged: self.0.value("staged", &mut troubles) }, troubles)
+        let last_good = last_good.filter(matches_id);
+        (front::StoredState { last_good, staged: self.0.value("staged", &mut errors) }, errors)
     }
 
-    pub fn stage(&self, id: VersionId, falls: u32) -> Result<(), Trouble> {
-        self.0.write(&[("staged", payload(&(id, falls))?)], &[])
+    /// Records that a version is about to be applied, and after how many crashes.
+    pub fn stage(&self, id: VersionId, crashes: u32) -> Result<(), StoreError> {
+        self.0.write(&[("staged", encode(&(id, crashes))?)], &[])
     }
 
-    pub fn keep(&self, id: VersionId, seal: Seal, content: &Arc<[u8]>) -> Result<(), Trouble> {
-        self.0.write(&[("good", payload(&(id, seal, content))?)], &["staged"])
+    /// Stores the last good version; nothing is staged afterwards.
+    pub fn put_last_good(&self, id: VersionId, seal: Seal, content: &Arc<[u8]>) -> Result<(), StoreError> {
+        self.0.write(&[("good", encode(&(id, seal, content))?)], &["staged"])
     }
 
-    pub fn unstage(&self) -> Result<(), Trouble> {
+    pub fn unstage(&self) -> Result<(), StoreError> {
         self.0.write(&[], &["staged"])
     }
 }
 
-/// What a service keeps: its epoch, the history, how far a publication is, and in a record of its own, which earlier
-/// releases leave alone, the changes that are on trial or watched.
+/// What a service stores: its epoch, the history, the state of the current rollout, and the changes that are on trial or
+/// under observation. The latter are a separate record, which earlier releases ignore.
 pub struct ServiceStore(Records);
 
 type State = (u64, Option<u64>, Option<SavedRollout>);
@@ -110,50 +112,50 @@
         ServiceStore(records)
     }
 
-    pub fn load(&self) -> (ServiceFound, Vec<Trouble>) {
-        let mut troubles = Vec::new();
-        let state: Option<State> = self.0.value("state", &mut troubles);
+    pub fn load(&self) -> (StoredState, Vec<StoreError>) {
+        let mut errors = Vec::new();
+        let state: Option<State> = self.0.value("state", &mut errors);
         let Some((epoch, base, rollout)) = state else {
-            // Without it nothing is known of what was published: the service begins anew.
-            return (ServiceFound::default(), troubles);
+            // Without this record nothing is known about what was published: the service starts with an empty state.
+            return (StoredState::default(), errors);
         };
-        let keys = self.0.keys(&format!("version/{epoch:016x}/")).unwrap_or_else(|trouble| {
-            troubles.push(trouble);
+        let keys = self.0.keys(&format!("version/{epoch:016x}/")).unwrap_or_else(|error| {
+            errors.push(error);
             Vec::new()
         });
-        let versions: Vec<Version> = keys.iter().filter_map(|k| self.0.value(k, &mut troubles)).collect();
-        let there = |n: &u64| versions.iter().any(|v| v.id.number == *n);
-        let base = base.filter(there);
-        let rollout = rollout.filter(|r| there(&r.id.number));
-        let trials: Option<SavedTrials> = self.0.value("trials", &mut troubles);
+        let versions: Vec<Version> = keys.iter().filter_map(|k| self.0.value(k, &mut errors)).collect();
+        let exists = |n: &u64| versions.iter().any(|v| v.id.number == *n);
+        let base = base.filter(exists);
+        let rollout = rollout.filter(|r| exists(&r.id.number));
+        let trials: Option<SavedTrials> = self.0.value("trials", &mut errors);
         let trials = trials.filter(|t| t.epoch == epoch);
-        (ServiceFound { epoch, versions, base, rollout, trials }, troubles)
+        (StoredState { epoch, versions, base, rollout, trials }, errors)
     }
 
-    pub fn put_trials(&self, trials: &SavedTrials) -> Result<(), Trouble> {
-        self.0.write(&[("trials", payload(trials)?)], &[])
+    pub fn put_trials(&self, trials: &SavedTrials) -> Result<(), StoreError> {
+        self.0.write(&[("trials", encode(trials)?)], &[])
     }
 
-    /// A version that nothing needs any more.
-    pub fn forget(&self, id: &VersionId) -> Result<(), Trouble> {
+    /// Deletes a version that is no longer needed.
+    pub fn delete_version(&self, id: &VersionId) -> Result<(), StoreError> {
         self.0.write(&[], &[&version_key(id)])
     }
 
-    pub fn put(&self, version: &Version) -> Result<(), Trouble> {
-        self.0.write(&[(&version_key(&version.id), payload(version)?)], &[])
+    pub fn put_version(&self, version: &Version) -> Result<(), StoreError> {
+        self.0.write(&[(&version_key(&version.id), encode(version)?)], &[])
     }
 
-    /// The state; what is of an earlier epoch is no more.
+    /// Stores the state, and deletes the versions of other epochs.
     pub fn put_state(
         &self,
         epoch: u64,
         base: Option<u64>,
         rollout: &Option<SavedRollout>,
-    ) -> Result<(), Trouble> {
+    ) -> Result<(), StoreError> {
         let current = format!("version/{epoch:016x}/");
         let old: Vec<String> =
             self.0.keys("version/")?.into_iter().filter(|k| !k.starts_with(&current)).collect();
         let old: Vec<&str> = old.iter().map(String::as_str).collect();
-        self.0.write(&[("state", payload(&(epoch, base, rollout))?)], &old)
+        self.0.write(&[("state", encode(&(epoch, base, rollout))?)], &old)
     }
 }
--- a/crates/store/tests/crashes.rs
+++ b/crates/store/tests/crashes.rs
@@ -3,7 +3,7 @@
 use std::io;
 use std::sync::{Arc, Mutex};
 
-use doorgrade_store::{FrontStore, Records, ServiceStore, Trouble};
+use doorgrade_store::{FrontStore, Records, ServiceStore, StoreError};
 use doorgrade_versions::VersionId;
 use doorgrade_versions::seal::Seal;
 use doorgrade_versions::service::Version;
@@ -106,14 +106,14 @@
 #[test]
 fn a_front_that_stops_at_any_write_finds_a_good_version_whole() {
     let disk = Disk::default();
-    let store = FrontStore::new(Records::on(disk.clone()).unwrap());
+    let store = FrontStore::new(Records::with_backend(disk.clone()).unwrap());
     let (one, two) = (content("one"), content("two"));
     let (id_one, id_two) = (VersionId::of(1, 1, &one), VersionId::of(1, 2, &two));
-    store.keep(id_one, SEAL, &one).unwrap();
+    store.put_last_good(id_one, SEAL, &one).unwrap();
     let start = disk.bytes.lock().unwrap().clone();
     disk.ops.lock().unwrap().clear();
     store.stage(id_two, 0).unwrap();
-    store.keep(id_two, SEAL, &two).unwrap();
+    store.put_last_good(id_two, SEAL, &two).unwrap();
     let ops = disk.ops.lock().unwrap().clone();
     let (mut points, mut rng, mut seen) = (0, fastrand::Rng::with_seed(3), [0; 3]);
     for count in 0..=ops.len() {
@@ -121,7 +121,7 @@
             for _ in 0..if lost == 1 { 8 } else { 1 } {
                 points += 1;
                 let bytes = after(&start, &ops, count, lost, &mut rng);
-                let records = Records::on(Disk::with(bytes)).expect("it opens after any crash");
+                let records = Records::with_backend(Disk::with(bytes)).expect("it opens after any crash");
                 let (found, troubles) = FrontStore::new(records).load();
                 assert_eq!(troubles, []);
                 let (id, _, kept) = found.last_good.expect("a good version");
@@ -142,10 +142,10 @@
 #[test]
 fn bits_that_flip_are_found_and_nothing_wrong_is_run() {
     let disk = Disk::default();
-    let store = FrontStore::new(Records::on(disk.clone()).unwrap());
+    let store = FrontStore::new(Records::with_backend(disk.clone()).unwrap());
     let one = content("one");
     let id = VersionId::of(1, 1, &one);
-    store.keep(id, SEAL, &one).unwrap();
+    store.put_last_good(id, SEAL, &one).unwrap();
     drop(store);
     let sound = disk.bytes.lock().unwrap().clone();
     let mut rng = fastrand::Rng::with_seed(9);
@@ -160,7 +160,7 @@
         } else {
             bytes[used[rng.usize(0..used.len())]] ^= 1 << rng.u8(0..8);
         }
-        match Records::on(Disk::with(bytes)) {
+        match Records::with_backend(Disk::with(bytes)) {
             Err(_) => found_out += 1,
             Ok(records) => match FrontStore::new(records).load() {
                 (found, _) if found.last_good.is_none() => found_out += 1,
@@ -182,17 +182,18 @@
 #[test]
 fn a_full_disk_fails_the_write_and_nothing_else() {
     let disk = Disk::default();
-    let store = FrontStore::new(Records::on(disk.clone()).unwrap());
+    let store = FrontStore::new(Records::with_backend(disk.clone()).unwrap());
     let (one, two): (Arc<[u8]>, Arc<[u8]>) = (content("one"), vec![7; 4 << 20].into());
     let (id_one, id_two) = (VersionId::of(1, 1, &one), VersionId::of(1, 2, &two));
-    store.keep(id_one, SEAL, &one).unwrap();
+    store.put_last_good(id_one, SEAL, &one).unwrap();
     *disk.full.lock().unwrap() = true;
-    assert!(matches!(store.keep(id_two, SEAL, &two), Err(Trouble::Failed(_))));
+    assert!(matches!(store.put_last_good(id_two, SEAL, &two), Err(StoreError::Failed(_))));
     drop(store);
     *disk.full.lock().unwrap() = false;
-    let again = FrontStore::new(Records::on(Disk::with(disk.bytes.lock().unwrap().clone())).unwrap());
+    let again =
+        FrontStore::new(Records::with_backend(Disk::with(disk.bytes.lock().unwrap().clone())).unwrap());
     assert_eq!(again.load().0.last_good, Some((id_one, SEAL, one)));
-    again.keep(id_two, SEAL, &two).unwrap();
+    again.put_last_good(id_two, SEAL, &two).unwrap();
     assert_eq!(again.load().0.last_good, Some((id_two, SEAL, two)));
 }
 
@@ -201,18 +202,21 @@
 fn a_store_whose_disk_failed_for_a_while_is_written_and_read_again() {
     let disk = Disk::default();
     let of = disk.clone();
-    let store = FrontStore::new(Records::reopening(move || Ok(of.clone())).unwrap());
+    let store = FrontStore::new(Records::with_reopening_backend(move || Ok(of.clone())).unwrap());
     let (one, two) = (content("one"), content("two"));
     let (id_one, id_two) = (VersionId::of(1, 1, &one), VersionId::of(1, 2, &two));
-    store.keep(id_one, SEAL, &one).unwrap();
+    store.put_last_good(id_one, SEAL, &one).unwrap();
     for round in 0..3 {
         *disk.full.lock().unwrap() = true;
-        assert!(matches!(store.keep(id_two, SEAL, &two), Err(Trouble::Failed(_))), "{round}");
-        assert!(matches!(store.keep(id_two, SEAL, &two), Err(Trouble::Failed(_))), "{round}: tried again");
+        assert!(matches!(store.put_last_good(id_two, SEAL, &two), Err(StoreError::Failed(_))), "{round}");
+        assert!(
+            matches!(store.put_last_good(id_two, SEAL, &two), Err(StoreError::Failed(_))),
+            "{round}: tried again"
+        );
         *disk.full.lock().unwrap() = false;
         assert_eq!(store.load().0.last_good, Some((id_one, SEAL, one.clone())), "{round}");
     }
-    store.keep(id_two, SEAL, &two).unwrap();
+    store.put_last_good(id_two, SEAL, &two).unwrap();
     assert_eq!(store.load().0.last_good, Some((id_two, SEAL, two)));
 }
 
@@ -223,11 +227,11 @@
     let path = folder.join("front.redb");
     std::fs::write(&path, b"this was never a store, and is long enough to be looked at".repeat(100)).unwrap();
     let (records, trouble) = Records::open(&path).unwrap();
-    let Some(Trouble::SetAside(aside, _)) = trouble else { panic!("{trouble:?}") };
+    let Some(StoreError::SetAside(aside, _)) = trouble else { panic!("{trouble:?}") };
     assert!(aside.exists());
     let store = FrontStore::new(records);
     let one = content("one");
-    store.keep(VersionId::of(1, 1, &one), SEAL, &one).unwrap();
+    store.put_last_good(VersionId::of(1, 1, &one), SEAL, &one).unwrap();
     drop(store);
     let (records, trouble) = Records::open(&path).unwrap();
     assert!(trouble.is_none() && FrontStore::new(records).load().0.last_good.is_some());
@@ -237,20 +241,20 @@
 #[test]
 fn a_service_finds_its_history_and_forgets_earlier_epochs() {
     let disk = Disk::default();
-    let store = ServiceStore::new(Records::on(disk.clone()).unwrap());
+    let store = ServiceStore::new(Records::with_backend(disk.clone()).unwrap());
     assert_eq!(store.load().0.epoch, 0, "nothing yet");
     let version = |epoch, number| {
         let text = content(&format!("{epoch} {number}"));
         Version { id: VersionId::of(epoch, number, &text), content: text, note: "n".into(), published_at: 5 }
     };
     for number in 1..4 {
-        store.put(&version(7, number)).unwrap();
+        store.put_version(&version(7, number)).unwrap();
     }
     store.put_state(7, Some(2), &None).unwrap();
     let (found, troubles) = store.load();
     assert_eq!((found.epoch, found.base, found.versions.len(), troubles), (7, Some(2), 3, vec![]));
     assert_eq!(found.versions[1], version(7, 2));
-    store.put(&version(8, 1)).unwrap();
+    store.put_version(&version(8, 1)).unwrap();
     store.put_state(8, None, &None).unwrap();
     let (found, _) = store.load();
     assert_eq!((found.epoch, found.versions), (8, vec![version(8, 1)]));
@@ -262,7 +266,7 @@
     let (first, _) = Records::open(&path).unwrap();
     first.write(&[("a", vec![1])], &[]).unwrap();
     // Not set aside: it is neither damaged nor anybody else's to move.
-    assert!(matches!(Records::open(&path), Err(Trouble::InUse)));
+    assert!(matches!(Records::open(&path), Err(StoreError::InUse)));
     assert_eq!(first.read("a").unwrap(), Some(vec![1]));
     drop(first);
     let (again, trouble) = Records::open(&path).unwrap();
--- a/crates/store/tests/formats.rs
+++ b/crates/store/tests/formats.rs
@@ -3,7 +3,7 @@
 
 use std::path::PathBuf;
 
-use doorgrade_store::{Records, ServiceStore, Trouble};
+use doorgrade_store::{Records, ServiceStore, StoreError};
 use doorgrade_versions::service::{SavedRollout, SavedTrials, StopReason};
 use doorgrade_versions::{RejectionReason, VersionId};
 use redb::{Database, ReadableDatabase, TableDefinition};
@@ -84,7 +84,7 @@
     let store = ServiceStore::new(Records::open(&path).unwrap().0);
     let (found, troubles) = store.load();
     assert_eq!(found.epoch, 0);
-    assert_eq!(troubles, [Trouble::Newer { key: "state".into(), format: 9 }]);
+    assert_eq!(troubles, [StoreError::NewerFormat { key: "state".into(), format: 9 }]);
     assert_eq!(
         troubles[0].to_string(),
         "the store's record 'state' was written in format 9 by a later release, and this one reads up to 1: start that \
@@ -108,7 +108,7 @@
     let (found, troubles) = store.load();
     assert_eq!((found.trials, troubles), (Some(trials.clone()), vec![]));
     assert_eq!(found.base, Some(1), "what an earlier release reads is as it was");
-    store.forget(&found.versions[0].id).unwrap();
+    store.delete_version(&found.versions[0].id).unwrap();
     assert_eq!(store.load().0.versions.len(), 1);
     // Of another epoch they say nothing about this one's numbers.
     store.put_trials(&SavedTrials { epoch: EPOCH + 1, ..trials }).unwrap();
--- a/crates/stream/src/lib.rs
+++ b/crates/stream/src/lib.rs
@@ -1,25 +1,27 @@
-//! Versions over a connection: messages in frames, over mutual TLS 1.3, each with a bound and a time to come in.
+//! The connection between a front or an operator and the control service: messages in frames, over mutual TLS 1.3,
+//! each with a size limit and a timeout.
 //!
-//! A connection is opened with one of two protocol names (ALPN), which carry the version of the wire: `FRONTS`
-//! between a front and the service, `OPERATORS` between a person's command and the service. A frame is four bytes
-//! of length, the greatest first, and a message in `postcard`'s form. Whoever breaks this is cut off.
+//! A connection is opened with one of two protocol names (ALPN), which carry the protocol version:
+//! [`FRONT_PROTOCOL`] between a front and the service, [`OPERATOR_PROTOCOL`] between an operator's command and the
+//! service. A frame is a four-byte big-endian length and a message encoded with `postcard`. A peer that violates this
+//! is disconnected.
 //!
-//! The clock that all programs of this project go by is here, too: what they tell each other is in its times.
+//! The clock that all programs of this project use is here, too, since the times in messages are times of that clock.
 #![forbid(unsafe_code)]
 
 pub mod clock;
-pub mod follow;
 pub mod frame;
+pub mod front_client;
 pub mod wire;
 
 use doorgrade_versions::MAX_CONTENT_BYTES;
 
-pub const FRONTS: &[u8] = b"doorgrade-versions/1";
-pub const OPERATORS: &[u8] = b"doorgrade-operators/1";
+pub const FRONT_PROTOCOL: &[u8] = b"doorgrade-versions/1";
+pub const OPERATOR_PROTOCOL: &[u8] = b"doorgrade-operators/1";
 
-/// The longest first word: two names, a version's place and its seal.
-pub const MOST_FIRST: usize = 1 << 10;
-/// The longest later word of a front: a refusal, with the reasons that a person is to read.
-pub const MOST_WORD: usize = 64 << 10;
-/// The longest message with a content in it; a change of one can be a little longer than the content it makes.
-pub const MOST_WITH_CONTENT: usize = MAX_CONTENT_BYTES + (4 << 20);
+/// The longest first message of a front: two names, a version id and its seal.
+pub const MAX_HELLO_BYTES: usize = 1 << 10;
+/// The longest later message of a front: a rejection, with reasons for an operator to read.
+pub const MAX_FRONT_MESSAGE_BYTES: usize = 64 << 10;
+/// The longest message that carries a content. A delta can be a little longer than the content that it produces.
+pub const MAX_CONTENT_MESSAGE_BYTES: usize = MAX_CONTENT_BYTES + (4 << 20);
--- a/crates/stream/src/wire.rs
+++ b/crates/stream/src/wire.rs
@@ -1,4 +1,4 @@
-//! A connection's two halves: messages read and written, each within its time.
+//! The two halves of a connection: messages are read and written, each within its timeout.
 
 use std::fmt;
 use std::time::Duration;
@@ -7,79 +7,82 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
-use tokio::time::timeout;
+use tokio::time;
 
 use crate::clock::now;
-use crate::frame::{Broken, Frames, frame};
+use crate::frame::{FrameDecoder, FrameError, encode_frame};
 
-/// Why a connection is of no further use.
+/// Why a connection can't be used any further.
 #[derive(Debug)]
-pub enum Ended {
-    /// The other side ended it between two messages.
+pub enum ConnectionError {
+    /// The peer closed it between two messages.
     Closed,
-    Broken(Broken),
-    /// It took longer than it may.
-    Slow,
-    Failed(std::io::Error),
+    Frame(FrameError),
+    /// The peer exceeded a timeout.
+    TimedOut,
+    Io(std::io::Error),
 }
 
-impl fmt::Display for Ended {
+impl fmt::Display for ConnectionError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Ended::Closed => f.write_str("closed by the other side"),
-            Ended::Broken(broken) => broken.fmt(f),
-            Ended::Slow => f.write_str("took too long"),
-            Ended::Failed(e) => e.fmt(f),
+            ConnectionError::Closed => f.write_str("closed by the peer"),
+            ConnectionError::Frame(e) => e.fmt(f),
+            ConnectionError::TimedOut => f.write_str("timed out"),
+            ConnectionError::Io(e) => e.fmt(f),
         }
     }
 }
 
-fn left(pace: &PeerTimeout) -> Duration {
+fn remaining(timeout: &PeerTimeout) -> Duration {
+    /// In place of a deadline where none is set.
     const NEVER: Duration = Duration::from_secs(86_400 * 365);
-    pace.deadline().map_or(NEVER, |at| Duration::from_micros(at.saturating_sub(now()) * 100))
+    timeout.deadline().map_or(NEVER, |deadline| Duration::from_micros(deadline.saturating_sub(now()) * 100))
 }
 
 pub struct Reader<R> {
     stream: R,
-    frames: Frames,
-    pace: PeerTimeout,
+    decoder: FrameDecoder,
+    timeout: PeerTimeout,
 }
 
-/// Read at once at most: a frame's bytes are put by as they come.
-const PIECE: usize = 16 << 10;
+/// The most that is read or written at once, so that the timeout follows the transfer of a long frame.
+const CHUNK_BYTES: usize = 16 << 10;
 
 impl<R: AsyncRead + Unpin> Reader<R> {
-    /// `first`: a first word of at most so many bytes is owed at once.
-    pub fn new(stream: R, first: Option<usize>, most: usize) -> Self {
-        let mut pace = PeerTimeout::new(now());
-        pace.handshake_done(now(), first.is_some());
-        Reader { stream, frames: Frames::new(first.unwrap_or(most)), pace }
+    /// `first_max`: if set, the peer has to send a first message of at most this many bytes at once.
+    /// `max`: the maximum length of messages otherwise.
+    pub fn new(stream: R, first_max: Option<usize>, max: usize) -> Self {
+        let mut timeout = PeerTimeout::new(now());
+        timeout.handshake_done(now(), first_max.is_some());
+        Reader { stream, decoder: FrameDecoder::new(first_max.unwrap_or(max)), timeout }
     }
 
-    pub fn set_most(&mut self, most: usize) {
-        self.frames.set_most(most);
+    /// Sets the maximum length in bytes of the messages that follow.
+    pub fn set_max(&mut self, max: usize) {
+        self.decoder.set_max(max);
     }
 
-    /// The next message. May be given up at any time and called again: nothing that has come is lost.
-    pub async fn read<T: DeserializeOwned>(&mut self) -> Result<T, Ended> {
-        let mut piece = [0; PIECE];
+    /// The next message. Cancel safe: received bytes stay in the decoder if the future is dropped.
+    pub async fn read<T: DeserializeOwned>(&mut self) -> Result<T, ConnectionError> {
+        let mut chunk = [0; CHUNK_BYTES];
         loop {
-            if let Some(message) = self.frames.take().map_err(Ended::Broken)? {
-                self.pace.transferred(now(), 0, true);
-                if self.frames.begun() {
-                    self.pace.transferred(now(), 0, false);
+            if let Some(message) = self.decoder.next_message().map_err(ConnectionError::Frame)? {
+                self.timeout.transferred(now(), 0, true);
+                if self.decoder.has_partial() {
+                    self.timeout.transferred(now(), 0, false);
                 }
                 return Ok(message);
             }
-            let read = timeout(left(&self.pace), self.stream.read(&mut piece)).await;
-            match read.map_err(|_| Ended::Slow)?.map_err(Ended::Failed)? {
-                0 if self.frames.begun() => {
-                    return Err(Ended::Failed(std::io::ErrorKind::UnexpectedEof.into()));
+            let read = time::timeout(remaining(&self.timeout), self.stream.read(&mut chunk)).await;
+            match read.map_err(|_| ConnectionError::TimedOut)?.map_err(ConnectionError::Io)? {
+                0 if self.decoder.has_partial() => {
+                    return Err(ConnectionError::Io(std::io::ErrorKind::UnexpectedEof.into()));
                 }
-                0 => return Err(Ended::Closed),
+                0 => return Err(ConnectionError::Closed),
                 count => {
-                    self.frames.put(&piece[..count]);
-                    self.pace.transferred(now(), count as u64, false);
+                    self.decoder.push(&chunk[..count]);
+                    self.timeout.transferred(now(), count as u64, false);
                 }
             }
         }
@@ -88,34 +91,36 @@
 
 pub struct Writer<W> {
     stream: W,
-    pub sent: u64,
+    pub sent_bytes: u64,
 }
 
 impl<W: AsyncWrite + Unpin> Writer<W> {
     pub fn new(stream: W) -> Self {
-        Writer { stream, sent: 0 }
+        Writer { stream, sent_bytes: 0 }
     }
 
-    /// A message, whole, at no less than the least rate. A write that was given up leaves the connection of no use.
-    pub async fn write<T: Serialize>(&mut self, message: &T) -> Result<(), Ended> {
-        let long = Broken::Long { bytes: u32::MAX as usize, most: crate::MOST_WITH_CONTENT };
-        let bytes = frame(message).ok_or(Ended::Broken(long))?;
-        let mut pace = PeerTimeout::new(now());
-        pace.handshake_done(now(), false);
-        pace.transferred(now(), 0, false);
-        for piece in bytes.chunks(PIECE) {
-            let wrote = timeout(left(&pace), self.stream.write_all(piece)).await;
-            wrote.map_err(|_| Ended::Slow)?.map_err(Ended::Failed)?;
-            pace.transferred(now(), piece.len() as u64, false);
+    /// Writes a whole message; fails if the peer takes it at less than the minimum rate. Not cancel safe: after a dropped
+    /// write the connection can't be used any further.
+    pub async fn write<T: Serialize>(&mut self, message: &T) -> Result<(), ConnectionError> {
+        let too_long =
+            FrameError::TooLong { bytes: u32::MAX as usize, max: crate::MAX_CONTENT_MESSAGE_BYTES };
+        let bytes = encode_frame(message).ok_or(ConnectionError::Frame(too_long))?;
+        let mut timeout = PeerTimeout::new(now());
+        timeout.handshake_done(now(), false);
+        timeout.transferred(now(), 0, false);
+        for chunk in bytes.chunks(CHUNK_BYTES) {
+            let written = time::timeout(remaining(&timeout), self.stream.write_all(chunk)).await;
+            written.map_err(|_| ConnectionError::TimedOut)?.map_err(ConnectionError::Io)?;
+            timeout.transferred(now(), chunk.len() as u64, false);
         }
-        let flushed = timeout(left(&pace), self.stream.flush()).await;
-        flushed.map_err(|_| Ended::Slow)?.map_err(Ended::Failed)?;
-        self.sent += bytes.len() as u64;
+        let flushed = time::timeout(remaining(&timeout), self.stream.flush()).await;
+        flushed.map_err(|_| ConnectionError::TimedOut)?.map_err(ConnectionError::Io)?;
+        self.sent_bytes += bytes.len() as u64;
         Ok(())
     }
 
     pub async fn close(&mut self) {
-        // Whether the other side hears of it or not, it is over.
-        let _ = timeout(Duration::from_secs(1), self.stream.shutdown()).await;
+        // The connection ends, whether the peer receives the shutdown or not.
+        let _ = time::timeout(Duration::from_secs(1), self.stream.shutdown()).await;
     }
 }
--- a/crates/trust/src/expiry.rs
+++ b/crates/trust/src/expiry.rs
@@ -33,7 +33,7 @@
         match self {
             Warning::ExpiresIn(left) => write!(f, "expires in {}", duration(left)),
             Warning::ExpiredFor(ago) => write!(f, "expired {} ago", duration(ago)),
-            Warning::ValidIn(wait) => write!(f, "is not valid for another {}", duration(wait)),
+            Warning::ValidIn(wait) => write!(f, "is good only in {}", duration(wait)),
         }
     }
 }
