--- a/crates/stream/src/wire.rs
+++ b/crates/stream/src/wire.rs
@@ -7,7 +7,7 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
-use tokio::time;
+use tokio::time::timeout;
 
 use crate::clock::now;
 use crate::frame::{FrameDecoder, FrameError, encode_frame};
@@ -34,16 +34,18 @@
     }
 }
 
-fn remaining(timeout: &PeerTimeout) -> Duration {
+fn remaining(peer_timeout: &PeerTimeout) -> Duration {
     /// In place of a deadline where none is set.
     const NEVER: Duration = Duration::from_secs(86_400 * 365);
-    timeout.deadline().map_or(NEVER, |deadline| Duration::from_micros(deadline.saturating_sub(now()) * 100))
+    peer_timeout
+        .deadline()
+        .map_or(NEVER, |deadline| Duration::from_micros(deadline.saturating_sub(now()) * 100))
 }
 
 pub struct Reader<R> {
     stream: R,
     decoder: FrameDecoder,
-    timeout: PeerTimeout,
+    peer_timeout: PeerTimeout,
 }
 
 /// The most that is read or written at once, so that the timeout follows the transfer of a long frame.
@@ -53,9 +55,9 @@
     /// `first_max`: if set, the peer has to send a first message of at most this many bytes at once.
     /// `max`: the maximum length of messages otherwise.
     pub fn new(stream: R, first_max: Option<usize>, max: usize) -> Self {
-        let mut timeout = PeerTimeout::new(now());
-        timeout.handshake_done(now(), first_max.is_some());
-        Reader { stream, decoder: FrameDecoder::new(first_max.unwrap_or(max)), timeout }
+        let mut peer_timeout = PeerTimeout::new(now());
+        peer_timeout.handshake_done(now(), first_max.is_some());
+        Reader { stream, decoder: FrameDecoder::new(first_max.unwrap_or(max)), peer_timeout }
     }
 
     /// Sets the maximum length in bytes of the messages that follow.
@@ -68,13 +70,13 @@
         let mut chunk = [0; CHUNK_BYTES];
         loop {
             if let Some(message) = self.decoder.next_message().map_err(ConnectionError::Frame)? {
-                self.timeout.transferred(now(), 0, true);
+                self.peer_timeout.transferred(now(), 0, true);
                 if self.decoder.has_partial() {
-                    self.timeout.transferred(now(), 0, false);
+                    self.peer_timeout.transferred(now(), 0, false);
                 }
                 return Ok(message);
             }
-            let read = time::timeout(remaining(&self.timeout), self.stream.read(&mut chunk)).await;
+            let read = timeout(remaining(&self.peer_timeout), self.stream.read(&mut chunk)).await;
             match read.map_err(|_| ConnectionError::TimedOut)?.map_err(ConnectionError::Io)? {
                 0 if self.decoder.has_partial() => {
                     return Err(ConnectionError::Io(std::io::ErrorKind::UnexpectedEof.into()));
@@ -82,7 +84,7 @@
                 0 => return Err(ConnectionError::Closed),
                 count => {
                     self.decoder.push(&chunk[..count]);
-                    self.timeout.transferred(now(), count as u64, false);
+                    self.peer_timeout.transferred(now(), count as u64, false);
                 }
             }
         }
@@ -105,15 +107,15 @@
         let too_long =
             FrameError::TooLong { bytes: u32::MAX as usize, max: crate::MAX_CONTENT_MESSAGE_BYTES };
         let bytes = encode_frame(message).ok_or(ConnectionError::Frame(too_long))?;
-        let mut timeout = PeerTimeout::new(now());
-        timeout.handshake_done(now(), false);
-        timeout.transferred(now(), 0, false);
+        let mut peer_timeout = PeerTimeout::new(now());
+        peer_timeout.handshake_done(now(), false);
+        peer_timeout.transferred(now(), 0, false);
         for chunk in bytes.chunks(CHUNK_BYTES) {
-            let written = time::timeout(remaining(&timeout), self.stream.write_all(chunk)).await;
+            let written = timeout(remaining(&peer_timeout), self.stream.write_all(chunk)).await;
             written.map_err(|_| ConnectionError::TimedOut)?.map_err(ConnectionError::Io)?;
-            timeout.transferred(now(), chunk.len() as u64, false);
+            peer_timeout.transferred(now(), chunk.len() as u64, false);
         }
-        let flushed = time::timeout(remaining(&timeout), self.stream.flush()).await;
+        let flushed = timeout(remaining(&peer_timeout), self.stream.flush()).await;
         flushed.map_err(|_| ConnectionError::TimedOut)?.map_err(ConnectionError::Io)?;
         self.sent_bytes += bytes.len() as u64;
         Ok(())
@@ -121,6 +123,6 @@
 
     pub async fn close(&mut self) {
         // The connection ends, whether the peer receives the shutdown or not.
-        let _ = time::timeout(Duration::from_secs(1), self.stream.shutdown()).await;
+        let _ = timeout(Duration::from_secs(1), self.stream.shutdown()).await;
     }
 }
