--- a/crates/control/src/event_loop.rs
+++ b/crates/control/src/event_loop.rs
@@ -104,7 +104,7 @@
             tracing::warn!(member = %front, version = %id, "version {id}: rejected by {front}: {reason}");
         }
         LogEvent::FalseClaim { front, id } => {
-            tracing::error!(member = %front, version = %id, "{front} reports that it runs {id}, which was never offered to it");
+            tracing::error!(member = %front, version = %id, "{front} claims to run {id}, which it can't have");
         }
         LogEvent::NewEpoch { epoch, because } => {
             tracing::error!(
--- a/crates/control/tests/reports.rs
+++ b/crates/control/tests/reports.rs
@@ -1,5 +1,5 @@
-//! A front's reports to a service that asks for them, over TLS on loopback: never unasked, at the pace that the service
-//! says within the front's own bounds, counted on, and not over the end of a connection.
+//! A front's reports of access counts, over TLS on loopback: sent only on request of the service, at the interval that it
+//! sets within the front's own limits, with continuous sequence numbers, and not after a reconnect without a new request.
 
 use std::time::{Duration, Instant};
 
@@ -17,44 +17,46 @@
 
 type Stream = TlsStream<TcpStream>;
 
-/// The service's end of a front's connection.
-struct End {
+/// The service's side of a front's connection.
+struct ServiceSide {
     reader: Reader<ReadHalf<Stream>>,
     writer: Writer<WriteHalf<Stream>>,
 }
 
-impl End {
-    /// The next connection, greeted.
-    async fn accept(listener: &TcpListener, tls: &TlsAcceptor) -> End {
+impl ServiceSide {
+    /// Accepts the next connection, and answers its hello.
+    async fn accept(listener: &TcpListener, tls: &TlsAcceptor) -> ServiceSide {
         let (stream, _) = listener.accept().await.unwrap();
         let (read, write) = tokio::io::split(tls.accept(stream).await.unwrap());
-        let mut end =
-            End { reader: Reader::new(read, None, MAX_CONTENT_MESSAGE_BYTES), writer: Writer::new(write) };
-        assert!(matches!(end.next().await, ToService::Hello { .. }));
-        end.writer.write(&ToFront::Welcome { heartbeat_interval: 50_000 }).await.unwrap();
-        end
+        let mut service_side = ServiceSide {
+            reader: Reader::new(read, None, MAX_CONTENT_MESSAGE_BYTES),
+            writer: Writer::new(write),
+        };
+        assert!(matches!(service_side.next().await, ToService::Hello { .. }));
+        service_side.writer.write(&ToFront::Welcome { heartbeat_interval: 50_000 }).await.unwrap();
+        service_side
     }
 
     async fn next(&mut self) -> ToService {
-        timeout(Duration::from_secs(10), self.reader.read()).await.expect("a word in time").unwrap()
+        timeout(Duration::from_secs(10), self.reader.read()).await.expect("a message in time").unwrap()
     }
 
-    /// Reports that come within a time, by their sequence and counts.
+    /// The reports that arrive within a time: sequence number, accesses, answered.
     async fn reports(&mut self, within: Duration) -> Vec<(u64, u64, u64)> {
-        let (until, mut got) = (Instant::now() + within, Vec::new());
+        let (deadline, mut reports) = (Instant::now() + within, Vec::new());
         while let Ok(read) =
-            timeout(until.saturating_duration_since(Instant::now()), self.reader.read()).await
+            timeout(deadline.saturating_duration_since(Instant::now()), self.reader.read()).await
         {
-            if let ToService::Report { sequence, accesses: asked, answered, .. } = read.unwrap() {
-                got.push((sequence, asked, answered));
+            if let ToService::Report { sequence, accesses, answered, .. } = read.unwrap() {
+                reports.push((sequence, accesses, answered));
             }
         }
-        got
+        reports
     }
 }
 
 #[test]
-fn reports_go_as_often_as_the_service_says_within_bounds_and_only_where_it_has_asked() {
+fn reports_are_sent_at_the_requested_interval_within_limits_and_only_on_request() {
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build().unwrap();
     runtime.block_on(async {
         let place = Place::new("reports").unwrap();
@@ -64,36 +66,36 @@
         let (service, papers) = (listener.local_addr().unwrap(), place.papers("n1"));
         let who = Who { name: "n1", station: "hill", service, papers: &papers, keys: keys(&[1]), seed: 3 };
         let front = Puppet::start(&who, std::sync::Arc::new(|_, _| Ok(()))).unwrap();
-        let mut end = End::accept(&listener, &tls).await;
-        assert_eq!(end.reports(Duration::from_millis(600)).await, [], "nobody has asked");
-        assert_eq!(front.record.lock().unwrap().counted, 0, "what nobody asks for is not counted either");
+        let mut service_side = ServiceSide::accept(&listener, &tls).await;
+        assert_eq!(service_side.reports(Duration::from_millis(600)).await, [], "no reports were requested");
+        assert_eq!(front.record.lock().unwrap().counted, 0, "counts are not taken without a request");
 
         front.record.lock().unwrap().counts = AccessCounts { accesses: 930, answered: 920 };
-        // One millisecond is out of bounds: a quarter of a second at the soonest.
-        end.writer.write(&ToFront::SetReportInterval { millis: 1 }).await.unwrap();
-        let got = end.reports(Duration::from_millis(1_100)).await;
-        assert!((3..=5).contains(&got.len()), "{got:?}");
-        assert!(got.iter().zip(1..).all(|(report, n)| *report == (n, 930, 920)), "{got:?}");
+        // One millisecond is below the minimum interval, a quarter of a second.
+        service_side.writer.write(&ToFront::SetReportInterval { millis: 1 }).await.unwrap();
+        let reports = service_side.reports(Duration::from_millis(1_100)).await;
+        assert!((3..=5).contains(&reports.len()), "{reports:?}");
+        assert!(reports.iter().zip(1..).all(|(report, n)| *report == (n, 930, 920)), "{reports:?}");
 
         front.record.lock().unwrap().counts = AccessCounts { accesses: 940, answered: 930 };
-        end.writer.write(&ToFront::SetReportInterval { millis: 30_000 }).await.unwrap();
-        let later = end.reports(Duration::from_millis(900)).await;
-        let before = got.len() as u64;
-        // One may have gone out at the old pace before the front heard of the new one.
+        service_side.writer.write(&ToFront::SetReportInterval { millis: 30_000 }).await.unwrap();
+        let later = service_side.reports(Duration::from_millis(900)).await;
+        let before = reports.len() as u64;
+        // One may have been sent at the old interval before the front received the new one.
         assert!(later.len() <= 2 && later.last().is_some_and(|last| last.0 > before), "{later:?}");
         assert_eq!(later.last().map(|last| (last.1, last.2)), Some((940, 930)));
 
-        drop(end);
-        let mut again = End::accept(&listener, &tls).await;
+        drop(service_side);
+        let mut reconnected = ServiceSide::accept(&listener, &tls).await;
         assert_eq!(
-            again.reports(Duration::from_millis(600)).await,
+            reconnected.reports(Duration::from_millis(600)).await,
             [],
-            "it was asked on the other connection"
+            "the request was on the earlier connection"
         );
-        again.writer.write(&ToFront::SetReportInterval { millis: 500 }).await.unwrap();
+        reconnected.writer.write(&ToFront::SetReportInterval { millis: 500 }).await.unwrap();
         let last = later.last().map_or(0, |last| last.0);
-        let got = again.reports(Duration::from_millis(300)).await;
-        assert_eq!(got.first().map(|first| first.0), Some(last + 1), "the process counts on");
+        let reports = reconnected.reports(Duration::from_millis(300)).await;
+        assert_eq!(reports.first().map(|first| first.0), Some(last + 1), "the sequence numbers continue");
         front.stop().await;
     });
 }
--- a/crates/store/tests/crashes.rs
+++ b/crates/store/tests/crashes.rs
@@ -1,4 +1,5 @@
-//! Every point at which a crash may come: a disk that keeps a record of what it is asked to do stops after each.
+//! Crashes at every write, damaged bytes, full disks and locked files. The disk is simulated: it records its operations, so
+//! that its state after any number of them can be reconstructed.
 
 use std::io;
 use std::sync::{Arc, Mutex};
@@ -18,7 +19,7 @@
     Sync,
 }
 
-/// A disk in memory that writes down each change, and has room for so much.
+/// A disk in memory that records each change, and rejects writes while it is full.
 #[derive(Clone, Debug, Default)]
 struct Disk {
     bytes: Arc<Mutex<Vec<u8>>>,
@@ -27,11 +28,11 @@
 }
 
 impl Disk {
-    fn with(bytes: Vec<u8>) -> Disk {
+    fn with_bytes(bytes: Vec<u8>) -> Disk {
         Disk { bytes: Arc::new(Mutex::new(bytes)), ..Disk::default() }
     }
 
-    fn room(&self) -> io::Result<()> {
+    fn check_space(&self) -> io::Result<()> {
         if *self.full.lock().unwrap() { Err(io::ErrorKind::StorageFull.into()) } else { Ok(()) }
     }
 }
@@ -44,13 +45,13 @@
     fn read(&self, offset: u64, out: &mut [u8]) -> io::Result<()> {
         let bytes = self.bytes.lock().unwrap();
         let from = offset as usize;
-        let piece = bytes.get(from..from + out.len()).ok_or(io::ErrorKind::UnexpectedEof)?;
-        out.copy_from_slice(piece);
+        let chunk = bytes.get(from..from + out.len()).ok_or(io::ErrorKind::UnexpectedEof)?;
+        out.copy_from_slice(chunk);
         Ok(())
     }
 
     fn set_len(&self, len: u64) -> io::Result<()> {
-        self.room()?;
+        self.check_space()?;
         self.bytes.lock().unwrap().resize(len as usize, 0);
         self.ops.lock().unwrap().push(Op::Length(len));
         Ok(())
@@ -62,7 +63,7 @@
     }
 
     fn write(&self, offset: u64, data: &[u8]) -> io::Result<()> {
-        self.room()?;
+        self.check_space()?;
         let from = offset as usize;
         self.bytes.lock().unwrap()[from..from + data.len()].copy_from_slice(data);
         self.ops.lock().unwrap().push(Op::Write(offset, data.to_vec()));
@@ -70,18 +71,18 @@
     }
 }
 
-/// The disk as it stands if it stops after so many changes; of those since the last sync it has lost some, or half
-/// of the last one.
-fn after(start: &[u8], ops: &[Op], count: usize, lost: u8, rng: &mut fastrand::Rng) -> Vec<u8> {
+/// The bytes on the disk after a crash that follows `count` operations. `lost`: 0 if no write is lost, 1 if each write
+/// since the last sync is lost with a probability of a half, 2 if the last write is torn in the middle.
+fn bytes_after_crash(start: &[u8], ops: &[Op], count: usize, lost: u8, rng: &mut fastrand::Rng) -> Vec<u8> {
     let mut bytes = start.to_vec();
     let synced = ops[..count].iter().rposition(|op| matches!(op, Op::Sync)).map_or(0, |at| at + 1);
     for (at, op) in ops[..count].iter().enumerate() {
         match op {
             Op::Length(len) => bytes.resize(*len as usize, 0),
             Op::Write(offset, data) => {
-                let gone = at >= synced && lost == 1 && rng.bool();
+                let dropped = at >= synced && lost == 1 && rng.bool();
                 let torn = at + 1 == count && lost == 2;
-                let length = if gone {
+                let length = if dropped {
                     0
                 } else if torn {
                     data.len() / 2
@@ -104,7 +105,7 @@
 }
 
 #[test]
-fn a_front_that_stops_at_any_write_finds_a_good_version_whole() {
+fn a_front_that_crashes_at_any_write_finds_a_complete_good_version() {
     let disk = Disk::default();
     let store = FrontStore::new(Records::with_backend(disk.clone()).unwrap());
     let (one, two) = (content("one"), content("two"));
@@ -120,18 +121,19 @@
         for lost in 0..3 {
             for _ in 0..if lost == 1 { 8 } else { 1 } {
                 points += 1;
-                let bytes = after(&start, &ops, count, lost, &mut rng);
-                let records = Records::with_backend(Disk::with(bytes)).expect("it opens after any crash");
-                let (found, troubles) = FrontStore::new(records).load();
-                assert_eq!(troubles, []);
-                let (id, _, kept) = found.last_good.expect("a good version");
+                let bytes = bytes_after_crash(&start, &ops, count, lost, &mut rng);
+                let records =
+                    Records::with_backend(Disk::with_bytes(bytes)).expect("the store opens after any crash");
+                let (found, errors) = FrontStore::new(records).load();
+                assert_eq!(errors, []);
+                let (id, _, stored) = found.last_good.expect("a good version");
                 let state = match (id, found.staged) {
                     (id, None) if id == id_one => 0,
                     (id, Some((staged, 0))) if id == id_one && staged == id_two => 1,
                     (id, None) if id == id_two => 2,
                     other => panic!("after {count} of {}: {other:?}", ops.len()),
                 };
-                assert_eq!(kept, if state == 2 { two.clone() } else { one.clone() });
+                assert_eq!(stored, if state == 2 { two.clone() } else { one.clone() });
                 seen[state] += 1;
             }
         }
@@ -140,47 +142,47 @@
 }
 
 #[test]
-fn bits_that_flip_are_found_and_nothing_wrong_is_run() {
+fn flipped_bits_are_detected_and_no_damaged_version_is_returned() {
     let disk = Disk::default();
     let store = FrontStore::new(Records::with_backend(disk.clone()).unwrap());
     let one = content("one");
     let id = VersionId::of(1, 1, &one);
     store.put_last_good(id, SEAL, &one).unwrap();
     drop(store);
-    let sound = disk.bytes.lock().unwrap().clone();
+    let intact = disk.bytes.lock().unwrap().clone();
     let mut rng = fastrand::Rng::with_seed(9);
-    let used: Vec<usize> = (0..sound.len()).filter(|&at| sound[at] != 0).collect();
-    let (mut found_out, mut unharmed) = (0, 0);
-    // The store's own code may be led astray by a damaged file: that is caught, and need not be read here.
+    let nonzero: Vec<usize> = (0..intact.len()).filter(|&at| intact[at] != 0).collect();
+    let (mut detected, mut harmless) = (0, 0);
+    // redb may panic on a damaged file. The store catches that, and the messages are suppressed here.
     std::panic::set_hook(Box::new(|_| {}));
     for round in 0..400 {
-        let mut bytes = sound.clone();
+        let mut bytes = intact.clone();
         if round % 8 == 7 {
-            bytes.truncate(rng.usize(0..sound.len()));
+            bytes.truncate(rng.usize(0..intact.len()));
         } else {
-            bytes[used[rng.usize(0..used.len())]] ^= 1 << rng.u8(0..8);
+            bytes[nonzero[rng.usize(0..nonzero.len())]] ^= 1 << rng.u8(0..8);
         }
-        match Records::with_backend(Disk::with(bytes)) {
-            Err(_) => found_out += 1,
+        match Records::with_backend(Disk::with_bytes(bytes)) {
+            Err(_) => detected += 1,
             Ok(records) => match FrontStore::new(records).load() {
-                (found, _) if found.last_good.is_none() => found_out += 1,
+                (found, _) if found.last_good.is_none() => detected += 1,
                 (found, _) => {
                     assert_eq!(
                         found.last_good,
                         Some((id, SEAL, one.clone())),
-                        "what is run is what was kept"
+                        "the version that is returned is the one that was stored"
                     );
-                    unharmed += 1;
+                    harmless += 1;
                 }
             },
         }
     }
     let _ = std::panic::take_hook();
-    assert!(found_out > 40, "{found_out} found out, {unharmed} flips harmed nothing");
+    assert!(detected > 40, "{detected} damages detected, {harmless} without effect");
 }
 
 #[test]
-fn a_full_disk_fails_the_write_and_nothing_else() {
+fn a_full_disk_fails_the_write_and_keeps_what_was_stored() {
     let disk = Disk::default();
     let store = FrontStore::new(Records::with_backend(disk.clone()).unwrap());
     let (one, two): (Arc<[u8]>, Arc<[u8]>) = (content("one"), vec![7; 4 << 20].into());
@@ -190,19 +192,19 @@
     assert!(matches!(store.put_last_good(id_two, SEAL, &two), Err(StoreError::Failed(_))));
     drop(store);
     *disk.full.lock().unwrap() = false;
-    let again =
-        FrontStore::new(Records::with_backend(Disk::with(disk.bytes.lock().unwrap().clone())).unwrap());
-    assert_eq!(again.load().0.last_good, Some((id_one, SEAL, one)));
-    again.put_last_good(id_two, SEAL, &two).unwrap();
-    assert_eq!(again.load().0.last_good, Some((id_two, SEAL, two)));
+    let reopened =
+        FrontStore::new(Records::with_backend(Disk::with_bytes(disk.bytes.lock().unwrap().clone())).unwrap());
+    assert_eq!(reopened.load().0.last_good, Some((id_one, SEAL, one)));
+    reopened.put_last_good(id_two, SEAL, &two).unwrap();
+    assert_eq!(reopened.load().0.last_good, Some((id_two, SEAL, two)));
 }
 
-/// The store's own code takes nothing more after one failed write or sync, until it is opened anew.
+/// After a failed write or sync, redb rejects all operations until the database is reopened.
 #[test]
-fn a_store_whose_disk_failed_for_a_while_is_written_and_read_again() {
+fn a_store_whose_disk_failed_for_a_while_can_be_written_and_read_again() {
     let disk = Disk::default();
-    let of = disk.clone();
-    let store = FrontStore::new(Records::with_reopening_backend(move || Ok(of.clone())).unwrap());
+    let reopened = disk.clone();
+    let store = FrontStore::new(Records::with_reopening_backend(move || Ok(reopened.clone())).unwrap());
     let (one, two) = (content("one"), content("two"));
     let (id_one, id_two) = (VersionId::of(1, 1, &one), VersionId::of(1, 2, &two));
     store.put_last_good(id_one, SEAL, &one).unwrap();
@@ -211,7 +213,7 @@
         assert!(matches!(store.put_last_good(id_two, SEAL, &two), Err(StoreError::Failed(_))), "{round}");
         assert!(
             matches!(store.put_last_good(id_two, SEAL, &two), Err(StoreError::Failed(_))),
-            "{round}: tried again"
+            "{round}: second write"
         );
         *disk.full.lock().unwrap() = false;
         assert_eq!(store.load().0.last_good, Some((id_one, SEAL, one.clone())), "{round}");
@@ -221,28 +223,28 @@
 }
 
 #[test]
-fn a_file_that_is_no_store_is_set_aside_and_told() {
+fn a_file_that_is_not_a_store_is_moved_aside_and_reported() {
     let folder = std::env::temp_dir().join(format!("doorgrade-store-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let path = folder.join("front.redb");
     std::fs::write(&path, b"this was never a store, and is long enough to be looked at".repeat(100)).unwrap();
-    let (records, trouble) = Records::open(&path).unwrap();
-    let Some(StoreError::SetAside(aside, _)) = trouble else { panic!("{trouble:?}") };
+    let (records, error) = Records::open(&path).unwrap();
+    let Some(StoreError::SetAside(aside, _)) = error else { panic!("{error:?}") };
     assert!(aside.exists());
     let store = FrontStore::new(records);
     let one = content("one");
     store.put_last_good(VersionId::of(1, 1, &one), SEAL, &one).unwrap();
     drop(store);
-    let (records, trouble) = Records::open(&path).unwrap();
-    assert!(trouble.is_none() && FrontStore::new(records).load().0.last_good.is_some());
+    let (records, error) = Records::open(&path).unwrap();
+    assert!(error.is_none() && FrontStore::new(records).load().0.last_good.is_some());
     std::fs::remove_dir_all(folder).unwrap();
 }
 
 #[test]
-fn a_service_finds_its_history_and_forgets_earlier_epochs() {
+fn a_service_loads_its_history_without_that_of_earlier_epochs() {
     let disk = Disk::default();
     let store = ServiceStore::new(Records::with_backend(disk.clone()).unwrap());
-    assert_eq!(store.load().0.epoch, 0, "nothing yet");
+    assert_eq!(store.load().0.epoch, 0, "the store is empty");
     let version = |epoch, number| {
         let text = content(&format!("{epoch} {number}"));
         Version { id: VersionId::of(epoch, number, &text), content: text, note: "n".into(), published_at: 5 }
@@ -251,8 +253,8 @@
         store.put_version(&version(7, number)).unwrap();
     }
     store.put_state(7, Some(2), &None).unwrap();
-    let (found, troubles) = store.load();
-    assert_eq!((found.epoch, found.base, found.versions.len(), troubles), (7, Some(2), 3, vec![]));
+    let (found, errors) = store.load();
+    assert_eq!((found.epoch, found.base, found.versions.len(), errors), (7, Some(2), 3, vec![]));
     assert_eq!(found.versions[1], version(7, 2));
     store.put_version(&version(8, 1)).unwrap();
     store.put_state(8, None, &None).unwrap();
@@ -261,16 +263,16 @@
 }
 
 #[test]
-fn a_store_that_is_open_elsewhere_is_left_alone() {
+fn a_store_that_is_already_open_is_not_touched() {
     let path = std::env::temp_dir().join(format!("doorgrade-{}-in-use.redb", std::process::id()));
     let (first, _) = Records::open(&path).unwrap();
     first.write(&[("a", vec![1])], &[]).unwrap();
-    // Not set aside: it is neither damaged nor anybody else's to move.
+    // It is not damaged, so it must not be moved aside.
     assert!(matches!(Records::open(&path), Err(StoreError::InUse)));
     assert_eq!(first.read("a").unwrap(), Some(vec![1]));
     drop(first);
-    let (again, trouble) = Records::open(&path).unwrap();
-    assert_eq!((again.read("a").unwrap(), trouble), (Some(vec![1]), None));
-    drop(again);
+    let (reopened, error) = Records::open(&path).unwrap();
+    assert_eq!((reopened.read("a").unwrap(), error), (Some(vec![1]), None));
+    drop(reopened);
     std::fs::remove_file(&path).unwrap();
 }
--- a/crates/store/tests/formats.rs
+++ b/crates/store/tests/formats.rs
@@ -1,5 +1,5 @@
-//! What earlier releases wrote is read, and what later ones wrote is refused by name. The samples are bytes as the release
-//! that is named wrote them: they stay as they are.
+//! Records of earlier releases are read, and those of later releases are rejected with an error that names them. The
+//! samples are bytes that the named release wrote, and must not be changed.
 
 use std::path::PathBuf;
 
@@ -11,7 +11,7 @@
 const RECORDS: TableDefinition<'_, &str, &[u8]> = TableDefinition::new("records");
 const EPOCH: u64 = 17_000_000_000_000;
 
-/// Of commit c7e0452, before there were trials: two versions, the second one stopped in its first wave.
+/// Written by commit c7e0452, which had no trials: two versions, the second one stopped in its first wave.
 const WAVES: [(&str, &str); 3] = [
     (
         "state",
@@ -34,15 +34,15 @@
     (0..hex.len()).step_by(2).map(|at| u8::from_str_radix(&hex[at..at + 2], 16).unwrap()).collect()
 }
 
-/// A store's file with records that some release wrote, each in its format.
-fn written(name: &str, records: &[(&str, u8, Vec<u8>)]) -> PathBuf {
+/// Creates a store file from records, each with its format number.
+fn store_file(name: &str, records: &[(&str, u8, Vec<u8>)]) -> PathBuf {
     let path = std::env::temp_dir().join(format!("doorgrade-{}-{name}.redb", std::process::id()));
     let _ = std::fs::remove_file(&path);
     let database = Database::create(&path).unwrap();
     let write = database.begin_write().unwrap();
     for (key, format, payload) in records {
-        let sealed = [&[*format][..], blake3::hash(payload).as_bytes(), payload].concat();
-        write.open_table(RECORDS).unwrap().insert(key, sealed.as_slice()).unwrap();
+        let record = [&[*format][..], blake3::hash(payload).as_bytes(), payload].concat();
+        write.open_table(RECORDS).unwrap().insert(key, record.as_slice()).unwrap();
     }
     write.commit().unwrap();
     path
@@ -53,12 +53,12 @@
 }
 
 #[test]
-fn a_store_from_before_there_were_trials_is_read_whole() {
-    let path = written("waves", &sample());
-    let (records, trouble) = Records::open(&path).unwrap();
-    assert_eq!(trouble, None);
-    let (found, troubles) = ServiceStore::new(records).load();
-    assert_eq!(troubles, []);
+fn a_store_of_a_release_without_trials_is_read_completely() {
+    let path = store_file("waves", &sample());
+    let (records, error) = Records::open(&path).unwrap();
+    assert_eq!(error, None);
+    let (found, errors) = ServiceStore::new(records).load();
+    assert_eq!(errors, []);
     assert_eq!((found.epoch, found.base), (EPOCH, Some(1)));
     let contents: Vec<&[u8]> = found.versions.iter().map(|v| &*v.content).collect();
     assert_eq!(contents, [&b"log { level = \"info\" }\n"[..], b"log { level = \"warn\" }\n"]);
@@ -77,16 +77,16 @@
 }
 
 #[test]
-fn a_record_of_a_later_release_is_refused_by_name_and_left_as_it_is() {
+fn a_record_of_a_later_release_is_rejected_by_key_and_left_unchanged() {
     let mut records = sample();
     records[0].1 = 9;
-    let path = written("later", &records);
+    let path = store_file("later", &records);
     let store = ServiceStore::new(Records::open(&path).unwrap().0);
-    let (found, troubles) = store.load();
+    let (found, errors) = store.load();
     assert_eq!(found.epoch, 0);
-    assert_eq!(troubles, [StoreError::NewerFormat { key: "state".into(), format: 9 }]);
+    assert_eq!(errors, [StoreError::NewerFormat { key: "state".into(), format: 9 }]);
     assert_eq!(
-        troubles[0].to_string(),
+        errors[0].to_string(),
         "the store's record 'state' was written in format 9 by a later release, and this one reads up to 1: start that \
          release, or move the store's file away"
     );
@@ -98,19 +98,19 @@
 }
 
 #[test]
-fn trials_stand_in_a_record_of_their_own_beside_todays() {
-    let path = written("trials", &sample());
+fn trials_are_a_separate_record_that_leaves_the_others_unchanged() {
+    let path = store_file("trials", &sample());
     let store = ServiceStore::new(Records::open(&path).unwrap().0);
     assert_eq!(store.load().0.trials, None);
     let trials =
         SavedTrials { epoch: EPOCH, reserved: 70, proven: Some(1), head: Some(2), ..SavedTrials::default() };
     store.put_trials(&trials).unwrap();
-    let (found, troubles) = store.load();
-    assert_eq!((found.trials, troubles), (Some(trials.clone()), vec![]));
-    assert_eq!(found.base, Some(1), "what an earlier release reads is as it was");
+    let (found, errors) = store.load();
+    assert_eq!((found.trials, errors), (Some(trials.clone()), vec![]));
+    assert_eq!(found.base, Some(1), "the record that earlier releases read is unchanged");
     store.delete_version(&found.versions[0].id).unwrap();
     assert_eq!(store.load().0.versions.len(), 1);
-    // Of another epoch they say nothing about this one's numbers.
+    // The trials of another epoch refer to other version numbers, and are ignored.
     store.put_trials(&SavedTrials { epoch: EPOCH + 1, ..trials }).unwrap();
     assert_eq!(store.load().0.trials, None);
     drop(store);
--- a/crates/stream/src/front_client.rs
+++ b/crates/stream/src/front_client.rs
@@ -274,10 +274,10 @@
     }
 
     /// Performs effects, and those that follow from them.
-    async fn perform(&mut self, mut pending: Vec<Effect>) {
-        while !pending.is_empty() {
+    async fn perform(&mut self, mut queue: Vec<Effect>) {
+        while !queue.is_empty() {
             let mut effects = Vec::new();
-            for effect in pending.drain(..) {
+            for effect in queue.drain(..) {
                 match effect {
                     Effect::Connect => {
                         let address =
@@ -319,7 +319,7 @@
                     }
                 }
             }
-            pending = effects;
+            queue = effects;
         }
     }
 }
