--- a/crates/control/src/event_loop.rs
+++ b/crates/control/src/event_loop.rs
@@ -309,7 +309,7 @@
             Ok(()) => {
                 std::mem::take(&mut self.unstored).deletions.iter().for_each(|id| self.delete_version(id));
                 if previous_error.is_some() {
-                    tracing::info!("the state of the rollouts is stored again");
+                    tracing::info!("the state of the rollouts is stored now");
                 }
             }
             Err(error) => {
