--- a/crates/control/src/acceptor.rs
+++ b/crates/control/src/acceptor.rs
@@ -29,7 +29,7 @@
 pub type RoleOf = dyn Fn(&[String]) -> Option<(Role, String)> + Send + Sync;
 pub type Roles = Arc<RwLock<Box<RoleOf>>>;
 
-/// Concurrent TLS handshakes. Each takes about 30 KB, and peers start them before they are authenticated.
+/// Concurrent TLS handshakes. Each takes about 30 KB, and any peer can start one.
 const MAX_HANDSHAKES: usize = 2_048;
 /// Concurrent connections of operators and their scripts.
 const MAX_OPERATORS: usize = 256;
@@ -44,7 +44,7 @@
     next_connection: AtomicU64,
 }
 
-/// Occupies one place of a limited number until it is dropped.
+/// Counts against a limit until it is dropped.
 struct Permit<'a>(&'a AtomicUsize);
 
 impl<'a> Permit<'a> {
@@ -62,6 +62,7 @@
     }
 }
 
+/// The configuration for a connection that is accepted now.
 fn current(tls: &Tls) -> Arc<ServerConfig> {
     tls.read().unwrap_or_else(PoisonError::into_inner).clone()
 }
@@ -115,7 +116,7 @@
         }
     }
 
-    /// Performs the TLS handshake, within its timeout. Returns also the DNS names of the peer's certificate.
+    /// Performs the TLS handshake within its timeout. Returns the stream and the DNS names of the peer's certificate.
     async fn handshake(
         &self,
         stream: TcpStream,
@@ -173,7 +174,7 @@
             tokio::select! {
                 command = commands.recv() => match command {
                     Some(Command::Send(message)) => {
-                        // The connection of a rejected front is closed once the message was sent.
+                        // A front that has to retry later receives that message before its connection is closed.
                         let last = matches!(message, ToFront::RetryLater { .. });
                         writer.write(&message).await.map_err(|e| e.to_string())?;
                         if last {
--- a/crates/control/src/event_loop.rs
+++ b/crates/control/src/event_loop.rs
@@ -48,8 +48,8 @@
     Stop,
 }
 
-/// Outbound messages that may wait for one connection: an offer, a content and some heartbeats. A front with more of them
-/// is not reading.
+/// Outbound messages that may wait for one connection: an offer, a content and some heartbeats. A front with more of
+/// them is not reading.
 pub const MAX_PENDING_MESSAGES: usize = 16;
 /// Log events that may wait for one subscriber.
 const MAX_PENDING_LOG_EVENTS: usize = 1_024;
@@ -58,8 +58,8 @@
 /// How often a failed write to the store is retried.
 const STORE_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The stored state of the service's current rollout.
-struct RolloutState {
+/// The service's state apart from its versions and trials, as it is stored.
+struct ServiceState {
     epoch: u64,
     base: Option<u64>,
     rollout: Option<SavedRollout>,
@@ -68,7 +68,7 @@
 /// The latest state that is not stored yet.
 #[derive(Default)]
 struct Unstored {
-    state: Option<RolloutState>,
+    state: Option<ServiceState>,
     trials: Option<SavedTrials>,
     /// Versions to delete once the rest is stored.
     deletions: Vec<VersionId>,
@@ -109,7 +109,7 @@
         LogEvent::NewEpoch { epoch, because } => {
             tracing::error!(
                 epoch,
-                "a front runs {because}, which is unknown here, so this store is new or an older copy: starting epoch {epoch}"
+                "a front runs {because}, which is unknown here: this store is new or an older copy; starting epoch {epoch}"
             );
         }
         LogEvent::Superseded { by } => {
@@ -194,7 +194,7 @@
             }
             Event::Request { role, operator, request, reply } => {
                 let response = self.handle_request(role, &operator, request);
-                // The operator may have disconnected; the request was carried effects anyway.
+                // The operator may have disconnected; the request was carried out anyway.
                 let _ = reply.send(response);
             }
             Event::Subscribe(subscriber) => {
@@ -246,7 +246,7 @@
             }
             Response::Done => {
                 self.perform(effects);
-                // The request was carried effects, but a crash before the next successful write would undo it.
+                // The request was carried out, but a crash before the next successful write would undo it.
                 if let Some(reason) = self.unstored.error.clone() {
                     response = Response::NotStored(reason);
                 }
@@ -345,11 +345,11 @@
                         let _ = outbound.try_send(Command::Close);
                     }
                 }
-                // The history, renumbered for a new epoch. None of it is offered before it is published again, so a failed
-                // write needs no retry.
+                // The history, renumbered for a new epoch. None of it is offered before it is published again, so a
+                // failed write is only logged.
                 Effect::Store(version) => drop(self.put_version(&version)),
                 Effect::StoreState { epoch, base, rollout } => {
-                    self.unstored.state = Some(RolloutState { epoch, base, rollout });
+                    self.unstored.state = Some(ServiceState { epoch, base, rollout });
                     self.store_pending();
                 }
                 Effect::SetTimer(at) => self.timer = Some(self.timer.map_or(at, |t| t.min(at))),
@@ -380,7 +380,7 @@
     fn publish_log_event(&mut self, event: LogEvent) {
         log(&event);
         let event = Arc::new(event);
-        // A subscriber whose queue is full misses events; the status shows it the result.
+        // A subscriber whose queue is full misses events, but can still request the status.
         self.subscribers
             .retain(|s| !matches!(s.try_send(event.clone()), Err(mpsc::error::TrySendError::Closed(_))));
     }
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,5 +1,5 @@
-//! The control service as a program, and a client for operators' commands. Decisions are made in `doorgrade-versions` and
-//! `doorgrade-trust`; this package handles connections, storage and logging.
+//! The control service as a program, and a client for operators' commands. Decisions are made in `doorgrade-versions`
+//! and `doorgrade-trust`; this package handles connections, storage and logging.
 //!
 //! - [`settings`]: reads the operators' file and converts it for the other modules.
 //! - [`event_loop`]: the task that owns the state machine and the store; the other tasks send it events.
--- a/crates/control/src/operator_client.rs
+++ b/crates/control/src/operator_client.rs
@@ -64,7 +64,7 @@
             // certificate, or one without a role, shows only here.
             ConnectionError::Closed | ConnectionError::Io(_) => {
                 format!(
-                    "the service closed the connection ({error}): does it trust this certificate, and has the certificate a role?"
+                    "the service closed the connection ({error}): is this certificate trusted, and does it have a role?"
                 )
             }
             error => format!("the service: {error}"),
--- a/crates/control/src/serve.rs
+++ b/crates/control/src/serve.rs
@@ -1,5 +1,5 @@
-//! Starts the service and runs it until SIGTERM or SIGINT. SIGHUP reloads keys, certificates and roles; changed keys and
-//! certificates are also detected without it.
+//! Starts the service and runs it until SIGTERM or SIGINT. SIGHUP reloads keys, certificates and roles; changed keys
+//! and certificates are also detected without it.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -58,6 +58,7 @@
         Ok(ListenerTls { reloader, tls, peers })
     }
 
+    /// Reloads the files if they have changed or if `forced`, and logs certificates that will expire.
     fn check(&mut self, forced: bool) {
         match self.reloader.reload(forced) {
             None => {}
@@ -88,7 +89,7 @@
 }
 
 impl FileWatch {
-    /// `forced`: reload the settings and report errors of the seal keys, too.
+    /// `forced`: reload also the settings and unchanged certificates, and log seal keys that can't be read.
     async fn check(&mut self, forced: bool) {
         self.listeners.iter_mut().for_each(|l| l.check(forced));
         match settings::read_seal_keys(&self.seal_keys_file) {
@@ -110,7 +111,8 @@
 }
 
 impl Running {
-    /// Starts the service on the current runtime, which needs more than one thread since the store blocks.
+    /// Starts the service on the current runtime, which has to be multi-threaded, since the event loop blocks while it
+    /// writes to the store.
     pub async fn start(settings: Settings) -> Result<Running, String> {
         let mut listeners = [
             ListenerTls::new(settings.front_paths(), FRONT_PROTOCOL, "fronts")?,
@@ -184,7 +186,7 @@
         let _ = self.reload.send(()).await;
     }
 
-    /// Stops the service after the events before this, and closes all connections.
+    /// Stops the service once the queued events are handled, and closes all connections.
     pub async fn stop(self) {
         self.tasks.iter().for_each(tokio::task::JoinHandle::abort);
         let _ = self.events.send(Event::Stop).await;
--- a/crates/control/src/settings.rs
+++ b/crates/control/src/settings.rs
@@ -47,9 +47,9 @@
 
     /// The TLS files of the listener for operators.
     pub fn operator_paths(&self) -> Paths {
-        let files =
+        let papers =
             Papers { authority: self.control.operators_authority.clone(), ..self.control.papers.clone() };
-        Paths::resolve(&self.file, &files)
+        Paths::resolve(&self.file, &papers)
     }
 
     pub fn rules(&self) -> Rules {
@@ -71,9 +71,8 @@
         }
     }
 
-    /// The role of an operator whose certificate has these names, and the name to log. Without any configured operators,
-    /// each trusted certificate has the operator role;
-    /// with them, None for a certificate that is not listed.
+    /// The role of an operator whose certificate has these names, and the name to log. If no operators are configured,
+    /// every trusted certificate has the operator role; otherwise None for a certificate that is not listed.
     pub fn role(&self, names: &[String]) -> Option<(Role, String)> {
         let name = names.first().cloned()?;
         if self.control.operators.is_empty() {
@@ -107,7 +106,7 @@
     }
 }
 
-/// Reads the keys of a file and checks them.
+/// Reads the seal keys of a file and checks that they are valid as a set.
 pub fn read_seal_keys(file: &Path) -> Result<Vec<(u32, Vec<u8>)>, String> {
     let name = file.display().to_string();
     let text = std::fs::read_to_string(file).map_err(|e| format!("{name}: can't be read: {e}"))?;
--- a/crates/control/tests/reports.rs
+++ b/crates/control/tests/reports.rs
@@ -1,5 +1,6 @@
-//! A front's reports of access counts, over TLS on loopback: sent only on request of the service, at the interval that it
-//! sets within the front's own limits, with continuous sequence numbers, and not after a reconnect without a new request.
+//! A front's reports of access counts, over TLS on loopback: sent only on request of the service, at the interval
+//! that it sets within the front's own limits, with continuous sequence numbers, and not after a reconnect without a
+//! new request.
 
 use std::time::{Duration, Instant};
 
--- a/crates/keys/src/generate.rs
+++ b/crates/keys/src/generate.rs
@@ -10,7 +10,7 @@
 
 use crate::KeyFileError;
 
-/// A certificate and its key, in PEM form.
+/// A certificate and its key, in PEM format.
 #[derive(Clone, Debug)]
 pub struct CertificateAndKey {
     pub certificate: String,
@@ -21,8 +21,8 @@
     result.map_err(|e| KeyFileError::new(Path::new("a new certificate"), e))
 }
 
-/// Sets the validity from one hour ago, since clocks differ, until `days` from now. If that is negative, the certificate
-/// has expired already.
+/// Sets the validity from one hour ago, since clocks differ, until `days` from now. If that is negative, the
+/// certificate has expired already.
 fn set_validity(params: &mut CertificateParams, days: i64) {
     let now = OffsetDateTime::now_utc();
     params.not_after = now + Duration::days(days);
--- a/crates/keys/src/reload.rs
+++ b/crates/keys/src/reload.rs
@@ -65,6 +65,7 @@
         self.loaded.read().unwrap_or_else(PoisonError::into_inner).config.clone()
     }
 
+    /// The DNS names of the own certificate.
     pub fn names(&self) -> Vec<String> {
         self.loaded.read().unwrap_or_else(PoisonError::into_inner).names.clone()
     }
--- a/crates/keys/src/tls.rs
+++ b/crates/keys/src/tls.rs
@@ -97,7 +97,10 @@
     u64::try_from(unix_seconds).unwrap_or(0).saturating_mul(10_000)
 }
 
-fn infos(path: &Path, certificates: &[CertificateDer<'_>]) -> Result<Vec<CertificateInfo>, KeyFileError> {
+fn parse_infos(
+    path: &Path,
+    certificates: &[CertificateDer<'_>],
+) -> Result<Vec<CertificateInfo>, KeyFileError> {
     let info = |der| {
         let parsed = parse(path, der)?;
         let (not_before, not_after) = (parsed.validity().not_before, parsed.validity().not_after);
@@ -110,7 +113,7 @@
 
 /// The certificates of a file, with their validity periods.
 pub fn certificate_infos(path: &Path) -> Result<Vec<CertificateInfo>, KeyFileError> {
-    infos(path, &read_certificates(path)?)
+    parse_infos(path, &read_certificates(path)?)
 }
 
 /// The DNS names that a certificate was issued for. Empty if it can't be parsed.
@@ -129,6 +132,7 @@
     names
 }
 
+/// A certificate chain with its key, and the trusted authorities.
 struct Credentials {
     chain: Vec<CertificateDer<'static>>,
     key: PrivateKeyDer<'static>,
@@ -140,28 +144,22 @@
 fn load(paths: &Paths) -> Result<Credentials, KeyFileError> {
     let chain = read_certificates(&paths.certificate)?;
     let authorities = read_certificates(&paths.authority)?;
-    let mut own_and_trusted = infos(&paths.certificate, &chain)?;
-    own_and_trusted.extend(infos(&paths.authority, &authorities)?);
+    let mut certificates = parse_infos(&paths.certificate, &chain)?;
+    certificates.extend(parse_infos(&paths.authority, &authorities)?);
     let mut roots = RootCertStore::empty();
     for authority in authorities {
         roots.add(authority).map_err(|e| KeyFileError::new(&paths.authority, e))?;
     }
     let names = dns_names(&chain[0]);
-    Ok(Credentials {
-        chain,
-        key: read_key(&paths.key)?,
-        roots: Arc::new(roots),
-        certificates: own_and_trusted,
-        names,
-    })
+    Ok(Credentials { chain, key: read_key(&paths.key)?, roots: Arc::new(roots), certificates, names })
 }
 
 fn mismatch(paths: &Paths, e: rustls::Error) -> KeyFileError {
     KeyFileError::new(&paths.key, format_args!("does not match {}: {e}", paths.certificate.display()))
 }
 
-/// A server's configuration. Clients have to present a certificate of the authority on each connection: sessions are not
-/// resumed.
+/// A server's configuration. Clients have to present a certificate of the authority on each connection: sessions are
+/// not resumed.
 pub fn server_config(paths: &Paths, protocol: &[u8]) -> Result<Loaded<ServerConfig>, KeyFileError> {
     let Credentials { chain, key, roots, certificates, names } = load(paths)?;
     let provider = Arc::new(rustls::crypto::ring::default_provider());
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,9 +1,10 @@
-//! Crash-safe storage on `redb`, an embedded transactional database: after a crash at any point a transaction is either
-//! complete or absent. In addition each record has its own checksum (`blake3`), since a disk may return other bytes than
-//! were written, and a format number, so that an upgrade can read the records of earlier releases.
+//! Crash-safe storage on `redb`, an embedded transactional database: after a crash at any point a transaction is
+//! either complete or absent. In addition each record has its own checksum (`blake3`), since a disk may return other
+//! bytes than were written, and a format number, so that an upgrade can read the records of earlier releases.
 //!
-//! A damaged store is moved aside under another name and replaced by an empty one, which the caller is told. If the disk
-//! fails for a while, or is full, only the operations of that time fail. A store is open in one process at a time.
+//! A damaged store is moved aside under another name and replaced by an empty one, which the caller is told. If the
+//! disk fails for a while, or is full, only the operations of that time fail. A store is open in one process at a
+//! time.
 #![forbid(unsafe_code)]
 
 mod records;
@@ -73,13 +74,14 @@
 
     pub fn load(&self) -> (front::StoredState, Vec<StoreError>) {
         let mut errors = Vec::new();
-        let last_good: Option<(VersionId, Seal, Arc<[u8]>)> = self.0.value("good", &mut errors);
-        // The content has to match the hash in its id, too: a content under the wrong number is as bad as a damaged one.
+        let last_good: Option<(VersionId, Seal, Arc<[u8]>)> = self.0.read_value("good", &mut errors);
+        // The content has to match the hash in its id, too: a content under the wrong number is as bad as a damaged
+        // one.
         let matches_id = |(id, _, content): &(VersionId, Seal, Arc<[u8]>)| {
             VersionId::of(id.epoch, id.number, content) == *id
         };
         let last_good = last_good.filter(matches_id);
-        (front::StoredState { last_good, staged: self.0.value("staged", &mut errors) }, errors)
+        (front::StoredState { last_good, staged: self.0.read_value("staged", &mut errors) }, errors)
     }
 
     /// Records that a version is about to be applied, and after how many crashes.
@@ -97,8 +99,8 @@
     }
 }
 
-/// What a service stores: its epoch, the history, the state of the current rollout, and the changes that are on trial or
-/// under observation. The latter are a separate record, which earlier releases ignore.
+/// What a service stores: its epoch, the history, the state of the current rollout, and the changes that are on trial
+/// or under observation. The latter are a separate record, which earlier releases ignore.
 pub struct ServiceStore(Records);
 
 type State = (u64, Option<u64>, Option<SavedRollout>);
@@ -114,7 +116,7 @@
 
     pub fn load(&self) -> (StoredState, Vec<StoreError>) {
         let mut errors = Vec::new();
-        let state: Option<State> = self.0.value("state", &mut errors);
+        let state: Option<State> = self.0.read_value("state", &mut errors);
         let Some((epoch, base, rollout)) = state else {
             // Without this record nothing is known about what was published: the service starts with an empty state.
             return (StoredState::default(), errors);
@@ -123,11 +125,11 @@
             errors.push(error);
             Vec::new()
         });
-        let versions: Vec<Version> = keys.iter().filter_map(|k| self.0.value(k, &mut errors)).collect();
+        let versions: Vec<Version> = keys.iter().filter_map(|k| self.0.read_value(k, &mut errors)).collect();
         let exists = |n: &u64| versions.iter().any(|v| v.id.number == *n);
         let base = base.filter(exists);
         let rollout = rollout.filter(|r| exists(&r.id.number));
-        let trials: Option<SavedTrials> = self.0.value("trials", &mut errors);
+        let trials: Option<SavedTrials> = self.0.read_value("trials", &mut errors);
         let trials = trials.filter(|t| t.epoch == epoch);
         (StoredState { epoch, versions, base, rollout, trials }, errors)
     }
--- a/crates/store/src/records.rs
+++ b/crates/store/src/records.rs
@@ -15,7 +15,8 @@
 const RECORDS: TableDefinition<'_, &str, &[u8]> = TableDefinition::new("records");
 /// The format of the records in this table. Later formats have to remain able to read earlier ones.
 pub(crate) const FORMAT: u8 = 1;
-/// Opening is retried for 3 s if the disk fails for a moment. A front may have two stores, and has to be ready within 10 s.
+/// Opening is retried for 3 s if the disk fails for a moment. A front may have two stores, and has to be ready within
+/// 10 s.
 const OPEN_ATTEMPTS: usize = 15;
 const OPEN_RETRY_DELAY: Duration = Duration::from_millis(200);
 
@@ -123,7 +124,7 @@
 impl Records {
     /// On a backend that can't be reopened: after a failure all later operations fail.
     pub fn with_backend(backend: impl StorageBackend) -> Result<Records, StoreError> {
-        let closed = || Err(Failure::Disk("is closed".into()));
+        let closed = || Err(Failure::Disk("closed after a failure".into()));
         Ok(Records { database: Mutex::new(Some(create_database(backend)?)), open: Box::new(closed) })
     }
 
@@ -135,8 +136,9 @@
         Ok(Records { database: Mutex::new(Some(open()?)), open: Box::new(open) })
     }
 
-    /// Opens or creates the store in a file. If it is damaged, it is moved aside, and the error is returned with the new
-    /// store. If the disk fails, the error is returned, too, with a store that the next operation tries to open again.
+    /// Opens or creates the store in a file. If it is damaged, it is moved aside, and the error is returned with the
+    /// new store. If the disk fails, the error is returned, too, with a store that the next operation tries to open
+    /// again.
     pub fn open(path: &Path) -> Result<(Records, Option<StoreError>), StoreError> {
         let owned_path = path.to_owned();
         let open: OpenFn = Box::new(move || open_database(&owned_path));
@@ -153,8 +155,8 @@
         Ok((Records { database: Mutex::new(database), open }, error))
     }
 
-    /// Runs an operation, and reopens the database first if it was closed. It is closed after any failure other than that
-    /// of a single record.
+    /// Runs an operation, and reopens the database first if it was closed. It is closed after any failure other than
+    /// that of a single record.
     fn with_database<T>(&self, run: impl FnOnce(&Database) -> Result<T, Failure>) -> Result<T, StoreError> {
         let mut slot = self.database.lock().unwrap_or_else(PoisonError::into_inner);
         let database = match slot.take() {
@@ -217,7 +219,11 @@
     }
 
     /// Reads and decodes a record. None if it is missing or, with an entry in `errors`, can't be read.
-    pub(crate) fn value<T: DeserializeOwned>(&self, key: &str, errors: &mut Vec<StoreError>) -> Option<T> {
+    pub(crate) fn read_value<T: DeserializeOwned>(
+        &self,
+        key: &str,
+        errors: &mut Vec<StoreError>,
+    ) -> Option<T> {
         let read = self.read(key).map(|payload| payload.map(|p| postcard::from_bytes(&p)));
         match read {
             Ok(None) => None,
--- a/crates/store/tests/crashes.rs
+++ b/crates/store/tests/crashes.rs
@@ -1,5 +1,5 @@
-//! Crashes at every write, damaged bytes, full disks and locked files. The disk is simulated: it records its operations, so
-//! that its state after any number of them can be reconstructed.
+//! Crashes at every write, damaged bytes, full disks and locked files. The disk is simulated: it records its
+//! operations, so that its state after any number of them can be reconstructed.
 
 use std::io;
 use std::sync::{Arc, Mutex};
--- a/crates/stream/src/clock.rs
+++ b/crates/stream/src/clock.rs
@@ -1,7 +1,8 @@
 //! The time, in ticks of 0.1 ms.
 //!
-//! All timeouts are measured on the monotonic clock. It is offset by the Unix time at its first reading in this process,
-//! so that it can be compared with times that other processes report; later steps of the wall clock have no effect on it.
+//! All timeouts are measured on the monotonic clock. It is offset by the Unix time at its first reading in this
+//! process, so that it can be compared with times that other processes report; later steps of the wall clock have no
+//! effect on it.
 
 use std::sync::OnceLock;
 use std::sync::atomic::{AtomicI64, Ordering};
--- a/crates/stream/src/front_client.rs
+++ b/crates/stream/src/front_client.rs
@@ -142,8 +142,9 @@
     interval
 }
 
-fn instant(at: Ticks) -> tokio::time::Instant {
-    tokio::time::Instant::now() + Duration::from_micros(at.saturating_sub(now()) * 100)
+/// The runtime's instant for a time of [`now`].
+fn instant(time: Ticks) -> tokio::time::Instant {
+    tokio::time::Instant::now() + Duration::from_micros(time.saturating_sub(now()) * 100)
 }
 
 impl<H: Host> FrontClient<H> {
--- a/crates/stream/src/wire.rs
+++ b/crates/stream/src/wire.rs
@@ -34,6 +34,7 @@
     }
 }
 
+/// The time until the deadline.
 fn remaining(peer_timeout: &PeerTimeout) -> Duration {
     /// In place of a deadline where none is set.
     const NEVER: Duration = Duration::from_secs(86_400 * 365);
@@ -42,18 +43,19 @@
         .map_or(NEVER, |deadline| Duration::from_micros(deadline.saturating_sub(now()) * 100))
 }
 
+/// Reads messages, each within its timeout.
 pub struct Reader<R> {
     stream: R,
     decoder: FrameDecoder,
     peer_timeout: PeerTimeout,
 }
 
-/// The most that is read or written at once, so that the timeout follows the transfer of a long frame.
+/// The most that is read or written at once. The timeout is updated after each chunk.
 const CHUNK_BYTES: usize = 16 << 10;
 
 impl<R: AsyncRead + Unpin> Reader<R> {
-    /// `first_max`: if set, the peer has to send a first message of at most this many bytes at once.
-    /// `max`: the maximum length of messages otherwise.
+    /// `first_max`: if set, the peer has to send its first message at once, of at most this many bytes.
+    /// `max`: the maximum length of all messages if `first_max` is not set.
     pub fn new(stream: R, first_max: Option<usize>, max: usize) -> Self {
         let mut peer_timeout = PeerTimeout::new(now());
         peer_timeout.handshake_done(now(), first_max.is_some());
@@ -91,6 +93,7 @@
     }
 }
 
+/// Writes messages, each within its timeout.
 pub struct Writer<W> {
     stream: W,
     pub sent_bytes: u64,
@@ -101,8 +104,8 @@
         Writer { stream, sent_bytes: 0 }
     }
 
-    /// Writes a whole message; fails if the peer takes it at less than the minimum rate. Not cancel safe: after a dropped
-    /// write the connection can't be used any further.
+    /// Writes a whole message; fails if the peer takes it at less than the minimum rate. Not cancel safe: after a
+    /// dropped write the connection can't be used any further.
     pub async fn write<T: Serialize>(&mut self, message: &T) -> Result<(), ConnectionError> {
         let too_long =
             FrameError::TooLong { bytes: u32::MAX as usize, max: crate::MAX_CONTENT_MESSAGE_BYTES };
