--- a/crates/store/tests/crashes.rs
+++ b/crates/store/tests/crashes.rs
@@ -203,8 +203,8 @@
 #[test]
 fn a_store_whose_disk_failed_for_a_while_can_be_written_and_read_again() {
     let disk = Disk::default();
-    let reopened = disk.clone();
-    let store = FrontStore::new(Records::with_reopening_backend(move || Ok(reopened.clone())).unwrap());
+    let backend = disk.clone();
+    let store = FrontStore::new(Records::with_reopening_backend(move || Ok(backend.clone())).unwrap());
     let (one, two) = (content("one"), content("two"));
     let (id_one, id_two) = (VersionId::of(1, 1, &one), VersionId::of(1, 2, &two));
     store.put_last_good(id_one, SEAL, &one).unwrap();
