--- a/crates/front/src/serve.rs
+++ b/crates/front/src/serve.rs
@@ -40,7 +40,7 @@
         },
     );
     let _entered = tracing::info_span!("serve", front = config.name).entered();
-    clock::heed_tests();
+    clock::load_test_offset();
     // The front is given one core, so one worker. Coroutines read and write through buffers on the heap, so
     // small stacks do.
     may::config().set_workers(1).set_stack_size(0x1000);
@@ -152,7 +152,7 @@
                     }
                     // Last, because reading the files may take long, or never return.
                     if reload.swap(false, Ordering::SeqCst) {
-                        clock::heed_tests();
+                        clock::load_test_offset();
                         lock(&active_config).reload();
                     }
                 }
--- a/crates/lab/src/scale/control_rig.rs
+++ b/crates/lab/src/scale/control_rig.rs
@@ -5,7 +5,7 @@
 use std::process::Command;
 use std::time::{Duration, Instant};
 
-use doorgrade_control::ask::Asker;
+use doorgrade_control::operator_client::OperatorClient;
 use doorgrade_standins::links::{LinkConditions, Links};
 use doorgrade_standins::process::Process;
 use doorgrade_standins::versions::{Installation, SERVICE};
@@ -208,7 +208,11 @@
     /// Asks the service as an operator.
     pub fn operator(&self) -> Result<Operator, Fault> {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(fault)?;
-        let asker = runtime.block_on(Asker::at(self.operators, SERVICE, &self.place.identity("person")))?;
+        let asker = runtime.block_on(OperatorClient::connect_to(
+            self.operators,
+            SERVICE,
+            &self.place.identity("person"),
+        ))?;
         Ok(Operator { runtime, asker })
     }
 }
@@ -216,12 +220,12 @@
 /// An operator's connection.
 pub struct Operator {
     runtime: Runtime,
-    asker: Asker,
+    asker: OperatorClient,
 }
 
 impl Operator {
     pub fn totals(&mut self) -> Result<Totals, Fault> {
-        match self.runtime.block_on(self.asker.ask(&Request::Status))? {
+        match self.runtime.block_on(self.asker.request(&Request::Status))? {
             Response::Status(totals) => Ok(*totals),
             other => Err(format!("{other:?}")),
         }
@@ -237,7 +241,7 @@
                 note: "".into(),
                 expected_last: expects,
             };
-            match self.runtime.block_on(self.asker.ask(&ask))? {
+            match self.runtime.block_on(self.asker.request(&ask))? {
                 Response::Published(id) => return Ok((id, refused)),
                 Response::NotPublished(_) if begun.elapsed() < WITHIN => refused += 1,
                 other => return Err(format!("not published: {other:?}")),
