--- a/crates/agent/src/core.rs
+++ b/crates/agent/src/core.rs
@@ -1,4 +1,4 @@
-//! The one task that owns the machine and the journal.
+//! The one task that owns the state machine ([`Fleet`]) and the journal: passes events in and performs the effects.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,50 +12,58 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::sleep;
 
-use crate::ask::{Answer, Ask, Row, Status};
 use crate::journal::Journal;
 use crate::probe;
-use crate::process::{self, Spec};
+use crate::process::{self, ProcessSpec};
+use crate::protocol::{InstanceStatus, Request, Response, Status};
 
 pub enum Event {
-    Found(Box<str>, Vec<(Run, Process)>),
+    /// The processes of an instance that were found by their marks.
+    ProcessesFound(Box<str>, Vec<(Run, Process)>),
     Checked(Box<str>, Run, Check),
     Exited(Box<str>, Process, Exit),
-    Asked { ask: Ask, answer: oneshot::Sender<Answer> },
+    Request {
+        request: Request,
+        response: oneshot::Sender<Response>,
+    },
+    /// Subscribes to log events.
     Watch(mpsc::Sender<Arc<LogEvent>>),
     Stop,
 }
 
-/// What the shell knows of an instance besides what the machine does.
-pub struct Place {
-    pub spec: Spec,
+/// What the settings say of an instance that the state machine does not need.
+pub struct InstanceConfig {
+    pub spec: ProcessSpec,
     pub station: Box<str>,
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     pub labels: Vec<Box<str>>,
 }
 
+/// The state of the task.
 pub struct Core {
     pub agent: Box<str>,
     pub fleet: Fleet,
     pub journal: Journal,
-    pub places: BTreeMap<Box<str>, Place>,
+    pub instance_configs: BTreeMap<Box<str>, InstanceConfig>,
     pub events: mpsc::Sender<Event>,
     pub watchers: Vec<mpsc::Sender<Arc<LogEvent>>>,
-    pub wake: Option<u64>,
-    /// What the journal did not take, by instance: it is owed, and tried again.
-    pub unkept: BTreeMap<Box<str>, PersistedState>,
-    /// Not children of this agent: their ends are looked for.
+    /// The timer that the state machine has set.
+    pub timer_at: Option<u64>,
+    /// State that could not be written to the journal, by instance; retried.
+    pub unwritten: BTreeMap<Box<str>, PersistedState>,
+    /// Processes that earlier agents started. They are not children of this one, so their exit is polled for.
     pub adopted: BTreeMap<Process, Box<str>>,
 }
 
-/// How often the ends of processes are looked for that are not this agent's children.
-const LOOK_EACH: Duration = Duration::from_millis(200);
-/// How often what the journal did not take is tried again.
-const KEEP_EACH: Duration = Duration::from_millis(500);
-const MOST_WATCHERS: usize = 64;
-pub const MOST_LINES: usize = 1_024;
+/// Interval at which the exit of adopted processes is polled for.
+const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(200);
+/// Interval between retries of failed writes to the journal.
+const JOURNAL_RETRY_INTERVAL: Duration = Duration::from_millis(500);
+const MAX_WATCHERS: usize = 64;
+/// Log events queued for one watcher; further ones are dropped.
+pub const MAX_QUEUED_LOG_EVENTS: usize = 1_024;
 
-fn exit_of(status: std::process::ExitStatus) -> Exit {
+fn exit_from(status: std::process::ExitStatus) -> Exit {
     use std::os::unix::process::ExitStatusExt;
     match (status.code(), status.signal()) {
         (Some(code), _) => Exit::Code(code),
@@ -65,220 +73,226 @@
 }
 
 impl Core {
-    pub async fn run(mut self, first: Vec<Effect>, mut events: mpsc::Receiver<Event>) {
-        self.perform(first);
-        let mut look = tokio::time::interval(LOOK_EACH);
-        look.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-        let mut keep = tokio::time::interval(KEEP_EACH);
-        keep.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+    /// Runs until [`Event::Stop`].
+    pub async fn run(mut self, first_effects: Vec<Effect>, mut events: mpsc::Receiver<Event>) {
+        self.perform(first_effects);
+        let mut exit_poll = tokio::time::interval(EXIT_POLL_INTERVAL);
+        exit_poll.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+        let mut journal_retry = tokio::time::interval(JOURNAL_RETRY_INTERVAL);
+        journal_retry.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             let wait = self
-                .wake
+                .timer_at
                 .map_or(Duration::from_secs(60), |at| Duration::from_micros(at.saturating_sub(now()) * 100));
-            let mut out = Vec::new();
+            let mut effects = Vec::new();
             tokio::select! {
                 event = events.recv() => match event {
                     Some(Event::Stop) | None => return,
-                    Some(event) => self.take(event, &mut out),
+                    Some(event) => self.on_event(event, &mut effects),
                 },
-                _ = look.tick(), if !self.adopted.is_empty() => {
-                    let gone: Vec<Process> = self.adopted.keys().copied().filter(|p| !process::lives(*p)).collect();
-                    for process in gone {
+                _ = exit_poll.tick(), if !self.adopted.is_empty() => {
+                    let exited: Vec<Process> = self.adopted.keys().copied().filter(|p| !process::is_alive(*p)).collect();
+                    for process in exited {
                         if let Some(name) = self.adopted.remove(&process) {
-                            self.fleet.on_exited(now(), &name, process, Exit::Unobserved, &mut out);
+                            self.fleet.on_exited(now(), &name, process, Exit::Unobserved, &mut effects);
                         }
                     }
                 }
-                _ = keep.tick(), if !self.unkept.is_empty() => self.keep_again(),
+                _ = journal_retry.tick(), if !self.unwritten.is_empty() => self.retry_journal(),
                 () = sleep(wait) => {
-                    if self.wake.is_some_and(|at| now() >= at) {
-                        self.wake = None;
-                        self.fleet.on_timer(now(), &mut out);
+                    if self.timer_at.is_some_and(|at| now() >= at) {
+                        self.timer_at = None;
+                        self.fleet.on_timer(now(), &mut effects);
                     }
                 }
             }
-            self.perform(out);
+            self.perform(effects);
         }
     }
 
-    fn take(&mut self, event: Event, out: &mut Vec<Effect>) {
+    fn on_event(&mut self, event: Event, effects: &mut Vec<Effect>) {
         match event {
-            Event::Found(name, processes) => {
+            Event::ProcessesFound(name, processes) => {
                 for (_, process) in &processes {
                     self.adopted.insert(*process, name.clone());
                 }
-                self.fleet.on_processes_found(now(), &name, &processes, out);
+                self.fleet.on_processes_found(now(), &name, &processes, effects);
             }
-            Event::Checked(name, run, check) => self.fleet.on_checked(now(), &name, run, check, out),
+            Event::Checked(name, run, check) => self.fleet.on_checked(now(), &name, run, check, effects),
             Event::Exited(name, process, exit) => {
                 self.adopted.remove(&process);
-                self.fleet.on_exited(now(), &name, process, exit, out);
+                self.fleet.on_exited(now(), &name, process, exit, effects);
             }
-            Event::Asked { ask, answer } => {
-                let _ = answer.send(self.answer(ask, out));
+            Event::Request { request, response } => {
+                let _ = response.send(self.on_request(request, effects));
             }
-            Event::Watch(to) => {
+            Event::Watch(watcher) => {
                 self.watchers.retain(|w| !w.is_closed());
-                if self.watchers.len() < MOST_WATCHERS {
-                    self.watchers.push(to);
+                if self.watchers.len() < MAX_WATCHERS {
+                    self.watchers.push(watcher);
                 }
             }
             Event::Stop => {}
         }
     }
 
-    fn answer(&mut self, ask: Ask, out: &mut Vec<Effect>) -> Answer {
-        match ask {
-            Ask::Status => Answer::Status(self.status()),
-            Ask::Plan(order) => self.fleet.plan(&order).map_or_else(Answer::Refused, Answer::Plan),
-            Ask::Order(order) => match tokio::task::block_in_place(|| self.journal.check()) {
+    fn on_request(&mut self, request: Request, effects: &mut Vec<Effect>) -> Response {
+        match request {
+            Request::Status => Response::Status(self.status()),
+            Request::Plan(order) => self.fleet.plan(&order).map_or_else(Response::Rejected, Response::Plan),
+            Request::Order(order) => match tokio::task::block_in_place(|| self.journal.check()) {
                 Ok(()) => {
-                    if self.unkept.is_empty() {
+                    if self.unwritten.is_empty() {
                         self.fleet.on_journal_ok();
                     }
-                    self.fleet.order(now(), &order, out).map_or_else(Answer::Refused, Answer::Ordered)
+                    self.fleet
+                        .order(now(), &order, effects)
+                        .map_or_else(Response::Rejected, Response::Accepted)
                 }
-                // Taken on, it would be lost with this agent.
+                // The order would be lost if this agent stopped.
                 Err(trouble) => {
-                    Answer::Refused(OrderRejection::JournalUnavailable(trouble.to_string().into()))
+                    Response::Rejected(OrderRejection::JournalUnavailable(trouble.to_string().into()))
                 }
             },
-            Ask::Progress(number) => Answer::Progress(self.fleet.progress(number)),
-            Ask::History => {
+            Request::Progress(number) => Response::Progress(self.fleet.progress(number)),
+            Request::History => {
                 let all: Vec<u64> = self.fleet.orders().rev().collect();
-                Answer::History(all.into_iter().filter_map(|n| self.fleet.progress(n)).collect())
+                Response::History(all.into_iter().filter_map(|n| self.fleet.progress(n)).collect())
             }
-            Ask::Watch => Answer::Watching,
+            Request::Watch => Response::Watching,
         }
     }
 
     fn status(&self) -> Status {
-        let row = |(station, i): (&str, &doorgrade_fleet::instance::Instance)| Row {
+        let status = |(station, i): (&str, &doorgrade_fleet::instance::Instance)| InstanceStatus {
             name: i.name.clone(),
             station: station.into(),
-            labels: self.places.get(&i.name).map(|p| p.labels.clone()).unwrap_or_default(),
+            labels: self.instance_configs.get(&i.name).map(|c| c.labels.clone()).unwrap_or_default(),
             phase: i.phase,
-            since: i.phase_since,
-            want: i.persisted.desired,
+            phase_since: i.phase_since,
+            desired: i.persisted.desired,
             revision: i.persisted.revision,
-            by: i.persisted.changed_by.clone(),
+            changed_by: i.persisted.changed_by.clone(),
             order: i.persisted.order,
             run: i.persisted.run,
             process: i.persisted.process,
             failures: i.persisted.failures,
-            set_aside: i.persisted.quarantined,
+            quarantined: i.persisted.quarantined,
         };
-        let rows = self.fleet.instances().map(row).collect();
-        Status { agent: self.agent.clone(), term: self.journal.term, at: now(), rows }
+        let instances = self.fleet.instances().map(status).collect();
+        Status { agent: self.agent.clone(), term: self.journal.term, at: now(), instances }
     }
 
-    /// Does what the machine asks for, in its order, and what that leads to.
-    fn perform(&mut self, mut todo: Vec<Effect>) {
-        while !todo.is_empty() {
-            let mut out = Vec::new();
-            for each in todo {
-                match each {
-                    Effect::Persist(name, kept) => self.keep(name, kept, &mut out),
+    /// Performs effects in their order, and those that they lead to.
+    fn perform(&mut self, mut pending: Vec<Effect>) {
+        while !pending.is_empty() {
+            let mut effects = Vec::new();
+            for effect in pending {
+                match effect {
+                    Effect::Persist(name, state) => self.persist(name, state, &mut effects),
                     Effect::Start { name, run } => {
-                        let made = self.start(&name, run);
-                        self.fleet.on_started(now(), &name, run, made, &mut out);
+                        let started = self.start(&name, run);
+                        self.fleet.on_started(now(), &name, run, started, &mut effects);
                     }
-                    Effect::FindProcesses { name } => self.look(name),
+                    Effect::FindProcesses { name } => self.find_processes(name),
                     Effect::Check { name, run } => self.check(name, run),
                     Effect::Drain { process, on, .. } => {
                         let signal = if on { Signal::USR1 } else { Signal::USR2 };
                         let _ = process::signal(process, signal);
                     }
                     Effect::Signal { process, kill, .. } => {
-                        // One that is gone is told of as an end.
+                        // If it has exited already, that is reported as an event.
                         let _ = process::signal(process, if kill { Signal::KILL } else { Signal::TERM });
                     }
-                    Effect::SetTimer(at) => self.wake = Some(at),
-                    Effect::Log(line) => self.tell(line),
+                    Effect::SetTimer(at) => self.timer_at = Some(at),
+                    Effect::Log(event) => self.log(event),
                 }
             }
-            todo = out;
+            pending = effects;
         }
     }
 
-    fn keep(&mut self, name: Box<str>, kept: PersistedState, out: &mut Vec<Effect>) {
-        match tokio::task::block_in_place(|| self.journal.keep(&name, &kept)) {
+    fn persist(&mut self, name: Box<str>, state: PersistedState, effects: &mut Vec<Effect>) {
+        match tokio::task::block_in_place(|| self.journal.write(&name, &state)) {
             Ok(()) => {
-                self.unkept.remove(&name);
-                if self.unkept.is_empty() {
+                self.unwritten.remove(&name);
+                if self.unwritten.is_empty() {
                     self.fleet.on_journal_ok();
                 }
             }
             Err(trouble) => {
                 tracing::error!("journal: {trouble}");
-                self.fleet.on_journal_error(now(), &name, &trouble.to_string(), out);
-                self.unkept.insert(name, kept);
+                self.fleet.on_journal_error(now(), &name, &trouble.to_string(), effects);
+                self.unwritten.insert(name, state);
             }
         }
     }
 
-    fn keep_again(&mut self) {
+    /// Retries failed writes to the journal.
+    fn retry_journal(&mut self) {
         let journal = &self.journal;
-        let keep =
-            |name: &str, kept: &PersistedState| tokio::task::block_in_place(|| journal.keep(name, kept));
-        self.unkept.retain(|name, kept| keep(name, kept).is_err());
-        if self.unkept.is_empty() {
-            tracing::info!("journal: all that was owed is kept");
+        let write =
+            |name: &str, state: &PersistedState| tokio::task::block_in_place(|| journal.write(name, state));
+        self.unwritten.retain(|name, state| write(name, state).is_err());
+        if self.unwritten.is_empty() {
+            tracing::info!("journal: all pending state is written");
             self.fleet.on_journal_ok();
         }
     }
 
     fn start(&mut self, name: &str, run: Run) -> Result<Process, Box<str>> {
-        let place = self.places.get(name).ok_or("it is in the settings no more")?;
-        let why = |e: std::io::Error| -> Box<str> { format!("{}: {e}", place.spec.program.display()).into() };
-        let mut child = place.spec.start(&self.agent, run).map_err(why)?;
+        let config = self.instance_configs.get(name).ok_or("it is no longer in the settings")?;
+        let start_error =
+            |e: std::io::Error| -> Box<str> { format!("{}: {e}", config.spec.program.display()).into() };
+        let mut child = config.spec.start(&self.agent, run).map_err(start_error)?;
         let id = child.id();
         let (events, name) = (self.events.clone(), Box::<str>::from(name));
-        // Read before it can be waited for: until then its id is its own.
-        let process = Process { id, start_time: process::born(id).unwrap_or(0) };
+        // Read before the child can be waited for: until then its id is not reused.
+        let process = Process { id, start_time: process::start_time(id).unwrap_or(0) };
         tokio::task::spawn_blocking(move || {
-            let exit = child.wait().map_or(Exit::Unobserved, exit_of);
+            let exit = child.wait().map_or(Exit::Unobserved, exit_from);
             let _ = events.blocking_send(Event::Exited(name, process, exit));
         });
         Ok(process)
     }
 
-    fn look(&self, name: Box<str>) {
+    fn find_processes(&self, name: Box<str>) {
         let (agent, events) = (self.agent.clone(), self.events.clone());
         tokio::spawn(async move {
             let found = tokio::task::spawn_blocking(move || {
-                let of = process::find(&agent).into_iter().filter(|f| f.0 == name);
-                let of = of.map(|(_, run, process)| (run, process)).collect();
-                (name, of)
+                let found = process::find(&agent).into_iter().filter(|f| f.0 == name);
+                let processes = found.map(|(_, run, process)| (run, process)).collect();
+                (name, processes)
             });
-            if let Ok((name, of)) = found.await {
-                let _ = events.send(Event::Found(name, of)).await;
+            if let Ok((name, processes)) = found.await {
+                let _ = events.send(Event::ProcessesFound(name, processes)).await;
             }
         });
     }
 
     fn check(&self, name: Box<str>, run: Run) {
-        let Some(at) = self.places.get(&name).map(|p| p.at) else { return };
+        let Some(address) = self.instance_configs.get(&name).map(|c| c.address) else { return };
         let events = self.events.clone();
         tokio::spawn(async move {
-            let check = probe::check(at).await;
+            let check = probe::check(address).await;
             let _ = events.send(Event::Checked(name, run, check)).await;
         });
     }
 
-    fn tell(&mut self, line: LogEvent) {
-        match &line {
+    /// Logs an event and sends it to the watchers. A watcher whose queue is full misses it.
+    fn log(&mut self, event: LogEvent) {
+        match &event {
             LogEvent::Quarantined { .. }
             | LogEvent::Halted { .. }
             | LogEvent::BudgetExhausted { .. }
             | LogEvent::UnexpectedProcess { .. } => {
-                tracing::warn!("{line}")
+                tracing::warn!("{event}")
             }
-            LogEvent::JournalFailed { .. } | LogEvent::NotStarted { .. } => tracing::error!("{line}"),
-            _ => tracing::info!("{line}"),
+            LogEvent::JournalFailed { .. } | LogEvent::NotStarted { .. } => tracing::error!("{event}"),
+            _ => tracing::info!("{event}"),
         }
-        let line = Arc::new(line);
+        let event = Arc::new(event);
         self.watchers
-            .retain(|w| !matches!(w.try_send(line.clone()), Err(mpsc::error::TrySendError::Closed(_))));
+            .retain(|w| !matches!(w.try_send(event.clone()), Err(mpsc::error::TrySendError::Closed(_))));
     }
 }
--- a/crates/agent/src/journal.rs
+++ b/crates/agent/src/journal.rs
@@ -1,4 +1,4 @@
-//! What is kept of instances, before anything is done about them; and which agent's turn it is.
+//! The journal: the persisted state of instances, written before it is acted upon, and the term of the agent.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -6,33 +6,34 @@
 use doorgrade_fleet::instance::PersistedState;
 use doorgrade_store::{Records, Trouble};
 
+/// The open journal. Its store is locked, so that one agent uses it at a time.
 pub struct Journal {
     records: Records,
-    /// Grows with each agent that takes this journal.
+    /// Counts the agents that have opened this journal.
     pub term: u64,
 }
 
-/// What an earlier agent left of its instances, by name.
-pub type Found = BTreeMap<Box<str>, PersistedState>;
+/// The persisted state of instances by name, as an earlier agent left it.
+pub type PersistedStates = BTreeMap<Box<str>, PersistedState>;
 
 fn key(name: &str) -> String {
     format!("instance/{name}")
 }
 
 impl Journal {
-    /// One agent holds it at a time: the store's file is locked. What can't be read is told and left out; what runs is found
-    /// by its marks all the same.
-    pub fn open(path: &Path) -> Result<(Journal, Found, Vec<Trouble>), Trouble> {
+    /// Opens the journal for a new term. Entries that can't be read are skipped and reported; instances that run are
+    /// found by their marks in any case.
+    pub fn open(path: &Path) -> Result<(Journal, PersistedStates, Vec<Trouble>), Trouble> {
         let (records, trouble) = Records::open(path)?;
         let mut troubles: Vec<Trouble> = trouble.into_iter().collect();
-        let mut kept = BTreeMap::new();
+        let mut states = BTreeMap::new();
         for key in records.keys("instance/")? {
             let name = key.trim_start_matches("instance/");
             match records
                 .read(&key)
                 .map(|payload| payload.map(|p| postcard::from_bytes::<PersistedState>(&p)))
             {
-                Ok(Some(Ok(of))) => drop(kept.insert(name.into(), of)),
+                Ok(Some(Ok(state))) => drop(states.insert(name.into(), state)),
                 Ok(None) => {}
                 Ok(Some(Err(_))) => troubles.push(Trouble::Damaged(key.into())),
                 Err(trouble) => troubles.push(trouble),
@@ -44,7 +45,7 @@
         if let Err(trouble) = journal.put("term", &term) {
             troubles.push(trouble);
         }
-        Ok((journal, kept, troubles))
+        Ok((journal, states, troubles))
     }
 
     fn put(&self, key: &str, value: &impl serde::Serialize) -> Result<(), Trouble> {
@@ -52,12 +53,12 @@
         self.records.write(&[(key, payload)], &[])
     }
 
-    /// Whether it can be written now.
+    /// Checks that the journal can be written to.
     pub fn check(&self) -> Result<(), Trouble> {
         self.put("term", &self.term)
     }
 
-    pub fn keep(&self, name: &str, kept: &PersistedState) -> Result<(), Trouble> {
-        self.put(&key(name), kept)
+    pub fn write(&self, name: &str, state: &PersistedState) -> Result<(), Trouble> {
+        self.put(&key(name), state)
     }
 }
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -1,21 +1,23 @@
-//! The agent: instances of the program as its child processes, kept as people want them. What to do next is decided in
-//! `doorgrade-fleet`; here processes are started, found, signalled and looked at, steps kept and people answered.
+//! The agent runs many instances of the program on one machine, as its child processes. What to do next is decided by the
+//! state machine in `doorgrade-fleet`; this package starts, finds, signals and probes processes, persists state, and
+//! serves commands.
 //!
-//! - [`process`]: an instance as a process: started with a mark, found by it, told to end without mistaking another for it.
-//! - [`probe`]: a look at an instance's door.
-//! - [`journal`]: what is kept before it is done, on `doorgrade-store`.
-//! - [`core`]: the one task that owns the machine and the journal.
-//! - [`door`]: the socket where commands come; [`ask`]: what they ask, and the other end.
+//! - [`process`]: an instance as a process: started with a mark in its environment, found by that mark, and signalled
+//!   without the risk of hitting another process that has got its id.
+//! - [`probe`]: the health check of an instance.
+//! - [`journal`]: what is persisted before it is acted upon, on `doorgrade-store`.
+//! - [`core`]: the one task that owns the state machine and the journal.
+//! - [`listener`]: the socket for commands; [`protocol`]: their requests and responses, and the client.
 //! - [`serve`]: all of it together.
 //!
-//! Children outlive their agent: the next one finds them by their marks. The agent needs no rights beyond those of the
-//! user whose instances they are.
+//! Instances outlive their agent: the next one finds them by their marks. The agent needs no privileges beyond those of
+//! the user that the instances run as.
 #![forbid(unsafe_code)]
 
-pub mod ask;
 pub mod core;
-pub mod door;
 pub mod journal;
+pub mod listener;
 pub mod probe;
 pub mod process;
+pub mod protocol;
 pub mod serve;
--- a/crates/agent/src/probe.rs
+++ b/crates/agent/src/probe.rs
@@ -1,4 +1,4 @@
-//! A look at an instance's door: whether it says that it is ready, and whether it answers anything besides.
+//! The health check of an instance, over FastCGI: whether it reports that it is ready, and whether it answers accesses.
 
 use std::io;
 use std::net::SocketAddr;
@@ -9,17 +9,17 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// For a connection and two small answers from a process on the same machine.
-const WITHIN: Duration = Duration::from_secs(2);
-/// Longest answer that is read: both are a few lines.
-const MOST_ANSWER: usize = 4 << 10;
+/// For a connection and two small responses from a process on the same machine.
+const TIMEOUT: Duration = Duration::from_secs(2);
+/// Longest response that is read: both are a few lines.
+const MAX_RESPONSE_BYTES: usize = 4 << 10;
 
-/// FastCGI 1.0: a request under a number, as a Responder, on a connection that stays.
+/// Encodes a FastCGI 1.0 request with this id, in the Responder role, that keeps the connection open.
 fn request(id: u16, params: &[(&str, &str)]) -> Vec<u8> {
     let [high, low] = id.to_be_bytes();
     let record = |kind: u8, content: &[u8]| {
-        let [long, short] = (content.len() as u16).to_be_bytes();
-        [&[1, kind, high, low, long, short, 0, 0], content].concat()
+        let [length_high, length_low] = (content.len() as u16).to_be_bytes();
+        [&[1, kind, high, low, length_high, length_low, 0, 0], content].concat()
     };
     let mut pairs = Vec::new();
     for (name, value) in params {
@@ -30,38 +30,38 @@
     [record(1, &[0, 1, 1, 0, 0, 0, 0, 0]), record(4, &pairs), record(4, &[]), record(5, &[])].concat()
 }
 
-/// The status of the answer under a number.
+/// Reads the response to the request with this id; returns its HTTP status.
 async fn status(stream: &mut TcpStream, id: u16) -> io::Result<u16> {
-    let bad = || io::Error::from(io::ErrorKind::InvalidData);
-    let mut out = Vec::new();
+    let invalid = || io::Error::from(io::ErrorKind::InvalidData);
+    let mut body = Vec::new();
     loop {
         let mut header = [0; 8];
         stream.read_exact(&mut header).await?;
         let length = usize::from(u16::from_be_bytes([header[4], header[5]])) + usize::from(header[6]);
-        let of = u16::from_be_bytes([header[2], header[3]]);
-        if header[0] != 1 || of != id || out.len() + length > MOST_ANSWER {
-            return Err(bad());
+        let record_id = u16::from_be_bytes([header[2], header[3]]);
+        if header[0] != 1 || record_id != id || body.len() + length > MAX_RESPONSE_BYTES {
+            return Err(invalid());
         }
         let mut content = vec![0; length];
         stream.read_exact(&mut content).await?;
         match header[1] {
-            6 => out.extend_from_slice(&content[..length - usize::from(header[6])]),
+            6 => body.extend_from_slice(&content[..length - usize::from(header[6])]),
             3 => break,
-            _ => return Err(bad()),
+            _ => return Err(invalid()),
         }
     }
-    let text = std::str::from_utf8(&out).map_err(|_| bad())?;
-    let told = text.strip_prefix("Status: ").and_then(|rest| rest.get(..3));
-    told.and_then(|told| told.parse().ok()).ok_or_else(bad)
+    let text = std::str::from_utf8(&body).map_err(|_| invalid())?;
+    let status = text.strip_prefix("Status: ").and_then(|rest| rest.get(..3));
+    status.and_then(|status| status.parse().ok()).ok_or_else(invalid)
 }
 
-async fn look(at: SocketAddr) -> io::Result<Check> {
-    let mut stream = TcpStream::connect(at).await?;
+async fn probe(address: SocketAddr) -> io::Result<Check> {
+    let mut stream = TcpStream::connect(address).await?;
     stream.write_all(&request(1, &[("SCRIPT_NAME", "/check")])).await?;
     if status(&mut stream, 1).await? != 200 {
         return Ok(Check::NotReady);
     }
-    // An access of a class that does not exist: it goes through the same hands as any, and is answered 404.
+    // An access of a class that does not exist: it is processed like any other, and answered with 404.
     let access = [
         ("SCRIPT_NAME", "/do/none-such"),
         ("HTTP_REQ_ID", "0000000000000001"),
@@ -75,7 +75,7 @@
     Ok(Check::Ready)
 }
 
-pub async fn check(at: SocketAddr) -> Check {
-    let looked = timeout(WITHIN, look(at)).await;
-    looked.ok().and_then(Result::ok).unwrap_or(Check::Unresponsive)
+pub async fn check(address: SocketAddr) -> Check {
+    let check = timeout(TIMEOUT, probe(address)).await;
+    check.ok().and_then(Result::ok).unwrap_or(Check::Unresponsive)
 }
--- a/crates/agent/src/serve.rs
+++ b/crates/agent/src/serve.rs
@@ -1,22 +1,23 @@
-//! All of the agent together, until SIGTERM or SIGINT. Its instances go on without it.
+//! Runs the agent until SIGTERM or SIGINT. Its instances go on without it.
 
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 
 use doorgrade_fleet::Fleet;
 use doorgrade_operator::agent::Agent;
-use doorgrade_operator::files::beside;
+use doorgrade_operator::files::resolve;
 use doorgrade_stream::clock::now;
 use tokio::sync::mpsc;
 
-use crate::core::{Core, Event, Place};
-use crate::door;
+use crate::core::{Core, Event, InstanceConfig};
 use crate::journal::Journal;
-use crate::process::Spec;
+use crate::listener;
+use crate::process::ProcessSpec;
 
-/// Where the settings stand, seen from where the program is started, if nobody says otherwise.
-pub const USUAL: &str = "deploy/agent.hcl";
+/// Path of the settings if none is given, relative to the working directory.
+pub const DEFAULT_PATH: &str = "deploy/agent.hcl";
 
+/// The settings, and the absolute path of their file.
 pub struct Settings {
     pub agent: Agent,
     pub file: PathBuf,
@@ -27,58 +28,59 @@
         let name = file.display().to_string();
         let text = std::fs::read_to_string(file).map_err(|e| format!("{name}: can't be read: {e}"))?;
         let agent = Agent::read(&name, &text).map_err(|problems| problems.to_string())?;
-        // Children are started from another folder than the one this was named in.
+        // Made absolute, so that the paths given to instances don't depend on a working directory.
         let file = std::path::absolute(file).map_err(|e| format!("{name}: {e}"))?;
         Ok(Settings { agent, file })
     }
 
     pub fn socket(&self) -> PathBuf {
-        beside(&self.file, &self.agent.socket)
+        resolve(&self.file, &self.agent.socket)
     }
 
-    fn places(&self) -> BTreeMap<Box<str>, Place> {
-        let at = |named: &str| beside(&self.file, named);
-        let one = |i: &doorgrade_operator::agent::Instance| {
-            let spec = Spec {
+    fn instance_configs(&self) -> BTreeMap<Box<str>, InstanceConfig> {
+        let path = |path: &str| resolve(&self.file, path);
+        let config = |i: &doorgrade_operator::agent::Instance| {
+            let spec = ProcessSpec {
                 name: i.name.clone(),
-                program: at(&self.agent.program),
+                program: path(&self.agent.program),
                 listen: i.listen.to_string(),
-                config: at(&i.config),
-                settings: i.settings.as_deref().map(at),
-                log: at(&self.agent.logs).join(format!("{}.log", i.name)),
+                config: path(&i.config),
+                settings: i.settings.as_deref().map(path),
+                log: path(&self.agent.logs).join(format!("{}.log", i.name)),
                 log_bytes: self.agent.log_mb << 20,
             };
             let (station, labels) = (i.station.clone(), i.labels.clone());
-            (i.name.clone(), Place { spec, station, at: i.listen, labels })
+            (i.name.clone(), InstanceConfig { spec, station, address: i.listen, labels })
         };
-        self.agent.instances.iter().map(one).collect()
+        self.agent.instances.iter().map(config).collect()
     }
 }
 
-const MOST_EVENTS: usize = 4_096;
+/// Events that may be queued for the core.
+const MAX_QUEUED_EVENTS: usize = 4_096;
 
 async fn run(settings: Settings) -> Result<(), String> {
     use tokio::signal::unix::{SignalKind, signal};
-    let heard = |kind| signal(kind).map_err(|e| format!("signals: {e}"));
-    let (mut term, mut int) = (heard(SignalKind::terminate())?, heard(SignalKind::interrupt())?);
-    let journal = beside(&settings.file, &settings.agent.journal);
+    let signals = |kind| signal(kind).map_err(|e| format!("signals: {e}"));
+    let (mut term, mut int) = (signals(SignalKind::terminate())?, signals(SignalKind::interrupt())?);
+    let journal = resolve(&settings.file, &settings.agent.journal);
     let opened = Journal::open(&journal);
-    let (journal, kept, troubles) =
-        opened.map_err(|t| format!("{}: {t}: does another agent have it?", journal.display()))?;
+    let (journal, persisted, troubles) =
+        opened.map_err(|t| format!("{}: {t}: does another agent use it?", journal.display()))?;
     troubles.iter().for_each(|trouble| tracing::error!("journal: {trouble}"));
-    let logs = beside(&settings.file, &settings.agent.logs);
+    let logs = resolve(&settings.file, &settings.agent.logs);
     std::fs::create_dir_all(&logs).map_err(|e| format!("{}: {e}", logs.display()))?;
     let socket = settings.socket();
-    let listener = door::bind(&socket).map_err(|e| format!("{}: {e}", socket.display()))?;
-    let (events, happened) = mpsc::channel(MOST_EVENTS);
-    let places = settings.places();
+    let socket_listener = listener::bind(&socket).map_err(|e| format!("{}: {e}", socket.display()))?;
+    let (events, event_receiver) = mpsc::channel(MAX_QUEUED_EVENTS);
+    let instance_configs = settings.instance_configs();
     let stations: Vec<(Box<str>, Box<str>)> =
         settings.agent.instances.iter().map(|i| (i.name.clone(), i.station.clone())).collect();
-    let mut out = Vec::new();
+    let mut effects = Vec::new();
     let rules = settings.agent.rules.clone();
-    let fleet = Fleet::new(now(), rules, journal.term ^ now(), &stations, kept, &mut out);
+    let fleet = Fleet::new(now(), rules, journal.term ^ now(), &stations, persisted, &mut effects);
     tracing::info!(
-        "{}: term {}, {} instances, commands at {}",
+        "{}: term {}, {} instances, listening for commands at {}",
         settings.agent.name,
         journal.term,
         stations.len(),
@@ -88,36 +90,38 @@
         agent: settings.agent.name.clone(),
         fleet,
         journal,
-        places,
+        instance_configs,
         events: events.clone(),
         watchers: Vec::new(),
-        wake: None,
-        unkept: BTreeMap::new(),
+        timer_at: None,
+        unwritten: BTreeMap::new(),
         adopted: BTreeMap::new(),
     };
-    let doors = tokio::spawn(door::serve(listener, events.clone(), settings.agent.viewers.clone()));
-    let core = tokio::spawn(core.run(out, happened));
+    let listener_task =
+        tokio::spawn(listener::serve(socket_listener, events.clone(), settings.agent.viewers.clone()));
+    let core = tokio::spawn(core.run(effects, event_receiver));
     tokio::select! {
         _ = term.recv() => {}
         _ = int.recv() => {}
     }
-    tracing::info!("told to stop; the instances go on");
-    doors.abort();
+    tracing::info!("stopping; the instances go on");
+    listener_task.abort();
     let _ = events.send(Event::Stop).await;
     let _ = core.await;
     let _ = std::fs::remove_file(&socket);
     Ok(())
 }
 
+/// Runs the agent on a runtime of its own.
 pub fn serve(settings: Settings) -> Result<(), String> {
     let runtime = tokio::runtime::Builder::new_multi_thread()
-        // One waits for the end of each child.
+        // One thread per child waits for its exit.
         .max_blocking_threads(2_048)
         .enable_all()
         .build()
         .map_err(|e| e.to_string())?;
-    let ended = runtime.block_on(run(settings));
-    // Threads that wait for children would hold up the end.
+    let result = runtime.block_on(run(settings));
+    // Does not wait for the threads that wait for children.
     runtime.shutdown_background();
-    ended
+    result
 }
--- a/crates/cli/src/config.rs
+++ b/crates/cli/src/config.rs
@@ -87,7 +87,7 @@
 }
 
 fn manage(settings: Option<PathBuf>) -> Result<(Manage, PathBuf), String> {
-    let path = settings.unwrap_or_else(|| files::USUAL.into());
+    let path = settings.unwrap_or_else(|| files::DEFAULT_PATH.into());
     let name = path.display().to_string();
     let text = std::fs::read_to_string(&path).map_err(|e| format!("{name}: can't be read: {e}"))?;
     let read = Settings::read(&name, &text).map_err(|problems| problems.to_string())?;
@@ -113,7 +113,7 @@
 }
 
 fn check(file: &Path) -> Result<End, String> {
-    match Version::sound(&file.display().to_string(), &read(file)?) {
+    match Version::read_checked(&file.display().to_string(), &read(file)?) {
         Err(why) => say(&format!("{why}\n")).map(|()| End::Wrong),
         Ok(version) => {
             let members = version.shape.as_ref().map_or(0, Vec::len);
@@ -173,7 +173,7 @@
         Config::Publish { file, note, expect, no_wait, json } => {
             let content = read(&file)?;
             // Read here first: the message then names the file.
-            Version::sound(&file.display().to_string(), &content)?;
+            Version::read_checked(&file.display().to_string(), &content)?;
             let expects = match expect {
                 Some(number) => number,
                 None => totals(asker).await?.last,
--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -5,7 +5,9 @@
 use std::time::{Duration, Instant};
 
 use clap::{Args, Subcommand, ValueEnum};
-use doorgrade_agent::ask::{Answer, Ask, Asker, Row, Status};
+use doorgrade_agent::protocol::{
+    Client as Asker, InstanceStatus as Row, Request as Ask, Response as Answer, Status,
+};
 use doorgrade_agent::serve::Settings;
 use doorgrade_fleet::order::Progress;
 use doorgrade_fleet::{Operation, Order, Phase};
@@ -19,7 +21,7 @@
 #[derive(Args)]
 pub struct Fleet {
     /// The agent's settings, which name its socket
-    #[arg(long, value_name = "FILE", default_value = doorgrade_agent::serve::USUAL, global = true)]
+    #[arg(long, value_name = "FILE", default_value = doorgrade_agent::serve::DEFAULT_PATH, global = true)]
     file: PathBuf,
     #[command(subcommand)]
     command: Command,
@@ -138,7 +140,7 @@
     }
 
     fn of(&self, status: Status) -> Result<Vec<Row>, String> {
-        let unknown = self.names.iter().find(|n| !status.rows.iter().any(|r| *r.name == **n));
+        let unknown = self.names.iter().find(|n| !status.instances.iter().any(|r| *r.name == **n));
         if let Some(name) = unknown {
             return Err(format!(
                 "instance '{name}' is unknown to agent {}: look at `fleet status`",
@@ -151,7 +153,7 @@
                 && self.state.is_none_or(|s| r.phase == s.phase())
                 && self.label.as_ref().is_none_or(|l| r.labels.iter().any(|own| **own == **l))
         };
-        Ok(status.rows.into_iter().filter(fits).collect())
+        Ok(status.instances.into_iter().filter(fits).collect())
     }
 }
 
@@ -165,7 +167,7 @@
 }
 
 async fn status(asker: &mut Asker) -> Result<Status, String> {
-    match asker.ask(&Ask::Status).await? {
+    match asker.request(&Ask::Status).await? {
         Answer::Status(status) => Ok(status),
         other => Err(refusal(other)),
     }
@@ -173,8 +175,8 @@
 
 fn refusal(answer: Answer) -> String {
     match answer {
-        Answer::Refused(why) => why.to_string(),
-        Answer::OnlyLooks => "this user may only look: expected the agent's own user, or root".into(),
+        Answer::Rejected(why) => why.to_string(),
+        Answer::Forbidden => "this user may only look: expected the agent's own user, or root".into(),
         other => format!("the agent: an answer to something else: {other:?}"),
     }
 }
@@ -204,18 +206,18 @@
         Command::Restart(way) => order(asker, Operation::Restart, way).await,
         Command::Restore(way) => order(asker, Operation::Restore, way).await,
         Command::Watch { json } => {
-            match asker.ask(&Ask::Watch).await? {
+            match asker.request(&Ask::Watch).await? {
                 Answer::Watching => {}
                 other => return Err(refusal(other)),
             }
             loop {
-                let line = asker.line().await?;
+                let line = asker.next_log_event().await?;
                 let text =
                     if json { json!({"line": line.to_string()}).to_string() } else { line.to_string() };
                 say(&format!("{text}\n"))?;
             }
         }
-        Command::History { json } => match asker.ask(&Ask::History).await? {
+        Command::History { json } => match asker.request(&Ask::History).await? {
             Answer::History(all) if json => {
                 let all: Vec<Value> = all.iter().map(progress_json).collect();
                 say(&format!("{}\n", json!({"orders": all}))).map(|()| End::Done)
@@ -243,7 +245,7 @@
 
 fn as_wanted(r: &Row) -> bool {
     use doorgrade_fleet::DesiredState;
-    match r.want {
+    match r.desired {
         DesiredState::Running => r.phase == Phase::Ready,
         DesiredState::Drained => r.phase == Phase::Draining || !r.phase.has_process(),
         DesiredState::Stopped => !r.phase.has_process(),
@@ -252,8 +254,9 @@
 
 fn row_json(r: &Row) -> Value {
     json!({"front": r.name, "station": r.station, "labels": r.labels, "state": r.phase.to_string(),
-        "since_ms": r.since / 10, "want": r.want.to_string(), "revision": r.revision, "by": r.by, "order": r.order,
-        "run": r.run, "process": r.process.map(|p| p.id), "failures": r.failures, "set_aside": r.set_aside})
+        "since_ms": r.phase_since / 10, "want": r.desired.to_string(), "revision": r.revision,
+        "by": r.changed_by, "order": r.order, "run": r.run, "process": r.process.map(|p| p.id), "failures": r.failures,
+        "set_aside": r.quarantined})
 }
 
 fn rows_json(agent: &str, term: u64, rows: &[Row]) -> String {
@@ -265,16 +268,16 @@
     let head = ["instance", "station", "state", "for", "want", "run", "process", "order", ""];
     let mut all = vec![head.map(str::to_owned).to_vec()];
     for r in rows {
-        let seconds = now().saturating_sub(r.since) / 10_000;
+        let seconds = now().saturating_sub(r.phase_since) / 10_000;
         let process = r.process.map_or("-".into(), |p| p.id.to_string());
-        let order = if r.order > 0 { format!("{} by {}", r.order, r.by) } else { "-".into() };
-        let note = match (r.set_aside, r.failures) {
+        let order = if r.order > 0 { format!("{} by {}", r.order, r.changed_by) } else { "-".into() };
+        let note = match (r.quarantined, r.failures) {
             (true, failures) => format!("set aside, {failures} starts came to nothing"),
             (_, 0) => String::new(),
             (_, 1) => "died".into(),
             (_, failures) => format!("died {failures} times in a row"),
         };
-        let (state, want) = (r.phase.to_string(), r.want.to_string());
+        let (state, want) = (r.phase.to_string(), r.desired.to_string());
         let cells = [r.name.to_string(), r.station.to_string(), state, format!("{seconds} s"), want];
         let mut row = cells.to_vec();
         row.extend([r.run.to_string(), process, order, note]);
@@ -315,7 +318,7 @@
     let force: BTreeSet<Box<str>> = way.force.iter().map(|s| s.as_str().into()).collect();
     let order = Order { by: way.by.as_str().into(), operation, targets, force };
     if way.dry_run {
-        return match asker.ask(&Ask::Plan(order)).await? {
+        return match asker.request(&Ask::Plan(order)).await? {
             Answer::Plan(plan) if way.json => {
                 let all: Vec<Value> = plan
                     .iter()
@@ -334,8 +337,8 @@
             other => Err(refusal(other)),
         };
     }
-    let number = match asker.ask(&Ask::Order(order)).await? {
-        Answer::Ordered(number) => number,
+    let number = match asker.request(&Ask::Order(order)).await? {
+        Answer::Accepted(number) => number,
         other => return Err(refusal(other)),
     };
     if way.no_wait {
@@ -354,7 +357,7 @@
     let style = ProgressStyle::with_template("order {msg} [{bar:30}] {pos} of {len}, {elapsed}");
     bar.set_style(style.map_err(|e| e.to_string())?);
     loop {
-        let progress = match asker.ask(&Ask::Progress(number)).await? {
+        let progress = match asker.request(&Ask::Progress(number)).await? {
             Answer::Progress(Some(progress)) => progress,
             Answer::Progress(None) => {
                 return Err(format!(
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -73,7 +73,7 @@
     /// Starts, checks, drains and stops instances of the program, and answers the commands below `fleet`
     Agent {
         /// The agent's settings, an HCL file
-        #[arg(long, value_name = "FILE", default_value = doorgrade_agent::serve::USUAL)]
+        #[arg(long, value_name = "FILE", default_value = doorgrade_agent::serve::DEFAULT_PATH)]
         file: PathBuf,
     },
     /// Orders for instances, and how they stand; asks the agent whose settings are named
--- a/crates/cli/src/neighbours.rs
+++ b/crates/cli/src/neighbours.rs
@@ -4,7 +4,7 @@
 use std::path::PathBuf;
 
 use clap::Args;
-use doorgrade_control_client::neighbours::{MemberState, Row, Standing, Status, status};
+use doorgrade_control_client::neighbours::{Connectivity, MemberState, NeighbourStatus, Status, status};
 use doorgrade_control_client::seal_keys::read_keys;
 use doorgrade_members::seal::Keys;
 use doorgrade_operator::files;
@@ -28,17 +28,17 @@
 
 fn state(state: MemberState) -> &'static str {
     match state {
-        MemberState::Up => "up",
-        MemberState::Doubted => "doubted",
+        MemberState::Alive => "up",
+        MemberState::Suspect => "doubted",
         MemberState::Down => "down",
     }
 }
 
-fn standing(standing: Standing) -> &'static str {
+fn standing(standing: Connectivity) -> &'static str {
     match standing {
-        Standing::Alone => "alone",
-        Standing::Doubts => "doubts",
-        Standing::Among => "among",
+        Connectivity::Isolated => "alone",
+        Connectivity::Unconfirmed => "doubts",
+        Connectivity::Connected => "among",
     }
 }
 
@@ -49,8 +49,8 @@
 fn table(s: &Status) -> String {
     let mut rows =
         vec![["NAME", "STATION", "ADDRESS", "LIFE", "STATE", "SINCE", "HEARD"].map(String::from).to_vec()];
-    rows.extend(s.rows.iter().map(|r: &Row| {
-        let heard = r.heard_ms.map_or("never".into(), |ms| format!("{} ago", seconds(ms)));
+    rows.extend(s.neighbours.iter().map(|r: &NeighbourStatus| {
+        let heard = r.last_datagram_ms.map_or("never".into(), |ms| format!("{} ago", seconds(ms)));
         let id = &r.id;
         let (name, station, at, life) = (&id.name, &id.station, id.address, id.effective_incarnation());
         let state = state(r.state).to_owned();
@@ -70,29 +70,29 @@
         own.name,
         own.station,
         own.address,
-        match s.standing {
-            Standing::Among => "among neighbours",
-            Standing::Doubts => "in doubt: it has slept, and nobody has answered since",
-            Standing::Alone => "alone",
+        match s.connectivity {
+            Connectivity::Connected => "among neighbours",
+            Connectivity::Unconfirmed => "in doubt: it has slept, and nobody has answered since",
+            Connectivity::Isolated => "alone",
         },
         own.effective_incarnation(),
-        s.said,
-        s.kept,
-        s.refused,
+        s.datagrams_sent,
+        s.datagrams_withheld,
+        s.datagrams_rejected,
         columns(&rows)
     )
 }
 
 fn object(s: &Status) -> String {
-    let rows = s.rows.iter().map(|r| {
+    let rows = s.neighbours.iter().map(|r| {
         json!({"front": &*r.id.name, "station": &*r.id.station, "address": r.id.address.to_string(),
             "life": r.id.effective_incarnation(), "state": state(r.state), "since_ms": r.since_ms,
-            "heard_ms": r.heard_ms})
+            "heard_ms": r.last_datagram_ms})
     });
     let own = &s.own;
     let own = json!({"front": &*own.name, "station": &*own.station, "address": own.address.to_string(),
-        "life": own.effective_incarnation(), "standing": standing(s.standing), "said": s.said, "kept": s.kept,
-        "refused": s.refused, "neighbours": rows.collect::<Vec<_>>()});
+        "life": own.effective_incarnation(), "standing": standing(s.connectivity), "said": s.datagrams_sent,
+        "kept": s.datagrams_withheld, "refused": s.datagrams_rejected, "neighbours": rows.collect::<Vec<_>>()});
     format!("{own}\n")
 }
 
@@ -102,7 +102,7 @@
     at: Option<SocketAddrV4>,
     through: Option<SocketAddrV4>,
 ) -> Result<Status, String> {
-    let path = settings.unwrap_or_else(|| files::USUAL.into());
+    let path = settings.unwrap_or_else(|| files::DEFAULT_PATH.into());
     let files = files::load(Some(&path)).map_err(|problems| problems.to_string())?;
     let off = || {
         format!(
@@ -111,7 +111,7 @@
         )
     };
     let own = files.settings.neighbours.ok_or_else(off)?;
-    let keys = Keys::new(&read_keys(&files::beside(&path, &own.seal_keys))?);
+    let keys = Keys::new(&read_keys(&files::resolve(&path, &own.seal_keys))?);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|e| e.to_string())?;
     let at = at.unwrap_or(own.address);
--- a/crates/cli/src/recall.rs
+++ b/crates/cli/src/recall.rs
@@ -4,7 +4,7 @@
 use std::path::{Path, PathBuf};
 
 use clap::Subcommand;
-use doorgrade_control_client::memory::{Remembers, read};
+use doorgrade_control_client::memory::{MemoryStatus, read_snapshot};
 use doorgrade_operator::files;
 use doorgrade_recall::{Memory, Snapshot, Source};
 use doorgrade_store::{Records, Trouble};
@@ -28,11 +28,11 @@
     },
 }
 
-fn asked(front: &str, r: &Remembers, json: bool) -> String {
+fn asked(front: &str, r: &MemoryStatus, json: bool) -> String {
     if json {
         let told = json!({"front": front, "own": r.own, "snapshot": r.snapshot, "neighbours": r.neighbours,
-            "purges": r.purges, "pages_given": r.given, "pages_turned_down": r.turned_down, "pages_came": r.came,
-            "pages_lost": r.lost, "done": r.done});
+            "purges": r.purges, "pages_given": r.pages_served, "pages_turned_down": r.pages_rejected,
+            "pages_came": r.pages_received, "pages_lost": r.pages_missed, "done": r.fetch_done});
         return format!("{told}\n");
     }
     format!(
@@ -42,11 +42,11 @@
         r.snapshot,
         r.neighbours,
         r.purges,
-        r.given,
-        r.turned_down,
-        r.came,
-        r.lost,
-        if r.done { "" } else { "; it is still asking" }
+        r.pages_served,
+        r.pages_rejected,
+        r.pages_received,
+        r.pages_missed,
+        if r.fetch_done { "" } else { "; it is still asking" }
     )
 }
 
@@ -91,7 +91,7 @@
         }
         Err(trouble) => return Err(named(&trouble)),
     };
-    let snapshot = read(&records).map_err(|why| named(&why))?;
+    let snapshot = read_snapshot(&records).map_err(|why| named(&why))?;
     let snapshot = snapshot.ok_or_else(|| named(&"there is no snapshot in it"))?;
     say(&stored(&snapshot, now(), json)).map(|()| End::Done)
 }
@@ -108,11 +108,11 @@
     if let Some(file) = what {
         return of_store(Path::new(&file), json);
     }
-    let path = settings.unwrap_or_else(|| files::USUAL.into());
+    let path = settings.unwrap_or_else(|| files::DEFAULT_PATH.into());
     let files = files::load(Some(&path)).map_err(|problems| problems.to_string())?;
     let own = files
         .settings
         .recall
         .ok_or_else(|| format!("{}: block \'recall\' is off: name a store or a front", path.display()))?;
-    of_store(&files::beside(&path, &own.store), json)
+    of_store(&files::resolve(&path, &own.store), json)
 }
--- a/crates/cli/src/shape.rs
+++ b/crates/cli/src/shape.rs
@@ -18,13 +18,13 @@
     if let Some(file) = asked {
         return Ok(file);
     }
-    let path = settings.unwrap_or(Path::new(files::USUAL));
+    let path = settings.unwrap_or(Path::new(files::DEFAULT_PATH));
     let name = path.display().to_string();
     let text = std::fs::read_to_string(path).map_err(|e| format!("no shape named, and {name}: {e}"))?;
     let read = Settings::read(&name, &text).map_err(|e| e.to_string())?;
     let hierarchy =
         read.hierarchy.ok_or(format!("no shape named, and {name} has no hierarchy that is on"))?;
-    Ok(files::beside(path, &hierarchy.shape))
+    Ok(files::resolve(path, &hierarchy.shape))
 }
 
 /// The shape that a file comes to, and what was refused on the way.
--- a/crates/cli/tests/helper/fleet.rs
+++ b/crates/cli/tests/helper/fleet.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use doorgrade_control_client::neighbours::{MemberState, Standing, Status, status};
+use doorgrade_control_client::neighbours::{Connectivity, MemberState, Status, status};
 use doorgrade_control_client::seal_keys::read_keys;
 use doorgrade_members::seal::Keys;
 use doorgrade_standins::links::Links;
@@ -117,7 +117,8 @@
     /// Those that it takes for up, itself included.
     pub fn picture(&self, n: usize) -> Vec<String> {
         let Some(told) = self.ask(n) else { return Vec::new() };
-        let up = told.rows.iter().filter(|r| r.state == MemberState::Up).map(|r| r.id.name.to_string());
+        let up =
+            told.neighbours.iter().filter(|r| r.state == MemberState::Alive).map(|r| r.id.name.to_string());
         let mut up: Vec<String> = up.chain([format!("n{n}")]).collect();
         up.sort();
         up
@@ -125,7 +126,9 @@
 
     pub fn all_see(&self, who: std::ops::Range<usize>, whom: std::ops::Range<usize>) {
         let whom = names(whom);
-        let sees = |n| self.picture(n) == whom && self.ask(n).is_some_and(|s| s.standing == Standing::Among);
+        let sees = |n| {
+            self.picture(n) == whom && self.ask(n).is_some_and(|s| s.connectivity == Connectivity::Connected)
+        };
         let begun = Instant::now();
         while !who.clone().all(sees) {
             assert!(begun.elapsed() < LONG, "n{who:?} see {whom:?}\n{}", self.account(who.clone()));
--- a/crates/cli/tests/neighbours.rs
+++ b/crates/cli/tests/neighbours.rs
@@ -7,7 +7,7 @@
 use std::process::Command;
 use std::time::{Duration, Instant};
 
-use doorgrade_control_client::neighbours::Standing;
+use doorgrade_control_client::neighbours::Connectivity;
 use doorgrade_standins::links::LinkConditions;
 use doorgrade_standins::timeline::{Action, Timeline};
 use helper::fleet::{Fleet, names, until};
@@ -30,7 +30,10 @@
     let lives = |fleet: &Fleet| -> Vec<u64> {
         let told = fleet.ask(9).unwrap();
         let life = |n: usize| {
-            told.rows.iter().find(|r| *r.id.name == *format!("n{n}")).map(|r| r.id.effective_incarnation())
+            told.neighbours
+                .iter()
+                .find(|r| *r.id.name == *format!("n{n}"))
+                .map(|r| r.id.effective_incarnation())
         };
         (0..7).filter_map(life).collect()
     };
@@ -105,7 +108,7 @@
         fleet.start(n);
     }
     until("cut off from all seeds, it is alone", || {
-        (3..6).all(|n| fleet.ask(n).is_some_and(|s| s.standing == Standing::Alone))
+        (3..6).all(|n| fleet.ask(n).is_some_and(|s| s.connectivity == Connectivity::Isolated))
     });
     fleet.links.heal();
     fleet.all_see(0..6, 0..6);
--- a/crates/cli/tests/recall.rs
+++ b/crates/cli/tests/recall.rs
@@ -279,7 +279,7 @@
 fn alter(rig: &Rig, n: usize, change: impl FnOnce(&mut Snapshot)) {
     let (records, trouble) = Records::open(&rig.fleet.folder.join(format!("n{n}.redb"))).unwrap();
     assert_eq!(trouble, None);
-    let mut snapshot = doorgrade_control_client::memory::read(&records).unwrap().unwrap();
+    let mut snapshot = doorgrade_control_client::memory::read_snapshot(&records).unwrap().unwrap();
     change(&mut snapshot);
     records.write(&[("memory", postcard::to_stdvec(&snapshot).unwrap())], &[]).unwrap();
 }
--- a/crates/control-client/src/configuration.rs
+++ b/crates/control-client/src/configuration.rs
@@ -1,8 +1,8 @@
-//! Versions of the configuration: what is stored of them at a start, and the follower of their service. Off unless the
-//! operators' settings have it on; nothing of this is started then.
+//! Versions of the configuration: the stored one that a start runs, and the follower of the configuration service. Off
+//! unless the operators' settings enable it; nothing of this is started then.
 //!
-//! The follower speaks to the service, checks and stores. The instance brings a version into use ([`Instance::apply`]),
-//! whole or not at all.
+//! The follower talks to the service, checks versions and stores them. The instance applies a version
+//! ([`Instance::apply`]), either whole or not at all.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -21,69 +21,70 @@
 use doorgrade_versions::front::{Content, Front, LogEvent, StoredState};
 use doorgrade_versions::seal::{Keys, Seal};
 use doorgrade_versions::{RejectionReason, VersionId};
-use tokio::sync::mpsc as queue;
+use tokio::sync::mpsc;
 
 use crate::SetupError;
-use crate::seal_keys::{RELOAD_EACH, SealKeys, changed, read_keys};
-use crate::worker::{Stopped, Worker};
+use crate::seal_keys::{RELOAD_INTERVAL, SealKeys, changed_keys, read_keys};
+use crate::worker::{StopSignal, Worker};
 
-/// How an instance serves, summed since its start: benefit in thousandths, and accesses.
+/// How well an instance serves: sums since its start, the benefits in thousandths.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Served {
-    /// Asked for.
+    /// The benefit of all accesses that were requested.
     pub asked: u64,
-    /// Had within the soft limit.
+    /// The benefit of those that were answered within the soft limit.
     pub in_time: u64,
     pub accesses: AccessCounts,
 }
 
-/// What runs the versions: a front with client traffic, or one without.
+/// What applies the versions: a front with client traffic, or one without.
 pub trait Instance {
-    /// What of a version it could only take with a new start, key by key; empty where it can take all of it.
+    /// The keys of a version that take effect only after a restart; empty if it can be applied now.
     fn needs_restart(&self, version: &Version) -> Vec<String>;
-    /// Brings a version into use, whole or not at all; an error says why it was not. One that is ending never resolves.
+    /// Applies a version, either whole or not at all; an error says why it was not. Does not resolve in an instance that
+    /// is shutting down.
     fn apply(&mut self, id: &VersionId, version: &Arc<Version>) -> impl Future<Output = Result<(), String>>;
-    /// How it serves.
     fn served(&self) -> Served;
 }
 
-/// What a start found of versions.
+/// What was found in the store of versions at the start.
 pub struct StoredVersion {
-    own: Versions,
-    settings: PathBuf,
+    settings: Versions,
+    settings_path: PathBuf,
     store: Option<FrontStore>,
-    found: StoredState,
+    stored: StoredState,
     usable: Result<(), RejectionReason>,
-    /// What this start runs; none: its own file.
+    /// The version that this start runs; None: its own settings file.
     pub version: Option<Arc<Version>>,
     seed: u64,
 }
 
-/// Reads a content, and says why an instance can't take it.
-fn sound(
+/// Reads and checks a content; an error says why this instance can't apply it.
+fn read_applicable(
     content: &[u8],
     needs_restart: impl Fn(&Version) -> Vec<String>,
 ) -> Result<Version, RejectionReason> {
-    let clipped =
-        |why: String| RejectionReason::Unusable(why.chars().take(MOST_REASON).collect::<String>().into());
-    let version = Version::sound("version", content).map_err(clipped)?;
+    let unusable = |reason: String| {
+        RejectionReason::Unusable(reason.chars().take(MAX_REASON_CHARS).collect::<String>().into())
+    };
+    let version = Version::read_checked("version", content).map_err(unusable)?;
     let keys = needs_restart(&version);
     if keys.is_empty() { Ok(version) } else { Err(RejectionReason::NeedsRestart(keys.join(", ").into())) }
 }
 
-/// Letters of a refusal: some lines that a person reads.
-const MOST_REASON: usize = 8_000;
+/// Length of a rejection reason in a report to the service, in characters: some lines for a person to read.
+const MAX_REASON_CHARS: usize = 8_000;
 
 impl StoredVersion {
-    /// Opens the store beside the file `settings`. Nothing that is wrong with it ends a start: the instance then runs
-    /// its own file, and says so. `needs_restart` as of [`Instance`].
+    /// Opens the store; its path is relative to that of the settings. No fault of the store prevents a start: the
+    /// instance then runs its own file, and logs that. For `needs_restart` see [`Instance`].
     pub fn open(
-        own: Versions,
-        settings: &Path,
+        settings: Versions,
+        settings_path: &Path,
         seed: u64,
         needs_restart: impl Fn(&Version) -> Vec<String>,
     ) -> StoredVersion {
-        let path = files::beside(settings, &own.store);
+        let path = files::resolve(settings_path, &settings.store);
         let store = match Records::open(&path) {
             Ok((records, trouble)) => {
                 trouble.iter().for_each(|trouble| tracing::error!("versions: {trouble}"));
@@ -94,59 +95,61 @@
                 None
             }
         };
-        let (found, troubles) = store.as_ref().map(FrontStore::load).unwrap_or_default();
+        let (stored, troubles) = store.as_ref().map(FrontStore::load).unwrap_or_default();
         troubles.iter().for_each(|trouble| tracing::error!("versions: {trouble}"));
-        let read = found.last_good.as_ref().map(|(id, _, content)| (id, sound(content, &needs_restart)));
-        let (usable, version) = match read {
+        let last_good =
+            stored.last_good.as_ref().map(|(id, _, content)| (id, read_applicable(content, &needs_restart)));
+        let (usable, version) = match last_good {
             None => (Ok(()), None),
             Some((id, Ok(version))) => {
                 tracing::info!(version = %id, "versions: this start runs {id}");
                 (Ok(()), Some(Arc::new(version)))
             }
-            Some((_, Err(why))) => (Err(why), None),
+            Some((_, Err(reason))) => (Err(reason), None),
         };
-        if found.last_good.is_none() {
+        if stored.last_good.is_none() {
             tracing::info!("versions: none is kept; this start runs its own file");
         }
-        StoredVersion { own, settings: settings.into(), store, found, usable, version, seed }
+        StoredVersion { settings, settings_path: settings_path.into(), store, stored, usable, version, seed }
     }
 
-    /// Without a store: an instance that starts with nothing, and forgets all at its end. Of experiments.
-    pub fn without_store(own: Versions, settings: &Path, seed: u64) -> StoredVersion {
-        let (found, usable) = (StoredState::default(), Ok(()));
-        StoredVersion { own, settings: settings.into(), store: None, found, usable, version: None, seed }
+    /// Without a store: an instance, as in experiments, that starts with nothing and forgets everything at its end.
+    pub fn without_store(settings: Versions, settings_path: &Path, seed: u64) -> StoredVersion {
+        let (stored, usable) = (StoredState::default(), Ok(()));
+        let settings_path = settings_path.into();
+        StoredVersion { settings, settings_path, store: None, stored, usable, version: None, seed }
     }
 
-    /// Reads keys and certificates; what is to follow the service as `name` is handed back.
+    /// Reads keys and certificates. The returned follower registers with the service under `name`.
     pub fn follower<I: Instance>(self, name: String, instance: I) -> Result<Follower<I>, SetupError> {
-        let fault = |what: String| SetupError::Settings { block: "versions", what };
-        let server = ServerName::try_from(self.own.server_name.to_string());
-        let server = server.map_err(|e| fault(format!("key 'server_name': {e}")))?;
-        let paths = Paths::beside(&self.settings, &self.own.papers);
+        let setup_error = |message: String| SetupError::Settings { block: "versions", message };
+        let server_name = ServerName::try_from(self.settings.server_name.to_string());
+        let server_name = server_name.map_err(|e| setup_error(format!("key 'server_name': {e}")))?;
+        let paths = Paths::beside(&self.settings_path, &self.settings.identity);
         let files = paths.all();
         let credentials = Reloading::new(files, move || client(&paths, FRONTS));
-        let credentials = credentials.map_err(|t| fault(t.to_string()))?;
-        let seal_keys = files::beside(&self.settings, &self.own.seal_keys);
-        let keys = read_keys(&seal_keys).map_err(fault)?;
-        Ok(Follower { stored: self, name, server, credentials, seal_keys, keys, instance })
+        let credentials = credentials.map_err(|t| setup_error(t.to_string()))?;
+        let seal_keys = files::resolve(&self.settings_path, &self.settings.seal_keys);
+        let keys = read_keys(&seal_keys).map_err(setup_error)?;
+        Ok(Follower { stored: self, name, server_name, credentials, seal_keys, keys, instance })
     }
 
-    /// Starts the thread that follows the service.
+    /// Follows the service on a thread of its own.
     pub fn follow(
         self,
         name: String,
         instance: impl Instance + Send + 'static,
     ) -> Result<Worker, SetupError> {
         let follower = self.follower(name, instance)?;
-        Worker::start("versions", move |stopped| follower.run(stopped))
+        Worker::start("versions", move |stop_signal| follower.run(stop_signal))
     }
 }
 
-/// Follows the service, once it is run.
+/// Follows the service while [`Follower::run`] is polled.
 pub struct Follower<I> {
     stored: StoredVersion,
     name: String,
-    server: ServerName<'static>,
+    server_name: ServerName<'static>,
     credentials: Reloading<ClientConfig>,
     seal_keys: PathBuf,
     keys: SealKeys,
@@ -154,54 +157,62 @@
 }
 
 impl<I: Instance> Follower<I> {
-    /// Until it is stopped.
-    pub async fn run(self, stopped: Stopped) {
-        let Follower { stored, name, server, credentials, seal_keys, keys, instance } = self;
-        let StoredVersion { own, store, found, usable, seed, .. } = stored;
-        let host = Applies { store, instance, before: Served::default(), next: None, lost: None };
-        let (commands, mut told) = queue::channel(4);
-        let to = To { at: own.service, name: server };
+    /// Runs until it is stopped.
+    pub async fn run(self, stop_signal: StopSignal) {
+        let Follower { stored, name, server_name, credentials, seal_keys, keys, instance } = self;
+        let StoredVersion { settings, store, stored, usable, seed, .. } = stored;
+        let host = InstanceHost {
+            store,
+            instance,
+            last_served: Served::default(),
+            checked: None,
+            last_connection_error: None,
+        };
+        let (commands, mut command_receiver) = mpsc::channel(4);
+        let to = To { at: settings.service, name: server_name };
         let first_keys = Keys::new(keys.clone());
-        let (mut follow, first) = Follow::new(host, to, credentials.made(), |at, out| {
-            Front::start(at, seed, (&name, &own.station), first_keys, found, usable, out)
+        let (mut follow, first_effects) = Follow::new(host, to, credentials.made(), |now, effects| {
+            Front::start(now, seed, (&name, &settings.station), first_keys, stored, usable, effects)
         });
         tokio::select! {
-            () = follow.run(first, &mut told) => {}
+            () = follow.run(first_effects, &mut command_receiver) => {}
             () = reload(credentials, seal_keys, keys, commands) => {}
-            // Wherever it is: what was being brought into use is found as not stored, not as a crash.
-            _ = stopped => {}
+            _ = stop_signal => {}
         }
+        // A version that was being applied is no longer staged, so that the next start does not count a crash.
         follow.host.unstage();
     }
 }
 
-/// Keys and certificates that change, and those that will end.
+/// Reloads keys and certificates that have changed, and warns of certificates that expire.
 async fn reload(
     mut credentials: Reloading<ClientConfig>,
     seal_keys: PathBuf,
     mut keys: SealKeys,
-    commands: queue::Sender<Command>,
+    commands: mpsc::Sender<Command>,
 ) {
     loop {
-        for (file, of, word) in credentials.due(now()) {
-            tracing::warn!("versions: {}: the certificate of {of} {word}", file.display());
+        for (file, subject, warning) in credentials.due(now()) {
+            tracing::warn!("versions: {}: the certificate of {subject} {warning}", file.display());
         }
-        tokio::time::sleep(RELOAD_EACH).await;
-        let mut news = Vec::new();
+        tokio::time::sleep(RELOAD_INTERVAL).await;
+        let mut reloaded = Vec::new();
         match credentials.refresh(false) {
             None => {}
             Some(Ok(())) => {
-                tracing::info!("versions: certificates read anew; a connection that is up stays");
-                news.push(Command::Tls(credentials.made()));
+                tracing::info!("versions: reloaded the certificates; an open connection stays open");
+                reloaded.push(Command::Tls(credentials.made()));
+            }
+            Some(Err(trouble)) => {
+                tracing::error!("versions: {trouble}; the certificates read before stay in use");
             }
-            Some(Err(trouble)) => tracing::error!("versions: {trouble}; what was read before stays in use"),
         }
-        if let Some(new) = changed(&seal_keys, &keys) {
-            tracing::info!("versions: the keys that seal were read anew");
-            news.push(Command::Keys(Keys::new(new.clone())));
+        if let Some(new) = changed_keys(&seal_keys, &keys) {
+            tracing::info!("versions: reloaded the seal keys");
+            reloaded.push(Command::Keys(Keys::new(new.clone())));
             keys = new;
         }
-        for command in news {
+        for command in reloaded {
             if commands.send(command).await.is_err() {
                 return;
             }
@@ -209,20 +220,21 @@
     }
 }
 
-/// An instance and its store as the one who runs versions.
-struct Applies<I> {
+/// Connects the follower to the instance and its store.
+struct InstanceHost<I> {
     store: Option<FrontStore>,
     instance: I,
-    before: Served,
-    /// What was checked last, so that it is not read twice.
-    next: Option<(VersionId, Arc<Version>)>,
-    /// What was said last of a connection that was lost.
-    lost: Option<String>,
+    /// As of the last report of the service level.
+    last_served: Served,
+    /// The version that was checked last, so that it is not parsed again when it is applied.
+    checked: Option<(VersionId, Arc<Version>)>,
+    /// The connection error that was logged last, until the service is connected again.
+    last_connection_error: Option<String>,
 }
 
-impl<I> Applies<I> {
-    /// Whether a write came to be; what stands in its way is told.
-    fn stored(&self, write: impl FnOnce(&FrontStore) -> Result<(), doorgrade_store::Trouble>) -> bool {
+impl<I> InstanceHost<I> {
+    /// Writes to the store and logs an error; returns whether the write succeeded.
+    fn write(&self, write: impl FnOnce(&FrontStore) -> Result<(), doorgrade_store::Trouble>) -> bool {
         let Some(store) = &self.store else { return false };
         match write(store) {
             Ok(()) => true,
@@ -234,54 +246,56 @@
     }
 }
 
-impl<I: Instance> Host for Applies<I> {
+impl<I: Instance> Host for InstanceHost<I> {
     fn check(&mut self, id: &VersionId, content: &Content) -> Result<(), RejectionReason> {
-        let version = sound(content, |v| self.instance.needs_restart(v))?;
-        self.next = Some((*id, Arc::new(version)));
+        let version = read_applicable(content, |v| self.instance.needs_restart(v))?;
+        self.checked = Some((*id, Arc::new(version)));
         Ok(())
     }
 
     async fn apply(&mut self, id: &VersionId, _content: &Content) -> Result<(), RejectionReason> {
-        let not = |why: &str| RejectionReason::NotApplied(why.into());
-        let Some((_, version)) = self.next.take().filter(|next| next.0 == *id) else {
-            return Err(not("it was not checked"));
+        let not_applied = |reason: &str| RejectionReason::NotApplied(reason.into());
+        let Some((_, version)) = self.checked.take().filter(|checked| checked.0 == *id) else {
+            return Err(not_applied("it was not checked"));
         };
-        self.instance.apply(id, &version).await.map_err(|why| not(&why))
+        self.instance.apply(id, &version).await.map_err(|reason| not_applied(&reason))
     }
 
-    fn stage(&mut self, id: VersionId, falls: u32) -> bool {
-        self.stored(|store| store.stage(id, falls))
+    fn stage(&mut self, id: VersionId, crashes: u32) -> bool {
+        self.write(|store| store.stage(id, crashes))
     }
 
     fn keep(&mut self, id: VersionId, seal: Seal, content: &Content) -> bool {
-        self.stored(|store| store.keep(id, seal, content))
+        self.write(|store| store.keep(id, seal, content))
     }
 
     fn unstage(&mut self) {
-        self.stored(FrontStore::unstage);
+        self.write(FrontStore::unstage);
     }
 
-    fn tell(&mut self, line: LogEvent) {
-        match line {
+    fn tell(&mut self, event: LogEvent) {
+        match event {
             LogEvent::Running(id) => {
-                self.lost = None;
+                self.last_connection_error = None;
                 tracing::info!(version = %id, "versions: {id} is in use");
             }
-            LogEvent::Rejected(id, why) => {
-                tracing::warn!(version = %id, "versions: {id} is turned down: {why}");
+            LogEvent::Rejected(id, reason) => {
+                tracing::warn!(version = %id, "versions: rejected {id}: {reason}");
             }
             LogEvent::ServiceSilent(since) => {
                 tracing::warn!(
-                    "versions: the service has said nothing for {} s; the last good version stays in use",
+                    "versions: no message from the service for {} s; the last good version stays in use",
                     since / 10_000
                 );
             }
             LogEvent::ServiceBack => {
-                self.lost = None;
-                tracing::info!("versions: the service is heard again");
+                self.last_connection_error = None;
+                tracing::info!("versions: the service sends messages again");
             }
-            LogEvent::StoredVersionUnusable(why) => {
-                tracing::error!("versions: what was kept can't be used: {why}; this start runs its own file");
+            LogEvent::StoredVersionUnusable(reason) => {
+                tracing::error!(
+                    "versions: the stored version can't be used: {reason}; this start runs its own file"
+                );
             }
             LogEvent::NotStored(id) => {
                 tracing::error!(version = %id, "versions: {id} is in use, but could not be stored");
@@ -291,10 +305,11 @@
 
     fn serves(&mut self) -> Option<f32> {
         let now = self.instance.served();
-        let asked = now.asked.saturating_sub(self.before.asked);
-        let in_time = now.in_time.saturating_sub(self.before.in_time);
-        self.before = now;
-        // An access that is still open was asked, and may come in time in the next span.
+        let asked = now.asked.saturating_sub(self.last_served.asked);
+        let in_time = now.in_time.saturating_sub(self.last_served.in_time);
+        self.last_served = now;
+        // An access that is still open counts as requested now, and may be answered in time in the next interval, where
+        // the share would then exceed 1.
         (asked > 0).then(|| (in_time as f32 / asked as f32).min(1.0))
     }
 
@@ -302,12 +317,12 @@
         self.instance.served().accesses
     }
 
-    fn lost(&mut self, at: SocketAddr, why: &str) {
-        let line = format!("versions: the service at {at}: {why}");
-        // The same again and again while it is away is one line.
-        if self.lost.as_ref() != Some(&line) {
-            tracing::warn!("{line}");
-            self.lost = Some(line);
+    fn lost(&mut self, at: SocketAddr, reason: &str) {
+        let message = format!("versions: the service at {at}: {reason}");
+        // Logs an error that is repeated while the service is unreachable once.
+        if self.last_connection_error.as_ref() != Some(&message) {
+            tracing::warn!("{message}");
+            self.last_connection_error = Some(message);
         }
     }
 }
--- a/crates/control-client/src/memory.rs
+++ b/crates/control-client/src/memory.rs
@@ -1,5 +1,5 @@
-//! What an instance remembers, on disk and for neighbours: reads and writes, and hands all of it to [`Memory`],
-//! [`PageFetcher`] and [`PageServer`], which decide. Off unless the operators' settings have it on.
+//! What an instance remembers, on disk and for neighbours: [`PersistentMemory`] does the reading and writing, and leaves
+//! all decisions to [`Memory`], [`PageFetcher`] and [`PageServer`]. Off unless the operators' settings enable it.
 
 use std::net::SocketAddrV4;
 use std::path::Path;
@@ -15,77 +15,84 @@
 use doorgrade_store::{Records, Trouble};
 use serde::{Deserialize, Serialize};
 
-use crate::{Learned, clock};
+use crate::{Observation, clock};
 
-const RECORD: &str = "memory";
-const HOMES: &str = "homes";
+/// Key of the [`Snapshot`] in the store.
+const SNAPSHOT_KEY: &str = "memory";
+/// Key of the [`SavedHomes`] in the store.
+const HOMES_KEY: &str = "homes";
 
-/// Homes of objects in a hierarchy that changes shape, as they are written down.
+/// Homes of objects in a hierarchy whose shape changes, as stored; encoded with postcard, by position.
 #[derive(Serialize, Deserialize)]
-struct Homes {
-    /// Of what follows. A later one reads earlier ones.
+struct SavedHomes {
+    /// [`HOMES_FORMAT`] of the program that wrote it. Later formats must read earlier ones.
     format: u16,
     front: Box<str>,
-    taken: Ticks,
+    saved_at: Ticks,
     lists: Vec<SavedList>,
 }
 
 const HOMES_FORMAT: u16 = 1;
 
-/// The rules that a deployment's offerings make.
-pub fn rules(offerings: &[Offering], purge_done: Ticks, most: usize) -> Rules {
-    Rules { fresh_times: offerings.iter().map(|o| o.fresh_time).collect(), purge_done, max_fills: most }
+/// The rules that follow from a deployment's offerings.
+pub fn rules(offerings: &[Offering], purge_done: Ticks, max_fills: usize) -> Rules {
+    Rules { fresh_times: offerings.iter().map(|o| o.fresh_time).collect(), purge_done, max_fills }
 }
 
-/// For people: what is remembered and from whom, and what came of asking and giving.
+/// What is remembered and from whom, and how pages are exchanged with neighbours. Part of a message between fronts:
+/// encoded with postcard, by position.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Remembers {
+pub struct MemoryStatus {
+    /// Parts that the front has seen itself, that its snapshot had, and that neighbours sent.
     pub own: u64,
     pub snapshot: u64,
     pub neighbours: u64,
     pub purges: u64,
-    /// Pages given, and not given since too many were asked for or there was nothing.
-    pub given: u64,
-    pub turned_down: u64,
-    /// Pages that came, and that did not come from where they were asked first.
-    pub came: u64,
-    pub lost: u64,
-    /// It has all that it asked for, or gave up asking.
-    pub done: bool,
+    pub pages_served: u64,
+    /// Requested by others, but not served: too many requests, or nothing to serve.
+    pub pages_rejected: u64,
+    pub pages_received: u64,
+    /// Requested, but not received from the neighbour that was asked first.
+    pub pages_missed: u64,
+    /// It has received all that it requested, or has given up.
+    pub fetch_done: bool,
 }
 
-/// Reads the snapshot in a store: what the store says, and what is in the way of reading it.
-pub fn read(records: &Records) -> Result<Option<Snapshot>, String> {
-    let Some(bytes) = records.read(RECORD).map_err(|t| t.to_string())? else { return Ok(None) };
+/// Reads the snapshot in a store, if there is one; an error says why it can't be read.
+pub fn read_snapshot(records: &Records) -> Result<Option<Snapshot>, String> {
+    let Some(bytes) = records.read(SNAPSHOT_KEY).map_err(|t| t.to_string())? else { return Ok(None) };
     postcard::from_bytes(&bytes).map(Some).map_err(|_| "the snapshot can't be read".into())
 }
 
-/// What is remembered, its store, and what is asked of and given to neighbours.
-pub struct Remember {
-    own: Recall,
+/// A front's [`Memory`] with its store, and the exchange of pages with neighbours.
+pub struct PersistentMemory {
+    settings: Recall,
     name: String,
     memory: Memory,
     store: Option<Records>,
-    /// The incarnation of the start before, if its snapshot says.
+    /// The incarnation of the previous run, if its snapshot says; otherwise 0.
     pub last_incarnation: u64,
-    written: Ticks,
-    /// Something has come since.
+    last_write_at: Ticks,
+    /// Whether anything has changed since the last successful write.
     changed: bool,
-    asking: Option<PageFetcher>,
-    giving: PageServer,
-    tally: ImportStats,
-    /// What was found at the start, for the instance to hear before it serves.
-    found: (Vec<Fill>, Vec<Purge>),
-    found_homes: Option<(Ticks, Vec<SavedList>)>,
+    fetcher: Option<PageFetcher>,
+    server: PageServer,
+    /// What the present fetch has imported.
+    import_stats: ImportStats,
+    /// What was loaded at the start, for the instance to take over before it serves.
+    loaded: (Vec<Fill>, Vec<Purge>),
+    loaded_homes: Option<(Ticks, Vec<SavedList>)>,
     homes: Vec<SavedList>,
-    failed: Option<String>,
+    /// The last write error, so that a repeated one is logged once.
+    write_error: Option<String>,
 }
 
-impl Remember {
-    /// Nothing that is wrong with the store ends a start: the front then remembers nothing, and says so.
-    pub fn open(own: Recall, settings: &Path, name: &str, rules: Rules) -> Remember {
+impl PersistentMemory {
+    /// Opens the store and loads the snapshot. No fault of the store prevents a start: the front then remembers nothing,
+    /// and logs that.
+    pub fn open(recall: Recall, settings: &Path, name: &str, rules: Rules) -> PersistentMemory {
         let now = clock::now();
-        let path = files::beside(settings, &own.store);
+        let path = files::resolve(settings, &recall.store);
         let store = match Records::open(&path) {
             Ok((records, trouble)) => {
                 trouble.iter().for_each(|trouble| tracing::error!("recall: {trouble}"));
@@ -96,214 +103,219 @@
                 None
             }
         };
-        let giving = PageServer::new(own.pages, now);
-        let mut remember = Remember {
+        let server = PageServer::new(recall.pages_per_s, now);
+        let mut memory = PersistentMemory {
             memory: Memory::new(rules),
             name: name.into(),
             store,
             last_incarnation: 0,
-            written: now,
+            last_write_at: now,
             changed: false,
-            asking: None,
-            giving,
-            tally: ImportStats::default(),
-            found: Default::default(),
-            found_homes: None,
+            fetcher: None,
+            server,
+            import_stats: ImportStats::default(),
+            loaded: Default::default(),
+            loaded_homes: None,
             homes: Vec::new(),
-            failed: None,
-            own,
+            write_error: None,
+            settings: recall,
         };
-        remember.load(now);
-        remember
+        memory.load(now);
+        memory
     }
 
     fn load(&mut self, now: Ticks) {
-        self.found_homes = self.load_homes();
-        let read = self.store.as_ref().map_or(Ok(None), read);
+        self.loaded_homes = self.load_homes();
+        let read = self.store.as_ref().map_or(Ok(None), read_snapshot);
         let snapshot = match read {
             Ok(Some(snapshot)) => snapshot,
             Ok(None) => return tracing::info!("recall: no snapshot of its own"),
-            Err(why) => return tracing::error!("recall: its own snapshot is left out: {why}"),
+            Err(reason) => return tracing::error!("recall: its own snapshot is left out: {reason}"),
         };
         if *snapshot.front == *self.name {
             self.last_incarnation = snapshot.incarnation;
         }
-        if let Err(why) = snapshot.check(&self.name, self.memory.rules(), now) {
-            return tracing::warn!("recall: its own snapshot is left out: {why}");
+        if let Err(reason) = snapshot.check(&self.name, self.memory.rules(), now) {
+            return tracing::warn!("recall: its own snapshot is left out: {reason}");
         }
-        let (fills, purges, tally) =
+        let (fills, purges, import_stats) =
             self.memory.import(now, Source::Snapshot, &snapshot.fills, &snapshot.purges);
-        let ago = now.saturating_sub(snapshot.taken_at) / 10;
-        tracing::info!("recall: from its own snapshot of {ago} ms ago: {tally}");
-        self.found = (fills, purges);
+        let ms_ago = now.saturating_sub(snapshot.taken_at) / 10;
+        tracing::info!("recall: from its own snapshot of {ms_ago} ms ago: {import_stats}");
+        self.loaded = (fills, purges);
     }
 
     fn load_homes(&self) -> Option<(Ticks, Vec<SavedList>)> {
-        let bytes = match self.store.as_ref()?.read(HOMES) {
+        let bytes = match self.store.as_ref()?.read(HOMES_KEY) {
             Ok(bytes) => bytes?,
             Err(trouble) => {
-                tracing::error!("recall: homes are left out: {trouble}");
+                tracing::error!("recall: saved homes are ignored: {trouble}");
                 return None;
             }
         };
-        let why = match postcard::from_bytes::<Homes>(&bytes) {
+        let reason = match postcard::from_bytes::<SavedHomes>(&bytes) {
             Ok(h) if h.format != HOMES_FORMAT => {
                 format!("their format is {}: expected {HOMES_FORMAT}", h.format)
             }
-            Ok(h) if *h.front != *self.name => format!("they are {}'s", h.front),
-            Ok(h) => return Some((h.taken, h.lists)),
+            Ok(h) if *h.front != *self.name => format!("they were saved by front {}", h.front),
+            Ok(h) => return Some((h.saved_at, h.lists)),
             Err(_) => "they can't be read".into(),
         };
-        tracing::warn!("recall: homes are left out: {why}");
+        tracing::warn!("recall: saved homes are ignored: {reason}");
         None
     }
 
-    /// Homes of objects as they were before, and when that was written.
+    /// The homes of objects as an earlier run saved them, and when it did.
     pub fn homes(&self) -> Option<(Ticks, Vec<SavedList>)> {
-        self.found_homes.clone()
+        self.loaded_homes.clone()
     }
 
-    /// What the snapshot had that still holds.
-    pub fn found(&self) -> (Vec<Fill>, Vec<Purge>) {
-        self.found.clone()
+    /// What the snapshot had that is still valid.
+    pub fn loaded(&self) -> (Vec<Fill>, Vec<Purge>) {
+        self.loaded.clone()
     }
 
-    pub fn saw(&mut self, seen: &[Learned]) {
+    /// Records what the instance has observed itself.
+    pub fn record(&mut self, observations: &[Observation]) {
         let now = clock::now();
-        self.changed |= !seen.is_empty();
-        for seen in seen {
-            match seen {
-                Learned::Fill(fill) => self.memory.record_fill(now, *fill),
-                Learned::Purge(purge) => self.memory.record_purge(now, *purge),
-                Learned::Homes(lists) => self.homes.clone_from(lists),
+        self.changed |= !observations.is_empty();
+        for observation in observations {
+            match observation {
+                Observation::Fill(fill) => self.memory.record_fill(now, *fill),
+                Observation::Purge(purge) => self.memory.record_purge(now, *purge),
+                Observation::Homes(lists) => self.homes.clone_from(lists),
             }
         }
     }
 
-    /// When a snapshot is due.
-    pub fn due(&self) -> Ticks {
-        self.written + self.own.write_ms * 10
+    /// When the next snapshot is to be written.
+    pub fn next_write_at(&self) -> Ticks {
+        self.last_write_at + self.settings.write_ms * 10
     }
 
-    /// Writes a snapshot, if there is anything new.
+    /// Writes a snapshot and the homes, if anything has changed.
     pub fn write(&mut self, now: Ticks, incarnation: u64) {
-        self.written = now;
+        self.last_write_at = now;
         let Some(store) = self.store.as_ref().filter(|_| self.changed) else { return };
-        let taken = clock::now();
-        let snapshot = Snapshot::take(&self.memory, &self.name, incarnation, taken);
+        let taken_at = clock::now();
+        let snapshot = Snapshot::take(&self.memory, &self.name, incarnation, taken_at);
         let (front, lists) = (self.name.as_str().into(), self.homes.clone());
-        let homes = Homes { format: HOMES_FORMAT, front, taken, lists };
+        let homes = SavedHomes { format: HOMES_FORMAT, front, saved_at: taken_at, lists };
         let homes = (!homes.lists.is_empty()).then(|| postcard::to_stdvec(&homes)).transpose();
-        let wrote = postcard::to_stdvec(&snapshot)
+        let written = postcard::to_stdvec(&snapshot)
             .and_then(|bytes| Ok((bytes, homes?)))
             .map_err(|e| Trouble::Failed(e.to_string().into()))
             .and_then(|(bytes, homes)| {
                 let puts: Vec<_> =
-                    std::iter::once((RECORD, bytes)).chain(homes.map(|h| (HOMES, h))).collect();
+                    std::iter::once((SNAPSHOT_KEY, bytes)).chain(homes.map(|h| (HOMES_KEY, h))).collect();
                 store.write(&puts, &[])
             });
-        self.changed = wrote.is_err();
-        let failed = wrote.err().map(|t| t.to_string());
-        // The same again and again is one line.
-        if failed != self.failed {
-            match &failed {
-                Some(why) => tracing::error!("recall: no snapshot is written: {why}"),
+        self.changed = written.is_err();
+        let write_error = written.err().map(|t| t.to_string());
+        if write_error != self.write_error {
+            match &write_error {
+                Some(error) => tracing::error!("recall: no snapshot is written: {error}"),
                 None => tracing::info!("recall: snapshots are written again"),
             }
-            self.failed = failed;
+            self.write_error = write_error;
         }
     }
 
     // ---- neighbours
 
-    /// It has just come back, or woken: those that lived are asked.
-    pub fn ask(&mut self, now: Ticks) {
-        self.asking = Some(PageFetcher::new(&self.name, now));
-        self.tally = ImportStats::default();
+    /// Starts to fetch from neighbours what they remember: after a start or a stall.
+    pub fn start_fetch(&mut self, now: Ticks) {
+        self.fetcher = Some(PageFetcher::new(&self.name, now));
+        self.import_stats = ImportStats::default();
     }
 
-    /// What it has seen before a stall is no first-hand knowledge any more.
-    pub fn slept(&mut self, now: Ticks) {
+    /// The process was suspended: what it had seen itself before no longer counts as first-hand, and is fetched again.
+    pub fn on_stall(&mut self, now: Ticks) {
         self.memory.demote_own();
-        self.ask(now);
+        self.start_fetch(now);
     }
 
-    /// A neighbour is there that was not.
-    pub fn met(&mut self, now: Ticks) {
-        let true_for = self.memory.rules().max_lifetime();
-        self.asking.iter_mut().for_each(|a| a.on_new_neighbour(now, true_for));
+    /// A neighbour has come up.
+    pub fn on_new_neighbour(&mut self, now: Ticks) {
+        let max_lifetime = self.memory.rules().max_lifetime();
+        self.fetcher.iter_mut().for_each(|f| f.on_new_neighbour(now, max_lifetime));
     }
 
-    /// Whether it still asks neighbours.
-    pub fn asks(&self) -> bool {
-        self.asking.as_ref().is_some_and(|a| !a.done)
+    /// Whether a fetch from neighbours is going on.
+    pub fn is_fetching(&self) -> bool {
+        self.fetcher.as_ref().is_some_and(|f| !f.done)
     }
 
-    /// When the next question to a neighbour is due.
-    pub fn late(&self) -> Option<Ticks> {
-        self.asking.as_ref().and_then(PageFetcher::next_timeout)
+    /// When the next request to a neighbour times out.
+    pub fn next_timeout(&self) -> Option<Ticks> {
+        self.fetcher.as_ref().and_then(PageFetcher::next_timeout)
     }
 
-    /// Whom to ask for which page now.
-    pub fn step(&mut self, now: Ticks, givers: &[Provider]) -> Vec<PageRequest> {
-        let Some(asking) = self.asking.as_mut().filter(|a| !a.done) else { return Vec::new() };
-        let asks = asking.poll(now, givers);
-        if asking.done {
-            tracing::info!("recall: from neighbours, {} pages: {}", asking.pages_received, self.tally);
+    /// The requests to send now.
+    pub fn poll_fetch(&mut self, now: Ticks, providers: &[Provider]) -> Vec<PageRequest> {
+        let Some(fetcher) = self.fetcher.as_mut().filter(|f| !f.done) else { return Vec::new() };
+        let requests = fetcher.poll(now, providers);
+        if fetcher.done {
+            tracing::info!(
+                "recall: from neighbours, {} pages: {}",
+                fetcher.pages_received,
+                self.import_stats
+            );
         }
-        asks
+        requests
     }
 
-    /// What a neighbour that asks for a page is given.
-    pub fn page(&mut self, now: Ticks, to: SocketAddrV4, page: u16) -> PageResponse {
-        let remembers = !self.found.0.is_empty();
-        if self.asking.as_ref().is_some_and(|a| !a.may_serve(remembers)) {
+    /// The response to a neighbour that requests a page.
+    pub fn serve_page(&mut self, now: Ticks, to: SocketAddrV4, page: u16) -> PageResponse {
+        let remembers = !self.loaded.0.is_empty();
+        if self.fetcher.as_ref().is_some_and(|f| !f.may_serve(remembers)) {
             return PageResponse::Nothing;
         }
-        self.giving.serve(now, clock::now(), to, &self.memory, page)
+        self.server.serve(now, clock::now(), to, &self.memory, page)
     }
 
-    /// A page that was asked for has come; what of it is new is for the instance to hear.
-    pub fn given(
+    /// Imports a page from a neighbour; returns what of it is new to the instance. A page that was not requested is
+    /// ignored.
+    pub fn on_page(
         &mut self,
         from: SocketAddrV4,
         (page, pages): (u16, u16),
         fills: &[Fill],
         purges: &[Purge],
     ) -> Option<(Vec<Fill>, Vec<Purge>)> {
-        if !self.asking.as_mut()?.on_page(from, page, pages) {
+        if !self.fetcher.as_mut()?.on_page(from, page, pages) {
             return None;
         }
-        let (fills, purges, tally) = self.memory.import(clock::now(), Source::Neighbour, fills, purges);
-        self.tally.merge(&tally);
+        let (fills, purges, import_stats) =
+            self.memory.import(clock::now(), Source::Neighbour, fills, purges);
+        self.import_stats.merge(&import_stats);
         self.changed = true;
-        Some((fills, purges)).filter(|news| !news.0.is_empty() || !news.1.is_empty())
+        Some((fills, purges)).filter(|new| !new.0.is_empty() || !new.1.is_empty())
     }
 
-    /// The neighbour gives no more at the moment.
-    pub fn busy(&mut self, now: Ticks, from: SocketAddrV4, page: u16) {
-        self.asking.iter_mut().for_each(|a| a.on_busy(now, from, page));
+    /// The neighbour serves no more pages at the moment.
+    pub fn on_busy(&mut self, now: Ticks, from: SocketAddrV4, page: u16) {
+        self.fetcher.iter_mut().for_each(|f| f.on_busy(now, from, page));
     }
 
-    /// The neighbour has nothing to give.
-    pub fn nothing(&mut self, now: Ticks, from: SocketAddrV4, page: u16) {
-        self.asking.iter_mut().for_each(|a| a.on_nothing(now, from, page));
+    /// The neighbour has nothing to serve.
+    pub fn on_nothing(&mut self, now: Ticks, from: SocketAddrV4, page: u16) {
+        self.fetcher.iter_mut().for_each(|f| f.on_nothing(now, from, page));
     }
 
-    /// Counts, for people.
-    pub fn tells(&self) -> Remembers {
+    pub fn status(&self) -> MemoryStatus {
         let count = |source| self.memory.count(source) as u64;
-        let asking = self.asking.as_ref();
-        Remembers {
+        let fetcher = self.fetcher.as_ref();
+        MemoryStatus {
             own: count(Source::Own),
             snapshot: count(Source::Snapshot),
             neighbours: count(Source::Neighbour),
             purges: self.memory.purge_count() as u64,
-            given: self.giving.pages_served,
-            turned_down: self.giving.pages_rejected,
-            came: asking.map_or(0, |a| a.pages_received),
-            lost: asking.map_or(0, |a| a.pages_missed),
-            done: asking.is_none_or(|a| a.done),
+            pages_served: self.server.pages_served,
+            pages_rejected: self.server.pages_rejected,
+            pages_received: fetcher.map_or(0, |f| f.pages_received),
+            pages_missed: fetcher.map_or(0, |f| f.pages_missed),
+            fetch_done: fetcher.is_none_or(|f| f.done),
         }
     }
 }
--- a/crates/control-client/src/neighbours/message.rs
+++ b/crates/control-client/src/neighbours/message.rs
@@ -1,4 +1,6 @@
-//! What passes between fronts, and between a command and a front, beside membership's own datagrams.
+//! Messages between fronts, and between a command and a front, beside membership's own datagrams.
+//!
+//! They are encoded with postcard, by position: the order of fields and variants must not change.
 
 use std::net::SocketAddrV4;
 
@@ -8,97 +10,104 @@
 use doorgrade_recall::{Fill, Purge};
 use serde::{Deserialize, Serialize};
 
-use crate::memory::Remembers;
+use crate::memory::MemoryStatus;
 
-/// The first byte of what is said under a seal.
-pub(super) const OF_MEMBERS: u8 = 0;
-pub(super) const OF_FRONTS: u8 = 1;
-/// What fronts and commands say to a front, page by page. Later ones are put at the end.
+/// First byte of a sealed payload: a datagram of membership.
+pub(super) const KIND_MEMBERSHIP: u8 = 0;
+/// First byte of a sealed payload: a [`Message`].
+pub(super) const KIND_MESSAGE: u8 = 1;
+
+/// A message to or from a front. What does not fit into one datagram is requested page by page. New variants are added
+/// at the end.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) enum Message {
-    /// How does it stand?
-    Ask {
+    StatusRequest {
         number: u32,
         page: u16,
     },
-    Answer {
+    StatusResponse {
         number: u32,
         page: u16,
         pages: u16,
         status: Status,
     },
-    /// What does it remember?
-    Recall {
+    /// Requests a page of what the front remembers.
+    RecallRequest {
         page: u16,
     },
-    Page {
+    RecallPage {
         page: u16,
         pages: u16,
         fills: Vec<Fill>,
         purges: Vec<Purge>,
     },
-    Busy {
+    /// Too many pages are requested at the moment.
+    RecallBusy {
         page: u16,
     },
-    Nothing {
+    /// The front has nothing to serve.
+    RecallNothing {
         page: u16,
     },
 }
 
-/// How a front stands among others.
+/// A front's view of the membership.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Status {
     pub own: MemberId,
-    pub standing: Standing,
-    /// Datagrams said, not said since there were too many, and refused.
-    pub said: u64,
-    pub kept: u64,
-    pub refused: u64,
+    pub connectivity: Connectivity,
+    pub datagrams_sent: u64,
+    /// Not sent since the rate limit was reached.
+    pub datagrams_withheld: u64,
+    /// Received, but not authentic or not understood.
+    pub datagrams_rejected: u64,
     /// None where nothing is remembered.
-    pub memory: Option<Remembers>,
-    pub rows: Vec<Row>,
+    pub memory: Option<MemoryStatus>,
+    pub neighbours: Vec<NeighbourStatus>,
 }
 
-/// Whether it is among others.
+/// Whether a front is in contact with others; as [`doorgrade_members::Connectivity`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Standing {
-    Alone,
-    Doubts,
-    Among,
+pub enum Connectivity {
+    Isolated,
+    Unconfirmed,
+    Connected,
 }
 
 /// Another front, as this one sees it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Row {
+pub struct NeighbourStatus {
     pub id: MemberId,
     pub state: MemberState,
-    /// How long it has been so, and since it was heard itself.
+    /// How long its identity and state have been as they are.
     pub since_ms: u64,
-    pub heard_ms: Option<u64>,
+    /// How long ago it last sent a datagram to this front itself.
+    pub last_datagram_ms: Option<u64>,
 }
 
-/// What another is taken for.
+/// Whether another front is assumed to run; as [`doorgrade_members::Liveness`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MemberState {
-    Up,
-    Doubted,
+    Alive,
+    Suspect,
     Down,
 }
 
-impl Row {
-    pub(super) fn of(seen: KnownMember, now: Ticks) -> Row {
-        let ago = |at: Ticks| now.saturating_sub(at) / 10;
-        let state = match seen.liveness {
-            Liveness::Alive => MemberState::Up,
-            Liveness::Suspect => MemberState::Doubted,
+impl NeighbourStatus {
+    pub(super) fn new(member: KnownMember, now: Ticks) -> NeighbourStatus {
+        let ms_since = |at: Ticks| now.saturating_sub(at) / 10;
+        let state = match member.liveness {
+            Liveness::Alive => MemberState::Alive,
+            Liveness::Suspect => MemberState::Suspect,
             Liveness::Down => MemberState::Down,
         };
-        Row { id: seen.id, state, since_ms: ago(seen.since), heard_ms: seen.last_datagram_at.map(ago) }
+        let last_datagram_ms = member.last_datagram_at.map(ms_since);
+        NeighbourStatus { id: member.id, state, since_ms: ms_since(member.since), last_datagram_ms }
     }
 }
 
-/// A message, sealed for the address that it goes to.
-pub(super) fn sealed(keys: &Keys, to: SocketAddrV4, message: &Message) -> Option<Vec<u8>> {
-    let said = postcard::to_extend(message, vec![OF_FRONTS]).ok()?;
-    keys.seal(to, &said)
+/// Encodes a message and seals it for the address that it is sent to.
+pub(super) fn seal_message(keys: &Keys, to: SocketAddrV4, message: &Message) -> Option<Vec<u8>> {
+    let payload = postcard::to_extend(message, vec![KIND_MESSAGE]).ok()?;
+    keys.seal(to, &payload)
 }
--- a/crates/control-client/src/neighbours/mod.rs
+++ b/crates/control-client/src/neighbours/mod.rs
@@ -1,9 +1,9 @@
-//! What an instance exchanges with other fronts: membership, and what is recalled from them. Off unless the operators'
-//! settings have it on; nothing of this is started then.
+//! What an instance exchanges with other fronts: membership, and recall (remembered entries fetched from them). Off
+//! unless the operators' settings enable it; nothing of this is started then.
 //!
-//! [`Exchange`] carries datagrams and the time to the decisions of `doorgrade_members`, and what is remembered between
-//! the instance, its store and its neighbours ([`Remember`]); it decides nothing. Whoever holds the operators' keys may
-//! ask how it stands ([`status`]), which is what `doorgrade neighbours` does.
+//! [`Exchange`] drives the state machines of `doorgrade_members` and passes what is remembered between the instance, its
+//! store and its neighbours ([`PersistentMemory`]); it takes no decisions itself. Whoever has the operators' keys may
+//! request its [`status()`], as `doorgrade neighbours` does.
 
 mod exchange;
 mod message;
@@ -19,138 +19,146 @@
 use doorgrade_operator::files;
 use doorgrade_operator::neighbours::{Neighbours, Recall};
 use doorgrade_recall::{Fill, Purge};
-use tokio::sync::mpsc as queue;
+use tokio::sync::mpsc;
 
 use crate::clock;
-use crate::memory::{self, Remember};
+use crate::memory::{self, PersistentMemory};
 use crate::seal_keys::{SealKeys, read_keys};
 use crate::worker::Worker;
-use crate::{Learned, SetupError};
+use crate::{Observation, SetupError};
 
 pub use exchange::Exchange;
-pub use message::{MemberState, Row, Standing, Status};
+pub use message::{Connectivity, MemberState, NeighbourStatus, Status};
 pub use status::status;
 
-/// The longest datagram that may come; what is longer is none of ours.
-const MOST_DATAGRAM: usize = 1_500;
-/// Batches of what was seen that may wait to be remembered: some tenths of a second at a busy front.
-const MOST_BATCHES: usize = 1_024;
+/// Longer datagrams are rejected.
+const MAX_DATAGRAM_BYTES: usize = 1_500;
+/// Batches of observations that may be queued: some tenths of a second at a busy front.
+const MAX_QUEUED_BATCHES: usize = 1_024;
 
-/// What an instance is told of itself.
-pub struct Own<'a> {
+/// The front on whose behalf the exchange runs.
+pub struct FrontInfo<'a> {
     /// Its name among fronts.
     pub name: &'a str,
-    /// Of all chance.
+    /// Seed of all random numbers.
     pub seed: u64,
-    /// The operators' file, beside which others are looked for.
+    /// The path of the operators' settings, which paths in them are relative to.
     pub settings: &'a Path,
-    /// The offerings that it serves, and how long a purge takes to be done, for what may be recalled.
+    /// The offerings that it serves, and the time in which a purge is done: they limit what may be recalled.
     pub offerings: &'a [Offering],
     pub purge_done: Ticks,
 }
 
-/// Hears what was recalled from neighbours and still holds.
-pub type Recalled = Box<dyn FnMut(Vec<Fill>, Vec<Purge>) + Send>;
+/// Called with what was recalled from neighbours and is still valid.
+pub type RecallHandler = Box<dyn FnMut(Vec<Fill>, Vec<Purge>) + Send>;
 
-/// Takes what the instance sees from now on, in batches.
-pub type Learning = queue::Sender<Vec<Learned>>;
+/// Takes the instance's observations, in batches.
+pub type ObservationSender = mpsc::Sender<Vec<Observation>>;
 
-/// All of it, read and checked, and nothing started yet.
-pub struct Neighbourhood {
+/// The exchange with its settings and stores read and checked, and nothing started yet.
+pub struct ExchangeSetup {
     membership: Option<Membership>,
-    remember: Option<Remember>,
+    memory: Option<PersistentMemory>,
 }
 
 /// The settings of membership, with the keys read.
 struct Membership {
-    own: Neighbours,
+    settings: Neighbours,
     name: String,
     seed: u64,
     seal_keys: PathBuf,
     secrets: SealKeys,
 }
 
-fn fault(what: impl std::fmt::Display) -> SetupError {
-    SetupError::Settings { block: "neighbours", what: what.to_string() }
+fn setup_error(message: impl std::fmt::Display) -> SetupError {
+    SetupError::Settings { block: "neighbours", message: message.to_string() }
 }
 
 impl Membership {
-    /// Reads the keys; an instance that could not speak to its neighbours does not start as if it had none.
-    fn read(settings: Neighbours, own: &Own<'_>) -> Result<Membership, SetupError> {
-        let seal_keys = files::beside(own.settings, &settings.seal_keys);
-        let secrets = read_keys(&seal_keys).map_err(fault)?;
-        if own.name.len() > doorgrade_members::MAX_NAME_BYTES {
-            let (has, most) = (own.name.len(), doorgrade_members::MAX_NAME_BYTES);
-            return Err(fault(format_args!("the front's name has {has} bytes: expected {most} at most")));
+    /// Reads the keys. Without them the instance could not talk to its neighbours, and does not start as if it had none.
+    fn read(settings: Neighbours, front: &FrontInfo<'_>) -> Result<Membership, SetupError> {
+        let seal_keys = files::resolve(front.settings, &settings.seal_keys);
+        let secrets = read_keys(&seal_keys).map_err(setup_error)?;
+        if front.name.len() > doorgrade_members::MAX_NAME_BYTES {
+            let (length, max) = (front.name.len(), doorgrade_members::MAX_NAME_BYTES);
+            return Err(setup_error(format_args!(
+                "the front's name has {length} bytes: expected at most {max}"
+            )));
         }
-        Ok(Membership { own: settings, name: own.name.into(), seed: own.seed, seal_keys, secrets })
+        Ok(Membership { settings, name: front.name.into(), seed: front.seed, seal_keys, secrets })
     }
 
-    /// Binds the socket; none where the address is in use, as by an instance before this one that is on its way out.
+    /// Binds the socket; None if the address is in use, as by a previous instance that is still stopping.
     fn bind(&self) -> Result<Option<UdpSocket>, SetupError> {
-        let listen = self.own.listen;
+        let listen = self.settings.listen;
         let bound = UdpSocket::bind(listen).and_then(|socket| socket.set_nonblocking(true).map(|()| socket));
         match bound {
             Ok(socket) => {
-                tracing::info!("neighbours: reached at {}", self.own.address);
+                tracing::info!("neighbours: reachable at {}", self.settings.address);
                 Ok(Some(socket))
             }
             Err(e) if e.kind() == ErrorKind::AddrInUse => Ok(None),
-            Err(e) => Err(fault(format_args!("key 'listen': {listen}: {e}"))),
+            Err(e) => Err(setup_error(format_args!("key 'listen': {listen}: {e}"))),
         }
     }
 }
 
-impl Neighbourhood {
-    /// None where all of it is off.
+impl ExchangeSetup {
+    /// Reads keys and stores; None where both membership and recall are off.
     pub fn read(
         neighbours: Option<Neighbours>,
         recall: Option<Recall>,
-        own: &Own<'_>,
-    ) -> Result<Option<Neighbourhood>, SetupError> {
-        let membership = neighbours.map(|settings| Membership::read(settings, own)).transpose()?;
-        let remember = recall.map(|recall| {
-            let rules = memory::rules(own.offerings, own.purge_done, recall.most);
-            Remember::open(recall, own.settings, own.name, rules)
+        front: &FrontInfo<'_>,
+    ) -> Result<Option<ExchangeSetup>, SetupError> {
+        let membership = neighbours.map(|settings| Membership::read(settings, front)).transpose()?;
+        let memory = recall.map(|recall| {
+            let rules = memory::rules(front.offerings, front.purge_done, recall.max_parts);
+            PersistentMemory::open(recall, front.settings, front.name, rules)
         });
-        let any = membership.is_some() || remember.is_some();
-        Ok(any.then_some(Neighbourhood { membership, remember }))
+        let any = membership.is_some() || memory.is_some();
+        Ok(any.then_some(ExchangeSetup { membership, memory }))
     }
 
-    /// What it remembers from before, for the instance to hear before it serves.
-    pub fn known(&self) -> (Vec<Fill>, Vec<Purge>) {
-        self.remember.as_ref().map(Remember::found).unwrap_or_default()
+    /// What the snapshot of an earlier run had that is still valid, for the instance to take over before it serves.
+    pub fn remembered(&self) -> (Vec<Fill>, Vec<Purge>) {
+        self.memory.as_ref().map(PersistentMemory::loaded).unwrap_or_default()
     }
 
-    /// Homes of objects as they were before, and when that was written.
+    /// The homes of objects as an earlier run saved them, and when it did.
     pub fn homes(&self) -> Option<(Ticks, Vec<SavedList>)> {
-        self.remember.as_ref().and_then(Remember::homes)
+        self.memory.as_ref().and_then(PersistentMemory::homes)
     }
 
-    /// Binds the socket. What is recalled goes to `recalled`; what the instance sees from now on is taken at the sender
-    /// that comes back, if anything is remembered.
-    pub fn bind(mut self, recalled: Recalled) -> Result<(Exchange, Option<Learning>), SetupError> {
+    /// Binds the socket. What is recalled is passed to `on_recalled`. The returned sender takes the instance's
+    /// observations; there is none where nothing is remembered.
+    pub fn bind(
+        mut self,
+        on_recalled: RecallHandler,
+    ) -> Result<(Exchange, Option<ObservationSender>), SetupError> {
         let now = clock::now();
-        let before = self.remember.as_ref().map_or(0, |r| r.last_incarnation.saturating_add(1));
-        let incarnation = (now / 10).max(before);
+        let min_incarnation = self.memory.as_ref().map_or(0, |m| m.last_incarnation.saturating_add(1));
+        let incarnation = (now / 10).max(min_incarnation);
         let socket = self.membership.as_ref().map(Membership::bind).transpose()?.flatten();
-        let waits = self.membership.is_some() && socket.is_none();
-        let (learned, to_remember) = queue::channel(MOST_BATCHES);
-        let learned = self.remember.is_some().then_some(learned);
+        let address_in_use = self.membership.is_some() && socket.is_none();
+        let (sender, observations) = mpsc::channel(MAX_QUEUED_BATCHES);
+        let sender = self.memory.is_some().then_some(sender);
         if self.membership.is_some() {
-            self.remember.iter_mut().for_each(|r| r.ask(now));
+            self.memory.iter_mut().for_each(|m| m.start_fetch(now));
         }
-        if waits {
-            tracing::warn!("neighbours: the address to listen on is in use: waits for it");
+        if address_in_use {
+            tracing::warn!("neighbours: the address to listen on is in use; retrying until it is free");
         }
-        let Neighbourhood { membership, remember } = self;
-        Ok((Exchange { membership, socket, remember, to_remember, recalled, incarnation, now }, learned))
+        let ExchangeSetup { membership, memory } = self;
+        Ok((Exchange { membership, socket, memory, observations, on_recalled, incarnation, now }, sender))
     }
 
-    /// Binds the socket and starts the thread.
-    pub fn start(self, recalled: Recalled) -> Result<(Worker, Option<Learning>), SetupError> {
-        let (exchange, learned) = self.bind(recalled)?;
-        let worker = Worker::start("neighbours", move |stopped| exchange.run(stopped))?;
-        Ok((worker, learned))
+    /// Binds the socket and runs the exchange on a thread of its own.
+    pub fn start(
+        self,
+        on_recalled: RecallHandler,
+    ) -> Result<(Worker, Option<ObservationSender>), SetupError> {
+        let (exchange, sender) = self.bind(on_recalled)?;
+        let worker = Worker::start("neighbours", move |stop_signal| exchange.run(stop_signal))?;
+        Ok((worker, sender))
     }
 }
--- a/crates/control-client/src/neighbours/socket.rs
+++ b/crates/control-client/src/neighbours/socket.rs
@@ -1,4 +1,4 @@
-//! The socket to other fronts, with the decisions about who is there.
+//! The socket to other fronts, together with the membership state machine.
 
 use std::net::{SocketAddr, SocketAddrV4};
 
@@ -9,10 +9,10 @@
 use tokio::net::UdpSocket;
 
 use super::Membership;
-use super::message::{Message, OF_FRONTS};
-use crate::seal_keys::changed;
+use super::message::{KIND_MESSAGE, Message};
+use crate::seal_keys::changed_keys;
 
-/// The socket, and who is at the other end.
+/// The bound socket, and the members that are reached through it.
 pub(super) struct Peers {
     pub(super) membership: Membership,
     pub(super) keys: Keys,
@@ -28,53 +28,56 @@
         now: Ticks,
     ) -> std::io::Result<Peers> {
         let socket = UdpSocket::from_std(socket)?;
-        let own = &membership.own;
-        let (name, station) = (membership.name.as_str().into(), own.station.clone());
-        let id = MemberId { name, station, address: own.address, incarnation, renewals: 0 };
-        let settings = Settings {
-            seeds: own.seeds.clone(),
-            expected_members: own.about,
-            probe_interval: own.probe_ms * 10,
-            max_datagrams_per_second: own.words,
+        let settings = &membership.settings;
+        let (name, station) = (membership.name.as_str().into(), settings.station.clone());
+        let id = MemberId { name, station, address: settings.address, incarnation, renewals: 0 };
+        let member_settings = Settings {
+            seeds: settings.seeds.clone(),
+            expected_members: settings.expected_fronts,
+            probe_interval: settings.probe_ms * 10,
+            max_datagrams_per_second: settings.max_datagrams_per_s,
         };
-        // Fronts of one seed, as a configuration may give them, are not to do all in step.
+        // Fronts may be configured with the same seed; without their names in it, they would act in lockstep.
         let seed =
             membership.seed ^ doorgrade::hash::text(&format!("{} {}", membership.name, id.incarnation));
         let keys = Keys::new(&membership.secrets);
-        Ok(Peers { members: Members::new(id, settings, seed, now), keys, socket, membership })
+        Ok(Peers { members: Members::new(id, member_settings, seed, now), keys, socket, membership })
     }
 
-    /// Lost, or the buffer full: as any datagram may be.
-    pub(super) async fn datagram(&self, to: SocketAddrV4, kind: u8, content: &[u8]) {
+    /// Seals and sends a payload. An error, as of a full buffer, is ignored: any datagram may be lost.
+    pub(super) async fn send_datagram(&self, to: SocketAddrV4, kind: u8, content: &[u8]) {
         if let Some(bytes) = self.keys.seal(to, &[&[kind], content].concat()) {
             let _ = self.socket.send_to(&bytes, SocketAddr::V4(to)).await;
         }
     }
 
-    /// A message between fronts, or to a command.
-    pub(super) async fn send(&self, to: SocketAddrV4, message: &Message) {
+    /// Sends a message to a front or a command.
+    pub(super) async fn send_message(&self, to: SocketAddrV4, message: &Message) {
         if let Ok(content) = postcard::to_stdvec(message) {
-            self.datagram(to, OF_FRONTS, &content).await;
+            self.send_datagram(to, KIND_MESSAGE, &content).await;
         }
     }
 
-    /// Who may have memory: those that are there.
-    pub(super) fn givers(&self) -> Vec<Provider> {
-        let near = |id: &MemberId| id.station == self.membership.own.station;
-        self.members.alive().map(|id| Provider { address: id.address, same_station: near(id) }).collect()
+    /// The members that are up, which may serve what they remember.
+    pub(super) fn providers(&self) -> Vec<Provider> {
+        let same_station = |id: &MemberId| id.station == self.membership.settings.station;
+        self.members
+            .alive()
+            .map(|id| Provider { address: id.address, same_station: same_station(id) })
+            .collect()
     }
 
-    /// Takes over seal keys that have changed in their file.
+    /// Uses the seal keys from their file if they have changed.
     pub(super) fn reload_keys(&mut self) {
-        if let Some(new) = changed(&self.membership.seal_keys, &self.membership.secrets) {
-            tracing::info!("neighbours: the seal keys were read anew");
+        if let Some(new) = changed_keys(&self.membership.seal_keys, &self.membership.secrets) {
+            tracing::info!("neighbours: reloaded the seal keys");
             self.keys = Keys::new(&new);
             self.membership.secrets = new;
         }
     }
 }
 
-/// A datagram; never where there is no socket.
+/// Receives a datagram; never resolves without a socket.
 pub(super) async fn receive(peers: Option<&Peers>, bytes: &mut [u8]) -> std::io::Result<(usize, SocketAddr)> {
     match peers {
         Some(peers) => peers.socket.recv_from(bytes).await,
--- a/crates/control-client/src/neighbours/status.rs
+++ b/crates/control-client/src/neighbours/status.rs
@@ -1,4 +1,4 @@
-//! How a front stands among others, asked by a command: `doorgrade neighbours`.
+//! The client's side of a status request to a front: `doorgrade neighbours`.
 
 use std::net::{SocketAddr, SocketAddrV4};
 use std::time::Duration;
@@ -7,58 +7,59 @@
 use tokio::net::UdpSocket;
 use tokio::time::{sleep, timeout};
 
-use super::MOST_DATAGRAM;
-use super::message::{Message, OF_FRONTS, Status, sealed};
+use super::MAX_DATAGRAM_BYTES;
+use super::message::{KIND_MESSAGE, Message, Status, seal_message};
 use crate::clock;
 
-/// How often one page is asked for before it is given up.
-const TRIES: usize = 5;
-const ANSWER_WITHIN: Duration = Duration::from_millis(400);
+/// How often one page is requested before giving up.
+const MAX_ATTEMPTS: usize = 5;
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Asks a front how it stands, with the operators' keys: one that others reach at `at`, and this machine at `through`.
+/// Requests the status of a front with the operators' keys. Other fronts reach it at `at`, this machine at `through`.
 pub async fn status(keys: &Keys, at: SocketAddrV4, through: SocketAddrV4) -> Result<Status, String> {
-    let fault = |e: std::io::Error| format!("{at}: {e}");
-    let socket = UdpSocket::bind("0.0.0.0:0").await.map_err(fault)?;
-    // Answers come from there alone, and are sealed for the address that is seen from there.
-    socket.connect(SocketAddr::V4(through)).await.map_err(fault)?;
-    let SocketAddr::V4(own) = socket.local_addr().map_err(fault)? else {
+    let io_error = |e: std::io::Error| format!("{at}: {e}");
+    let socket = UdpSocket::bind("0.0.0.0:0").await.map_err(io_error)?;
+    // Responses are accepted from that address only, and are sealed for the address that the front sees.
+    socket.connect(SocketAddr::V4(through)).await.map_err(io_error)?;
+    let SocketAddr::V4(own) = socket.local_addr().map_err(io_error)? else {
         return Err(format!("{at}: expected an IPv4 address"));
     };
     let mut whole: Option<Status> = None;
     let (mut page, mut pages) = (0, 1);
-    let mut bytes = [0; MOST_DATAGRAM + 1];
+    let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
     while page < pages {
-        let mut answer = None;
-        for _ in 0..TRIES {
+        let mut response = None;
+        for _ in 0..MAX_ATTEMPTS {
             let number = (clock::unix() as u32).wrapping_add(u32::from(page));
-            let ask = sealed(keys, at, &Message::Ask { number, page }).ok_or("no key seals")?;
-            // Nobody there shows at the next call; a front that is just starting is asked again.
-            let _ = socket.send(&ask).await;
-            let came = timeout(ANSWER_WITHIN, socket.recv(&mut bytes)).await;
-            let Ok(Ok(count)) = came else {
-                if came.is_ok() {
-                    sleep(ANSWER_WITHIN / 4).await;
+            let request = seal_message(keys, at, &Message::StatusRequest { number, page })
+                .ok_or("there is no key to seal with")?;
+            // If no socket is bound there, the next call reports it; a front that is just starting is asked again.
+            let _ = socket.send(&request).await;
+            let received = timeout(RESPONSE_TIMEOUT, socket.recv(&mut bytes)).await;
+            let Ok(Ok(count)) = received else {
+                if received.is_ok() {
+                    sleep(RESPONSE_TIMEOUT / 4).await;
                 }
                 continue;
             };
-            let message = keys.open(own, &bytes[..count]).ok().and_then(|said| match said {
-                [OF_FRONTS, said @ ..] => postcard::from_bytes(said).ok(),
+            let message = keys.open(own, &bytes[..count]).ok().and_then(|payload| match payload {
+                [KIND_MESSAGE, encoded @ ..] => postcard::from_bytes(encoded).ok(),
                 _ => None,
             });
-            if let Some(Message::Answer { number: n, page: p, pages, status }) = message
+            if let Some(Message::StatusResponse { number: n, page: p, pages, status }) = message
                 && (n, p) == (number, page)
             {
-                answer = Some((pages, status));
+                response = Some((pages, status));
                 break;
             }
         }
-        let (of, status) = answer.ok_or_else(|| {
+        let (reported_pages, status) = response.ok_or_else(|| {
             format!("{at}: no answer: is a front with neighbours there, and are these its keys?")
         })?;
-        pages = of;
+        pages = reported_pages;
         match &mut whole {
             None => whole = Some(status),
-            Some(whole) => whole.rows.extend(status.rows),
+            Some(whole) => whole.neighbours.extend(status.neighbours),
         }
         page += 1;
     }
--- a/crates/control-client/src/seal_keys.rs
+++ b/crates/control-client/src/seal_keys.rs
@@ -1,4 +1,4 @@
-//! The operators' keys that seal versions and datagrams: read from their file, and looked at again now and then.
+//! The operators' keys that authenticate ("seal") versions and datagrams: read from their file, and again when it changes.
 
 use std::path::Path;
 use std::time::Duration;
@@ -6,13 +6,13 @@
 use doorgrade_operator::control;
 use doorgrade_trust::rotation;
 
-/// Secrets by their number.
+/// Secrets, each with the number that identifies its key.
 pub type SealKeys = Vec<(u32, Vec<u8>)>;
 
-/// How often keys and certificates are looked at.
-pub const RELOAD_EACH: Duration = Duration::from_secs(10);
+/// How often the files of keys and certificates are checked for changes.
+pub const RELOAD_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Reads and checks a file of keys; the message names the file and what is wrong in it.
+/// Reads and checks a file of keys; the error names the file and what is wrong in it.
 pub fn read_keys(file: &Path) -> Result<SealKeys, String> {
     let name = file.display().to_string();
     let text = std::fs::read_to_string(file).map_err(|e| format!("{name}: can't be read: {e}"))?;
@@ -21,7 +21,8 @@
     Ok(keys)
 }
 
-/// What has changed since `known` was read. A file that is just being written, and can't be read, has not.
-pub fn changed(file: &Path, known: &SealKeys) -> Option<SealKeys> {
+/// The keys in the file if they differ from `known`. A file that can't be read, since it is being written, counts as
+/// unchanged.
+pub fn changed_keys(file: &Path, known: &SealKeys) -> Option<SealKeys> {
     read_keys(file).ok().filter(|new| new != known)
 }
--- a/crates/control-client/src/worker.rs
+++ b/crates/control-client/src/worker.rs
@@ -1,4 +1,4 @@
-//! A thread beside the instance's own, with a runtime: started only where the operators' settings ask for it.
+//! A thread of its own with a runtime, beside the instance's; started only where the operators' settings ask for it.
 
 use std::future::Future;
 use std::sync::mpsc;
@@ -8,11 +8,11 @@
 
 use crate::SetupError;
 
-/// Resolves when the work is to end.
-pub type Stopped = oneshot::Receiver<()>;
+/// Resolves when the worker has to stop.
+pub type StopSignal = oneshot::Receiver<()>;
 
-/// How long the end of a worker is waited for: a write to a store that is under way.
-const END_WITHIN: Duration = Duration::from_secs(1);
+/// How long [`Worker::stop`] waits for the end of the worker, which may be writing to a store.
+const STOP_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// A thread that runs one future.
 pub struct Worker {
@@ -21,31 +21,31 @@
 }
 
 impl Worker {
-    /// Runs on a thread with a runtime of its own until it ends, or is told to. The thread has that name.
+    /// Runs the future on a new thread of that name with its own runtime, until it ends or is stopped.
     pub fn start<F: Future<Output = ()>>(
         name: &'static str,
-        run: impl FnOnce(Stopped) -> F + Send + 'static,
+        run: impl FnOnce(StopSignal) -> F + Send + 'static,
     ) -> Result<Worker, SetupError> {
-        let (stop, stopped) = oneshot::channel();
-        let (over, ended) = mpsc::channel();
+        let (stop, stop_signal) = oneshot::channel();
+        let (end, ended) = mpsc::channel();
         let span = tracing::Span::current();
         let body = move || {
             let _entered = span.entered();
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
             match runtime {
-                Ok(runtime) => runtime.block_on(run(stopped)),
-                Err(e) => tracing::error!("{name}: does not run: {e}"),
+                Ok(runtime) => runtime.block_on(run(stop_signal)),
+                Err(e) => tracing::error!("{name}: the runtime could not be created: {e}"),
             }
-            let _ = over.send(());
+            let _ = end.send(());
         };
         let thread = std::thread::Builder::new().name(name.into());
         thread.spawn(body).map_err(|source| SetupError::Thread { name, source })?;
         Ok(Worker { stop, ended })
     }
 
-    /// What it is in the middle of is finished; more is not waited for.
+    /// Tells the worker to stop and waits for it, but not longer than [`STOP_TIMEOUT`].
     pub fn stop(self) {
         let _ = self.stop.send(());
-        let _ = self.ended.recv_timeout(END_WITHIN);
+        let _ = self.ended.recv_timeout(STOP_TIMEOUT);
     }
 }
--- a/crates/control/src/ask.rs
+++ b/crates/control/src/ask.rs
@@ -30,7 +30,7 @@
 impl Asker {
     /// `settings`: the file that the paths are beside.
     pub async fn connect(manage: &Manage, settings: &Path) -> Result<Asker, String> {
-        let paths = Paths::beside(settings, &manage.papers);
+        let paths = Paths::beside(settings, &manage.identity);
         Asker::at(manage.service, &manage.server_name, &paths).await
     }
 
--- a/crates/control/src/core.rs
+++ b/crates/control/src/core.rs
@@ -209,7 +209,7 @@
             _ => "",
         };
         let mut out = Vec::new();
-        let sound = |content: &[u8]| doorgrade_operator::Version::sound("version", content).map(drop);
+        let sound = |content: &[u8]| doorgrade_operator::Version::read_checked("version", content).map(drop);
         let mut answer = self.service.handle_request(now(), role, ask, sound, &mut out);
         match &answer {
             Response::Published(id) => {
--- a/crates/control/src/serve.rs
+++ b/crates/control/src/serve.rs
@@ -141,7 +141,7 @@
         let at = |l: &TcpListener| l.local_addr().map_err(|e| e.to_string());
         let (fronts_at, operators_at) = (at(&fronts)?, at(&operators)?);
         let core = tokio::spawn(Core::new(service, store, out).run(happened));
-        let door = Door::new(events.clone(), settings.control.most_fronts as usize);
+        let door = Door::new(events.clone(), settings.control.max_fronts as usize);
         let roles: Roles = Arc::new(RwLock::new(roles_of(settings.clone())));
         let [for_fronts, for_operators] = [papers[0].tls.clone(), papers[1].tls.clone()];
         let mut doors = vec![
--- a/crates/control/src/settings.rs
+++ b/crates/control/src/settings.rs
@@ -4,9 +4,9 @@
 
 use doorgrade_keys::Paths;
 use doorgrade_operator::control::{
-    Control, Papers, Publication, Role as Told, Rollout, ThinTraffic, seal_keys,
+    Control, IdentityFiles, Publication, Role as Told, Rollout, ThinTraffic, seal_keys,
 };
-use doorgrade_operator::files::beside;
+use doorgrade_operator::files::resolve;
 use doorgrade_trust::rotation;
 use doorgrade_versions::service::{Role, RolloutMode, Rules, ThinTraffic as Thin, TrialRules};
 
@@ -28,7 +28,7 @@
     }
 
     fn beside(&self, named: &str) -> PathBuf {
-        beside(&self.file, named)
+        resolve(&self.file, named)
     }
 
     pub fn store(&self) -> PathBuf {
@@ -40,17 +40,19 @@
     }
 
     pub fn fronts(&self) -> Paths {
-        Paths::beside(&self.file, &self.control.papers)
+        Paths::beside(&self.file, &self.control.identity)
     }
 
     pub fn operators(&self) -> Paths {
-        let papers =
-            Papers { authority: self.control.operators_authority.clone(), ..self.control.papers.clone() };
+        let papers = IdentityFiles {
+            authority: self.control.operators_authority.clone(),
+            ..self.control.identity.clone()
+        };
         Paths::beside(&self.file, &papers)
     }
 
     pub fn rules(&self) -> Rules {
-        let Control { admit_per_s, alive_ms, most_fronts, publication: p, .. } = &self.control;
+        let Control { admit_per_s, alive_ms, max_fronts, publication: p, .. } = &self.control;
         Rules {
             admissions_per_second: *admit_per_s as f64,
             heartbeat_interval: alive_ms * 10,
@@ -61,7 +63,7 @@
             max_rejected_share: p.refused,
             max_timed_out_share: p.missing,
             max_service_drop: p.drop,
-            max_fronts: *most_fronts as usize,
+            max_fronts: *max_fronts as usize,
             history: p.history as usize,
             recovery_delay: p.listen_ms * 10,
             rollout: mode(p),
--- a/crates/front/src/config.rs
+++ b/crates/front/src/config.rs
@@ -71,9 +71,9 @@
     pub descriptors: Descriptors,
 }
 
-const LEAST_SOCKETS: usize = version::LEAST_SOCKETS as usize;
-const LEAST_MEMORY_MB: usize = version::LEAST_MEMORY_MB as usize;
-const MOST: usize = version::MOST as usize;
+const LEAST_SOCKETS: usize = version::MIN_SOCKETS as usize;
+const LEAST_MEMORY_MB: usize = version::MIN_MEMORY_MB as usize;
+const MOST: usize = version::MAX_LIMIT as usize;
 
 /// The timers of coroutines take no more, and less could never be met; in tenths of a millisecond.
 const CONNECT_WITHIN: std::ops::RangeInclusive<u64> = 10..=600_000;
--- a/crates/front/src/descriptors.rs
+++ b/crates/front/src/descriptors.rs
@@ -1,6 +1,6 @@
 //! How many file descriptors this process may use, and how many it was handed at its start.
 
-use doorgrade_operator::version::{LEAST_SOCKETS, MOST};
+use doorgrade_operator::version::{MAX_LIMIT as MOST, MIN_SOCKETS as LEAST_SOCKETS};
 
 /// What [`crate::bounds`] counts by itself: standard input, output and error.
 const STANDARD: [&str; 3] = ["0", "1", "2"];
--- a/crates/front/src/reducer.rs
+++ b/crates/front/src/reducer.rs
@@ -30,7 +30,7 @@
 use crate::reasons::{CacheEnd, ClientEnd, Counts, Cut};
 use crate::stamps::{Stamps, Told};
 use clients::Client;
-pub use doorgrade_control_client::Learned;
+pub use doorgrade_control_client::Observation as Learned;
 use places::{Ending, Want};
 use tiers::Tiers;
 pub use types::{Effect, Input, Made, Most, Served};
--- a/crates/front/src/reducer/types.rs
+++ b/crates/front/src/reducer/types.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use doorgrade::{AccessId, Offering, Ticks};
-use doorgrade_control_client::Learned;
+use doorgrade_control_client::Observation as Learned;
 use doorgrade_hierarchy::homes::SavedList;
 use doorgrade_recall::{Fill, Purge};
 use rustc_hash::FxHashMap;
--- a/crates/front/src/serve.rs
+++ b/crates/front/src/serve.rs
@@ -9,7 +9,9 @@
 use std::time::Duration;
 
 use doorgrade_control_client::configuration::StoredVersion;
-use doorgrade_control_client::neighbours::{Learning, Neighbourhood, Own};
+use doorgrade_control_client::neighbours::{
+    ExchangeSetup as Neighbourhood, FrontInfo as Own, ObservationSender as Learning,
+};
 use doorgrade_control_client::worker::Worker;
 use doorgrade_log::{Format, LevelFilter};
 use doorgrade_operator::files;
@@ -31,7 +33,7 @@
 /// Serves until it is told to stop.
 pub fn serve(place: Place) -> Result<(), String> {
     let config = place.read().inspect_err(|_| doorgrade_log::start(LevelFilter::INFO, Format::Human))?;
-    let settings = place.settings.clone().unwrap_or_else(|| files::USUAL.into());
+    let settings = place.settings.clone().unwrap_or_else(|| files::DEFAULT_PATH.into());
     doorgrade_log::start(
         config.log,
         match config.files.settings.log.format {
@@ -61,7 +63,7 @@
     let in_use: Shared = Arc::new(Mutex::new(InUse { place, first, version, events: events.clone() }));
     let stop = heed_signals(in_use.clone(), events.clone()).map_err(|e| format!("signals: {e}"))?;
     let (listen, name) = (config.listen, config.name.clone());
-    let known = neighbourhood.as_ref().map(Neighbourhood::known);
+    let known = neighbourhood.as_ref().map(Neighbourhood::remembered);
     let homes = neighbourhood.as_ref().and_then(Neighbourhood::homes);
     let within = Duration::from_micros(config.told.connect_timeout * 100);
     let served = Arc::new(Served::default());
--- a/crates/front/tests/feed.rs
+++ b/crates/front/tests/feed.rs
@@ -148,7 +148,7 @@
 
 #[test]
 fn memory_is_heard_before_the_front_serves_and_what_it_sees_is_told() {
-    let recall = Some(Recall { store: "s".into(), write_ms: 1_000, most: 100, pages: 1 });
+    let recall = Some(Recall { store: "s".into(), write_ms: 1_000, max_parts: 100, pages_per_s: 1 });
     let files = Files { settings: Settings { recall, ..Settings::default() }, ..Files::default() };
     let mut w = World::with(1, 128, files);
     let client = w.client();
@@ -185,7 +185,7 @@
 fn a_neighbour_that_lies_about_ages_moves_one_renewal_and_nothing_else() {
     // (what it says of a copy's age, the copy's age): all is fresh for 8 s.
     for (said, age) in [(0, 70_000), (79_000, 1_000)] {
-        let recall = Some(Recall { store: "s".into(), write_ms: 1_000, most: 100, pages: 1 });
+        let recall = Some(Recall { store: "s".into(), write_ms: 1_000, max_parts: 100, pages_per_s: 1 });
         let files = Files { settings: Settings { recall, ..Settings::default() }, ..Files::default() };
         let mut w = World::with(1, 128, files);
         let client = w.client();
--- a/crates/keys/src/papers.rs
+++ b/crates/keys/src/papers.rs
@@ -3,7 +3,7 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-use doorgrade_operator::control::Papers;
+use doorgrade_operator::control::IdentityFiles;
 use doorgrade_trust::Ticks;
 use doorgrade_trust::expiry::Validity;
 use rustls::client::Resumption;
@@ -25,8 +25,8 @@
 
 impl Paths {
     /// As the settings name them: beside the settings' file unless absolute.
-    pub fn beside(settings: &Path, papers: &Papers) -> Paths {
-        let at = |named: &str| doorgrade_operator::files::beside(settings, named);
+    pub fn beside(settings: &Path, papers: &IdentityFiles) -> Paths {
+        let at = |named: &str| doorgrade_operator::files::resolve(settings, named);
         Paths { certificate: at(&papers.certificate), key: at(&papers.key), authority: at(&papers.authority) }
     }
 
--- a/crates/lab/src/scale/hollow.rs
+++ b/crates/lab/src/scale/hollow.rs
@@ -10,10 +10,10 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-use doorgrade_control_client::Learned;
+use doorgrade_control_client::Observation;
 use doorgrade_control_client::clock;
 use doorgrade_control_client::configuration::{AccessCounts, Instance, Served, StoredVersion};
-use doorgrade_control_client::neighbours::{Learning, Neighbourhood, Own};
+use doorgrade_control_client::neighbours::{ExchangeSetup, FrontInfo, ObservationSender};
 use doorgrade_front::config::Config;
 use doorgrade_front::feed::{Event, Names};
 use doorgrade_front::follow::Feed;
@@ -181,9 +181,9 @@
     settings: &Path,
     control: &Handle,
     stops: &mut Vec<oneshot::Sender<()>>,
-) -> Result<Option<Learning>, String> {
+) -> Result<Option<ObservationSender>, String> {
     let told = &first.told.settings;
-    let own = Own {
+    let own = FrontInfo {
         name: &first.name,
         seed: first.seed,
         settings,
@@ -191,7 +191,7 @@
         purge_done: told.purge_propagation,
     };
     let files = &first.files.settings;
-    let read = Neighbourhood::read(files.neighbours.clone(), files.recall.clone(), &own)?;
+    let read = ExchangeSetup::read(files.neighbours.clone(), files.recall.clone(), &own)?;
     let Some(neighbourhood) = read else { return Ok(None) };
     // Nobody looks at what is recalled: there are no accesses.
     let (exchange, learning) = neighbourhood.bind(Box::new(|_, _| {}))?;
@@ -207,7 +207,7 @@
     known: u64,
     names: &Names,
     record: &Record,
-    learning: Option<&Learning>,
+    learning: Option<&ObservationSender>,
 ) {
     let mut feed = Feed::new(known, clock::now());
     loop {
@@ -224,7 +224,7 @@
     feed: &mut Feed,
     names: &Names,
     record: &Record,
-    learning: Option<&Learning>,
+    learning: Option<&ObservationSender>,
 ) {
     if stream.write_all(&feed.begin(clock::now())).await.is_err() {
         return;
@@ -251,7 +251,7 @@
             match feed.take(&mut ring, names, clock::now()) {
                 Ok(Some(Event::Purge { object, group, at })) => {
                     record.purges.fetch_add(1, Ordering::Relaxed);
-                    seen.push(Learned::Purge(Purge { object, group: group as u16, at }));
+                    seen.push(Observation::Purge(Purge { object, group: group as u16, at }));
                 }
                 Ok(Some(Event::List { .. })) => {}
                 Ok(None) => break,
--- a/crates/operator/src/neighbours.rs
+++ b/crates/operator/src/neighbours.rs
@@ -1,88 +1,91 @@
-//! The blocks about other fronts: who they are, and what is remembered over a restart.
+//! The blocks `neighbours` (membership among fronts) and `recall` (what a front remembers over a restart).
 //!
 //! ```hcl
 //! neighbours {
 //!   enabled   = true
-//!   listen    = "10.0.0.4:7460"    # where their datagrams come
-//!   address   = "10.0.0.4:7460"    # where they reach this front, if that is another
-//!   seeds     = ["10.0.0.1:7460"]  # some that are likely there
+//!   listen    = "10.0.0.4:7460"    # receives datagrams here
+//!   address   = "10.0.0.4:7460"    # where others reach this front, if not at `listen`
+//!   seeds     = ["10.0.0.1:7460"]  # fronts that are probably up
 //!   station   = "hillside"
 //!   seal_keys = "seal-keys.hcl"
-//!   about     = 300                # fronts, roughly
-//!   probe_ms  = 1000               # more than twice what the slowest link takes there and back
-//!   words     = 40                 # datagrams a second at the most
+//!   about     = 300                # approximate number of fronts
+//!   probe_ms  = 1000               # more than twice the longest round-trip time
+//!   words     = 40                 # most datagrams sent per second
 //! }
 //! recall {
 //!   enabled  = true
 //!   store    = "recall.redb"
-//!   write_ms = 2000    # at most so often
-//!   most     = 16384   # parts
-//!   pages    = 50      # given to others in a second
+//!   write_ms = 2000    # least time between snapshots
+//!   most     = 16384   # most parts that are remembered
+//!   pages    = 50      # pages served to others per second
 //! }
 //! ```
 
 use std::net::SocketAddrV4;
 
 use crate::control::path;
-use crate::doc::Block;
-use crate::settings::named;
+use crate::document::Block;
+use crate::settings::name;
 
+/// The block `neighbours`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Neighbours {
     pub listen: SocketAddrV4,
-    /// Where others reach it.
+    /// Where others reach this front.
     pub address: SocketAddrV4,
     pub seeds: Vec<SocketAddrV4>,
     pub station: Box<str>,
     pub seal_keys: Box<str>,
-    pub about: u32,
+    /// Approximate number of fronts.
+    pub expected_fronts: u32,
     pub probe_ms: u64,
-    pub words: u32,
+    pub max_datagrams_per_s: u32,
 }
 
-/// More would be a list of all, which nobody keeps right.
-const MOST_SEEDS: usize = 64;
+/// A longer list would name all fronts, and would not be kept up to date.
+const MAX_SEEDS: usize = 64;
 
-/// An address that others can be told of: not 'any'.
-fn place(own: &Block<'_>, key: &'static str) -> Option<SocketAddrV4> {
-    let told = own.text(key)?;
-    let read = told.parse::<SocketAddrV4>().ok().filter(|at| !at.ip().is_unspecified());
-    if read.is_none() {
-        own.complain(
+/// An address that others can use: not the unspecified one.
+fn reachable_address(own: &Block<'_>, key: &'static str) -> Option<SocketAddrV4> {
+    let text = own.string(key)?;
+    let address = text.parse::<SocketAddrV4>().ok().filter(|address| !address.ip().is_unspecified());
+    if address.is_none() {
+        own.report(
             key,
-            format_args!("expected an IPv4 address with a port, as in 10.0.0.4:7460, got \"{told}\""),
+            format_args!("expected an IPv4 address with a port, as in 10.0.0.4:7460, got \"{text}\""),
         );
     }
-    read
+    address
 }
 
 fn seeds(own: &Block<'_>) -> Option<Vec<SocketAddrV4>> {
-    let told = own.texts("seeds")?;
-    let read: Vec<SocketAddrV4> = told.iter().filter_map(|t| t.parse().ok()).collect();
-    if read.len() != told.len() || read.is_empty() || read.len() > MOST_SEEDS {
-        own.complain(
+    let texts = own.strings("seeds")?;
+    let seeds: Vec<SocketAddrV4> = texts.iter().filter_map(|t| t.parse().ok()).collect();
+    if seeds.len() != texts.len() || seeds.is_empty() || seeds.len() > MAX_SEEDS {
+        own.report(
             "seeds",
-            format_args!("expected 1 to {MOST_SEEDS} IPv4 addresses with ports, as in [\"10.0.0.1:7460\"]"),
+            format_args!("expected 1 to {MAX_SEEDS} IPv4 addresses with ports, as in [\"10.0.0.1:7460\"]"),
         );
     }
-    Some(read)
+    Some(seeds)
 }
 
-/// None where it is off; what stands there is to be sound in its form all the same.
+/// Reads the block `neighbours`; None where it is off, though its keys are checked all the same.
 pub(crate) fn neighbours(own: &Block<'_>) -> Option<Neighbours> {
-    let enabled = own.flag("enabled").unwrap_or(false);
-    let (listen, address, seeds) = (place(own, "listen"), place(own, "address"), seeds(own));
-    let about = own.whole("about", 1..=100_000).unwrap_or(100) as u32;
-    let probe_ms = own.whole("probe_ms", 200..=60_000).unwrap_or(1_000);
-    let words = own.whole("words", 10..=10_000).unwrap_or(40) as u32;
+    let enabled = own.bool("enabled").unwrap_or(false);
+    let (listen, address, seeds) =
+        (reachable_address(own, "listen"), reachable_address(own, "address"), seeds(own));
+    let expected_fronts = own.integer("about", 1..=100_000).unwrap_or(100) as u32;
+    let probe_ms = own.integer("probe_ms", 200..=60_000).unwrap_or(1_000);
+    let max_datagrams_per_s = own.integer("words", 10..=10_000).unwrap_or(40) as u32;
     if !enabled {
         for key in ["station", "seal_keys"] {
-            own.text(key);
+            own.string(key);
         }
         return None;
     }
     let (listen, seeds) = (own.required("listen", listen), own.required("seeds", seeds));
-    let (station, seal_keys) = (named(own, "station"), path(own, "seal_keys"));
+    let (station, seal_keys) = (name(own, "station"), path(own, "seal_keys"));
     let listen = listen?;
     Some(Neighbours {
         listen,
@@ -90,29 +93,32 @@
         seeds: seeds?,
         station: station?,
         seal_keys: seal_keys?,
-        about,
+        expected_fronts,
         probe_ms,
-        words,
+        max_datagrams_per_s,
     })
 }
 
-/// What is remembered over a restart.
+/// The block `recall`: what is remembered over a restart.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Recall {
     pub store: Box<str>,
+    /// Least time between snapshots.
     pub write_ms: u64,
-    pub most: usize,
-    pub pages: u32,
+    pub max_parts: usize,
+    /// Pages served to other fronts per second.
+    pub pages_per_s: u32,
 }
 
+/// Reads the block `recall`; None where it is off.
 pub(crate) fn recall(own: &Block<'_>) -> Option<Recall> {
-    let enabled = own.flag("enabled").unwrap_or(false);
-    let write_ms = own.whole("write_ms", 200..=600_000).unwrap_or(2_000);
-    let most = own.whole("most", 100..=65_536).unwrap_or(16_384) as usize;
-    let pages = own.whole("pages", 1..=10_000).unwrap_or(50) as u32;
+    let enabled = own.bool("enabled").unwrap_or(false);
+    let write_ms = own.integer("write_ms", 200..=600_000).unwrap_or(2_000);
+    let max_parts = own.integer("most", 100..=65_536).unwrap_or(16_384) as usize;
+    let pages_per_s = own.integer("pages", 1..=10_000).unwrap_or(50) as u32;
     if !enabled {
-        own.text("store");
+        own.string("store");
         return None;
     }
-    Some(Recall { store: path(own, "store")?, write_ms, most, pages })
+    Some(Recall { store: path(own, "store")?, write_ms, max_parts, pages_per_s })
 }
--- a/crates/operator/src/settings.rs
+++ b/crates/operator/src/settings.rs
@@ -1,10 +1,10 @@
-//! The operators' settings, `deploy/doorgrade.hcl`: what the platform's own configuration has no place for. All
-//! of it is off, or as it always was, where the file or a key is missing.
+//! The operators' settings, `deploy/doorgrade.hcl`: what is not part of the platform's own configuration. Where the file
+//! or a key is missing, a feature is off, and everything else has its default.
 
 use std::net::SocketAddr;
 
-use crate::control::{Papers, address, papers, path};
-use crate::doc::{Block, Doc, Problems};
+use crate::control::{IdentityFiles, address, identity, path};
+use crate::document::{Block, Document, Problems};
 use crate::neighbours::{Neighbours, Recall, neighbours, recall};
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -28,59 +28,56 @@
 
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Log {
-    /// In place of the level in the platform's configuration.
+    /// Overrides the level in the platform's configuration.
     pub level: Option<Level>,
     pub format: Format,
 }
 
-/// Trunk caches in tiers, whose shape changes while it is in use.
+/// Trunk caches in tiers, whose shape (topology) can change at run time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Hierarchy {
-    /// The file with the shape, beside this one unless it is absolute; followed on SIGHUP.
+    /// Path of the shape file, relative to this file unless it is absolute; reloaded on SIGHUP.
     pub shape: Box<str>,
-    /// The tier whose members are named as sources; those above are reached through it.
+    /// The tier that accesses are filled from; higher tiers are reached through it.
     pub tier: u8,
-    /// Within this time objects go to their new homes, one after the other; those of a member that starts cold
-    /// take as long as its cold time where that is longer.
+    /// Time over which objects move to their new homes, one after the other. Those of a member that starts cold
+    /// take its cold time if that is longer.
     pub hand_over_ms: u64,
     /// Whether pushes carry `CDN-Loop`.
     pub loop_header: bool,
-    /// Whether what may reach the archive goes through one account.
+    /// Whether all requests that may reach the archive share one budget (the shield).
     pub shield: bool,
 }
 
-/// Configuration streamed by a service of versions.
+/// The block `versions`: configuration streamed by the configuration service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Versions {
-    /// Tried in turn.
+    /// Addresses of the service, tried in turn.
     pub service: Vec<SocketAddr>,
     /// The name in the service's certificate.
     pub server_name: Box<str>,
     pub station: Box<str>,
-    pub papers: Papers,
+    pub identity: IdentityFiles,
     pub seal_keys: Box<str>,
     pub store: Box<str>,
 }
 
-/// Whom the commands below `doorgrade config` talk to.
+/// The block `manage`: the service that the subcommands of `doorgrade config` connect to.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Manage {
     pub service: SocketAddr,
     pub server_name: Box<str>,
-    pub papers: Papers,
+    pub identity: IdentityFiles,
 }
 
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Settings {
     pub log: Log,
-    /// None where it is off.
+    /// This and the following are None where they are off.
     pub versions: Option<Versions>,
     pub manage: Option<Manage>,
-    /// None where it is off.
     pub neighbours: Option<Neighbours>,
-    /// None where it is off.
     pub recall: Option<Recall>,
-    /// None where it is off.
     pub hierarchy: Option<Hierarchy>,
 }
 
@@ -93,116 +90,116 @@
     ("trace", Level::Trace),
 ];
 
-/// What a hierarchy's block says besides whether it is on and where its shape stands.
+/// Reads a block `hierarchy`, apart from its keys `enabled` and `shape`.
 pub(crate) fn hierarchy(own: &Block<'_>, shape: &str) -> Hierarchy {
-    let most = u64::from(doorgrade_hierarchy::shape::MAX_TIERS) - 1;
+    let max_tier = u64::from(doorgrade_hierarchy::shape::MAX_TIERS) - 1;
     Hierarchy {
         shape: shape.into(),
-        tier: own.whole("tier", 1..=most).unwrap_or(1) as u8,
-        hand_over_ms: own.whole("hand_over_ms", 0..=3_600_000).unwrap_or(10_000),
-        loop_header: own.flag("loop_header").unwrap_or(true),
-        shield: own.flag("shield").unwrap_or(true),
+        tier: own.integer("tier", 1..=max_tier).unwrap_or(1) as u8,
+        hand_over_ms: own.integer("hand_over_ms", 0..=3_600_000).unwrap_or(10_000),
+        loop_header: own.bool("loop_header").unwrap_or(true),
+        shield: own.bool("shield").unwrap_or(true),
     }
 }
 
-/// A name that stands in certificates.
-pub(crate) fn named(own: &Block<'_>, key: &'static str) -> Option<Box<str>> {
-    let told = own.required(key, own.text(key))?;
-    let plain = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.');
-    if told.is_empty() || told.len() > 64 || !told.bytes().all(plain) {
-        own.complain(key, "expected 1 to 64 letters, digits, '-', '_' or '.'");
+/// A name as in certificates.
+pub(crate) fn name(own: &Block<'_>, key: &'static str) -> Option<Box<str>> {
+    let text = own.required(key, own.string(key))?;
+    let allowed = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.');
+    if text.is_empty() || text.len() > 64 || !text.bytes().all(allowed) {
+        own.report(key, "expected 1 to 64 letters, digits, '-', '_' or '.'");
     }
-    Some(told.into())
+    Some(text.into())
 }
 
-/// More places to find a service at are not tried before the first is tried again.
-const MOST_SERVICES: usize = 16;
+/// With more addresses it would take too long until the first one is tried again.
+const MAX_SERVICES: usize = 16;
 
 fn services(own: &Block<'_>) -> Option<Vec<SocketAddr>> {
-    let told = own.texts("service")?;
-    let read: Vec<SocketAddr> = told.iter().filter_map(|t| t.parse().ok()).collect();
-    if read.len() != told.len() || read.is_empty() || read.len() > MOST_SERVICES {
-        let most = MOST_SERVICES;
-        own.complain(
+    let texts = own.strings("service")?;
+    let addresses: Vec<SocketAddr> = texts.iter().filter_map(|t| t.parse().ok()).collect();
+    if addresses.len() != texts.len() || addresses.is_empty() || addresses.len() > MAX_SERVICES {
+        let max = MAX_SERVICES;
+        own.report(
             "service",
-            format_args!("expected 1 to {most} addresses with ports, as in [\"127.0.0.1:7443\"]"),
+            format_args!("expected 1 to {max} addresses with ports, as in [\"127.0.0.1:7443\"]"),
         );
     }
-    Some(read)
+    Some(addresses)
 }
 
 fn versions(own: &Block<'_>) -> Option<Versions> {
     let service = own.required("service", services(own));
-    let (server_name, station) = (named(own, "server_name"), named(own, "station"));
-    let papers = papers(own, "authority");
+    let (server_name, station) = (name(own, "server_name"), name(own, "station"));
+    let identity = identity(own, "authority");
     let (seal_keys, store) = (path(own, "seal_keys"), path(own, "store"));
     Some(Versions {
         service: service?,
         server_name: server_name?,
         station: station?,
-        papers: papers?,
+        identity: identity?,
         seal_keys: seal_keys?,
         store: store?,
     })
 }
 
-fn versions_keys(own: &Block<'_>) {
+/// Marks the keys of the block `versions` as known, and checks their types.
+fn check_versions_keys(own: &Block<'_>) {
     services(own);
     for key in ["server_name", "station", "certificate", "key", "authority", "seal_keys", "store"] {
-        own.text(key);
+        own.string(key);
     }
 }
 
 impl Settings {
-    /// From the text of a file; its name is for messages.
+    /// Reads the text of a file; `file` is its name in error messages.
     pub fn read(file: &str, text: &str) -> Result<Settings, Problems> {
-        let doc = Doc::parse(file, text)?;
-        let root = doc.root();
+        let document = Document::parse(file, text)?;
+        let root = document.root();
         let mut settings = Settings::default();
         if let Some(log) = root.block("log") {
-            settings.log.level = log.word("level", &LEVELS);
+            settings.log.level = log.choice("level", &LEVELS);
             let formats = [("human", Format::Human), ("json", Format::Json)];
-            settings.log.format = log.word("format", &formats).unwrap_or_default();
-            log.done();
+            settings.log.format = log.choice("format", &formats).unwrap_or_default();
+            log.finish();
         }
         if let Some(own) = root.block("hierarchy") {
-            let enabled = own.flag("enabled").unwrap_or(false);
-            let shape = own.text("shape");
+            let enabled = own.bool("enabled").unwrap_or(false);
+            let shape = own.string("shape");
             let shape = if enabled { own.required("shape", shape) } else { shape };
             if shape.is_some_and(str::is_empty) {
-                own.complain("shape", "expected the path of a file");
+                own.report("shape", "expected the path of a file");
             }
-            let read = hierarchy(&own, shape.unwrap_or_default());
-            settings.hierarchy = enabled.then_some(read);
-            own.done();
+            let hierarchy = hierarchy(&own, shape.unwrap_or_default());
+            settings.hierarchy = enabled.then_some(hierarchy);
+            own.finish();
         }
         if let Some(own) = root.block("versions") {
-            if own.flag("enabled").unwrap_or(false) {
+            if own.bool("enabled").unwrap_or(false) {
                 settings.versions = versions(&own);
             } else {
-                // Off, but what stands there is to be sound in its form.
-                versions_keys(&own);
+                check_versions_keys(&own);
             }
-            own.done();
+            own.finish();
         }
         if let Some(own) = root.block("manage") {
             let service = own.required("service", address(&own, "service"));
-            let (server_name, papers) = (named(&own, "server_name"), papers(&own, "authority"));
+            let (server_name, identity) = (name(&own, "server_name"), identity(&own, "authority"));
             settings.manage = service
                 .zip(server_name)
-                .zip(papers)
-                .map(|((service, server_name), papers)| Manage { service, server_name, papers });
-            own.done();
+                .zip(identity)
+                .map(|((service, server_name), identity)| Manage { service, server_name, identity });
+            own.finish();
         }
         if let Some(own) = root.block("neighbours") {
             settings.neighbours = neighbours(&own);
-            own.done();
+            own.finish();
         }
         if let Some(own) = root.block("recall") {
             settings.recall = recall(&own);
-            own.done();
+            own.finish();
         }
-        root.done();
-        doc.finish(settings)
+        root.finish();
+        document.finish(settings)
     }
 }
--- a/crates/operator/tests/control.rs
+++ b/crates/operator/tests/control.rs
@@ -1,4 +1,4 @@
-//! The settings of the service of versions: how changes go, and each fault named with its place.
+//! The settings of the configuration service: rollout modes and trials, and errors with their positions.
 
 use doorgrade_operator::control::{Control, Rollout, ThinTraffic, Trials};
 
@@ -7,16 +7,16 @@
 
 fn read(publication: &str) -> Result<Control, Vec<String>> {
     let text = format!("publication {{\n  {publication}\n}}\n{CONTROL}");
-    Control::read("c.hcl", &text).map_err(|all| all.0.iter().map(ToString::to_string).collect())
+    Control::read("c.hcl", &text).map_err(|problems| problems.0.iter().map(ToString::to_string).collect())
 }
 
 #[test]
-fn changes_go_in_waves_unless_somebody_says_otherwise() {
-    let plain = read("").unwrap().publication;
-    assert_eq!((plain.rollout, &plain.trials), (Rollout::Waves, &Trials::default()));
-    let said = "rollout = \"evidence\"\n trial_canaries = 6\n trial_share = 0.2\n watch_ms = 0\n \
+fn rollout_defaults_to_waves() {
+    let default = read("").unwrap().publication;
+    assert_eq!((default.rollout, &default.trials), (Rollout::Waves, &Trials::default()));
+    let text = "rollout = \"evidence\"\n trial_canaries = 6\n trial_share = 0.2\n watch_ms = 0\n \
                 evidence_within_ms = 2000\n thin_traffic = \"go_on\"\n false_stop = 0.001";
-    let said = read(said).unwrap().publication;
+    let publication = read(text).unwrap().publication;
     let trials = Trials {
         canaries: 6,
         share: 0.2,
@@ -25,12 +25,12 @@
         thin_traffic: ThinTraffic::GoOn,
         false_stop: 0.001,
     };
-    assert_eq!((said.rollout, said.trials), (Rollout::Evidence, trials));
+    assert_eq!((publication.rollout, publication.trials), (Rollout::Evidence, trials));
 }
 
 #[test]
-fn what_cannot_be_is_named_with_file_line_key_and_what_it_may_be() {
-    for (told, complaint) in [
+fn errors_name_file_line_key_and_expectation() {
+    for (setting, message) in [
         ("rollout = \"waves_\"", "rollout': expected one of \"waves\", \"evidence\", got \"waves_\""),
         ("trial_canaries = 0", "trial_canaries': expected a whole number from 1 to 1000, got 0"),
         ("trial_canaries = -4", "trial_canaries': expected a whole number from 1 to 1000, got -4"),
@@ -44,10 +44,10 @@
         ("false_stop = 0", "false_stop': expected a number from 0.000000001 to 0.1, got 0"),
         ("false_stop = 1", "false_stop': expected a number from 0.000000001 to 0.1, got 1"),
     ] {
-        let problems = read(told).unwrap_err();
-        let key = told.split(' ').next().unwrap();
+        let problems = read(setting).unwrap_err();
+        let key = setting.split(' ').next().unwrap();
         let column = 3 + key.len() + 3;
-        let expected = [format!("c.hcl:2:{column}: key 'publication.{complaint}")];
-        assert_eq!(problems, expected, "{told}");
+        let expected = [format!("c.hcl:2:{column}: key 'publication.{message}")];
+        assert_eq!(problems, expected, "{setting}");
     }
 }
--- a/crates/operator/tests/files.rs
+++ b/crates/operator/tests/files.rs
@@ -1,4 +1,4 @@
-//! The operators' files: what is read, and that each fault is named with its place.
+//! The operators' files: values and defaults that are read, and errors with their positions.
 
 use doorgrade_hierarchy::{Change, ChangeKind, Shape, Standing};
 use doorgrade_operator::settings::{Format, Level};
@@ -11,13 +11,13 @@
 }
 
 #[test]
-fn an_empty_file_changes_nothing() {
+fn an_empty_file_has_all_defaults() {
     assert_eq!(Settings::read("d.hcl", "").unwrap(), Settings::default());
     assert_eq!(Settings::read("d.hcl", "hierarchy {\n  shape = \"s.hcl\"\n}\n").unwrap().hierarchy, None);
 }
 
 #[test]
-fn what_is_set_is_read() {
+fn settings_are_read() {
     let text = "log {\n level = \"debug\"\n format = \"json\"\n}\nhierarchy {\n enabled = true\n shape = \"s.hcl\"\n hand_over_ms = 500\n}";
     let settings = Settings::read("d.hcl", text).unwrap();
     assert_eq!((settings.log.level, settings.log.format), (Some(Level::Debug), Format::Json));
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn each_fault_is_named_with_file_line_key_and_expectation() {
+fn errors_name_file_line_key_and_expectation() {
     assert_eq!(
         problems("log {\n  levle = \"info\"\n}\n"),
         ["d.hcl:2:3: key 'log.levle': unknown key: expected 'level'?"]
@@ -36,22 +36,22 @@
         ["d.hcl:1:1: key 'hirarchy': unknown block: expected 'hierarchy'?"]
     );
     assert_eq!(problems("log = 3\n"), ["d.hcl:1:1: key 'log': is a block: expected no '='"]);
-    let two = problems("log {\n  level = \"loud\"\n  format = 3\n}\n");
+    let errors = problems("log {\n  level = \"loud\"\n  format = 3\n}\n");
     assert_eq!(
-        two[0],
+        errors[0],
         "d.hcl:2:11: key 'log.level': expected one of \"off\", \"error\", \"warn\", \"info\", \"debug\", \"trace\", got \"loud\""
     );
-    assert_eq!(two[1], "d.hcl:3:12: key 'log.format': expected one of \"human\", \"json\", got 3");
+    assert_eq!(errors[1], "d.hcl:3:12: key 'log.format': expected one of \"human\", \"json\", got 3");
     assert_eq!(
         problems("hierarchy {\n  enabled = true\n}\n"),
         ["d.hcl:1:1: key 'hierarchy.shape': is missing"]
     );
-    let range = "hierarchy {\n  tier = 16\n}\n";
+    let out_of_range = "hierarchy {\n  tier = 16\n}\n";
     assert_eq!(
-        problems(range),
+        problems(out_of_range),
         ["d.hcl:2:10: key 'hierarchy.tier': expected a whole number from 1 to 15, got 16"]
     );
-    assert_eq!(problems("log {}\nlog {}\n"), ["d.hcl:2:1: key 'log': stands here a second time"]);
+    assert_eq!(problems("log {}\nlog {}\n"), ["d.hcl:2:1: key 'log': is defined twice"]);
     assert_eq!(problems("log \"x\" {}\n"), ["d.hcl:1:1: key 'log.x': expected no label"]);
     assert!(
         problems("log {\n  level = \n")[0].starts_with("d.hcl:2:"),
@@ -61,29 +61,29 @@
 }
 
 #[test]
-fn a_shape_file_names_its_faults() {
-    let fault = |text: &str| shape::read("s.hcl", text).unwrap_err().to_string();
+fn shape_files_report_errors() {
+    let error = |text: &str| shape::read("s.hcl", text).unwrap_err().to_string();
     assert_eq!(
-        fault("member \"a\" {\n  incarnation = 1\n  tier = 1\n}\n"),
+        error("member \"a\" {\n  incarnation = 1\n  tier = 1\n}\n"),
         "s.hcl:1:1: key 'member.a.number': is missing"
     );
     let own = "member \"a\" {\n  incarnation = 1\n  number = 1\n  tier = 1\n  fills_from = [\"a\"]\n}\n";
-    assert!(fault(own).starts_with(
+    assert!(error(own).starts_with(
         "s.hcl:1:1: key 'member.a': it fills from itself\ns.hcl:5:16: key 'member.a.fills_from'"
     ));
     assert!(
-        fault("member \"a b\" {\n  incarnation = 1\n  number = 1\n  tier = 1\n}\n")
+        error("member \"a b\" {\n  incarnation = 1\n  number = 1\n  tier = 1\n}\n")
             .contains("a name that is not")
     );
-    assert_eq!(fault("gone \"a\" {\n}\n"), "s.hcl:1:1: key 'gone.a.incarnation': is missing");
-    assert!(fault("gone {\n}\n").contains("expected 1 label"));
+    assert_eq!(error("gone \"a\" {\n}\n"), "s.hcl:1:1: key 'gone.a.incarnation': is missing");
+    assert!(error("gone {\n}\n").contains("expected 1 label"));
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 64, rng_seed: RngSeed::Fixed(5), failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn a_shape_is_written_as_it_is_read(numbers in prop::collection::vec((0..9u8, 1..4u64, 1..9u64, 0..9u8), 0..20)) {
+    fn written_shapes_are_read_back(numbers in prop::collection::vec((0..9u8, 1..4u64, 1..9u64, 0..9u8), 0..20)) {
         let mut known = Shape::new();
         for (member, incarnation, number, source) in numbers {
             let kind = match source {
@@ -99,26 +99,29 @@
     }
 
     #[test]
-    fn no_text_makes_it_panic(text in "[a-z{}=\"\\[\\], \n0-9]{0,120}") {
+    fn no_input_panics(text in "[a-z{}=\"\\[\\], \n0-9]{0,120}") {
         let _ = (Settings::read("d.hcl", &text), shape::read("s.hcl", &text));
     }
 }
 
 #[test]
-fn neighbours_are_read_and_each_fault_is_named() {
-    let sound = "neighbours {\n  enabled = true\n  listen = \"127.0.0.1:7460\"\n  seeds = [\"127.0.0.1:7461\"]\n  \
+fn neighbours_are_read_and_errors_reported() {
+    let valid = "neighbours {\n  enabled = true\n  listen = \"127.0.0.1:7460\"\n  seeds = [\"127.0.0.1:7461\"]\n  \
                  station = \"hillside\"\n  seal_keys = \"k.hcl\"\n}\n";
-    let own = Settings::read("d.hcl", sound).unwrap().neighbours.unwrap();
-    assert_eq!((own.address, own.about, own.probe_ms, own.words), (own.listen, 100, 1_000, 40));
-    assert_eq!(Settings::read("d.hcl", &sound.replace("= true", "= false")).unwrap().neighbours, None);
+    let own = Settings::read("d.hcl", valid).unwrap().neighbours.unwrap();
     assert_eq!(
-        problems(&sound.replace("127.0.0.1:7460", "0.0.0.0:7460")),
+        (own.address, own.expected_fronts, own.probe_ms, own.max_datagrams_per_s),
+        (own.listen, 100, 1_000, 40)
+    );
+    assert_eq!(Settings::read("d.hcl", &valid.replace("= true", "= false")).unwrap().neighbours, None);
+    assert_eq!(
+        problems(&valid.replace("127.0.0.1:7460", "0.0.0.0:7460")),
         [
             "d.hcl:3:12: key 'neighbours.listen': expected an IPv4 address with a port, as in 10.0.0.4:7460, got \"0.0.0.0:7460\""
         ]
     );
     assert_eq!(
-        problems(&sound.replace("[\"127.0.0.1:7461\"]", "[]")),
+        problems(&valid.replace("[\"127.0.0.1:7461\"]", "[]")),
         [
             "d.hcl:4:11: key 'neighbours.seeds': expected 1 to 64 IPv4 addresses with ports, as in [\"10.0.0.1:7460\"]"
         ]
@@ -133,10 +136,10 @@
 }
 
 #[test]
-fn recall_is_read_and_each_fault_is_named() {
-    let sound = "recall {\n  enabled = true\n  store = \"r.redb\"\n}\n";
-    let own = Settings::read("d.hcl", sound).unwrap().recall.unwrap();
-    assert_eq!((&*own.store, own.write_ms, own.most, own.pages), ("r.redb", 2_000, 16_384, 50));
+fn recall_is_read_and_errors_reported() {
+    let valid = "recall {\n  enabled = true\n  store = \"r.redb\"\n}\n";
+    let own = Settings::read("d.hcl", valid).unwrap().recall.unwrap();
+    assert_eq!((&*own.store, own.write_ms, own.max_parts, own.pages_per_s), ("r.redb", 2_000, 16_384, 50));
     assert_eq!(Settings::read("d.hcl", "recall {\n  store = \"r.redb\"\n}\n").unwrap().recall, None);
     assert_eq!(problems("recall {\n  enabled = true\n}\n"), ["d.hcl:1:1: key 'recall.store': is missing"]);
     assert_eq!(
