--- a/crates/control/src/event_loop.rs
+++ b/crates/control/src/event_loop.rs
@@ -223,7 +223,7 @@
             _ => "",
         };
         let mut effects = Vec::new();
-        let check = |content: &[u8]| doorgrade_operator::Version::sound("version", content).map(drop);
+        let check = |content: &[u8]| doorgrade_operator::Version::read_checked("version", content).map(drop);
         let mut response = self.service.handle_request(now(), role, request, check, &mut effects);
         match &response {
             Response::Published(id) => {
--- a/crates/control/src/operator_client.rs
+++ b/crates/control/src/operator_client.rs
@@ -31,7 +31,7 @@
 impl OperatorClient {
     /// `settings`: the settings file, which relative paths are resolved against.
     pub async fn connect(manage: &Manage, settings: &Path) -> Result<OperatorClient, String> {
-        let paths = Paths::resolve(settings, &manage.papers);
+        let paths = Paths::resolve(settings, &manage.identity);
         OperatorClient::connect_to(manage.service, &manage.server_name, &paths).await
     }
 
--- a/crates/control/src/serve.rs
+++ b/crates/control/src/serve.rs
@@ -151,7 +151,7 @@
         let local_address = |l: &TcpListener| l.local_addr().map_err(|e| e.to_string());
         let (front_address, operator_address) = (local_address(&fronts)?, local_address(&operators)?);
         let event_loop = tokio::spawn(EventLoop::new(service, store, effects).run(received));
-        let acceptor = Acceptor::new(events.clone(), settings.control.most_fronts as usize);
+        let acceptor = Acceptor::new(events.clone(), settings.control.max_fronts as usize);
         let roles: Roles = Arc::new(RwLock::new(role_lookup(settings.clone())));
         let [front_tls, operator_tls] = [listeners[0].tls.clone(), listeners[1].tls.clone()];
         let mut tasks = vec![
--- a/crates/control/src/settings.rs
+++ b/crates/control/src/settings.rs
@@ -4,9 +4,10 @@
 
 use doorgrade_keys::Paths;
 use doorgrade_operator::control::{
-    Control, Papers, Publication, Role as RoleSetting, Rollout, ThinTraffic as ThinTrafficSetting, seal_keys,
+    Control, IdentityFiles, Publication, Role as RoleSetting, Rollout, ThinTraffic as ThinTrafficSetting,
+    seal_keys,
 };
-use doorgrade_operator::files::beside;
+use doorgrade_operator::files::resolve;
 use doorgrade_trust::rotation;
 use doorgrade_versions::service::{Role, RolloutMode, Rules, ThinTraffic, TrialRules};
 
@@ -29,7 +30,7 @@
 
     /// Resolves a path that is relative to the settings file.
     fn resolve(&self, path: &str) -> PathBuf {
-        beside(&self.file, path)
+        resolve(&self.file, path)
     }
 
     pub fn store_path(&self) -> PathBuf {
@@ -42,18 +43,20 @@
 
     /// The TLS files of the listener for fronts.
     pub fn front_paths(&self) -> Paths {
-        Paths::resolve(&self.file, &self.control.papers)
+        Paths::resolve(&self.file, &self.control.identity)
     }
 
     /// The TLS files of the listener for operators.
     pub fn operator_paths(&self) -> Paths {
-        let papers =
-            Papers { authority: self.control.operators_authority.clone(), ..self.control.papers.clone() };
+        let papers = IdentityFiles {
+            authority: self.control.operators_authority.clone(),
+            ..self.control.identity.clone()
+        };
         Paths::resolve(&self.file, &papers)
     }
 
     pub fn rules(&self) -> Rules {
-        let Control { admit_per_s, alive_ms, most_fronts, publication: p, .. } = &self.control;
+        let Control { admit_per_s, alive_ms, max_fronts, publication: p, .. } = &self.control;
         Rules {
             admissions_per_second: *admit_per_s as f64,
             heartbeat_interval: alive_ms * 10,
@@ -64,7 +67,7 @@
             max_rejected_share: p.refused,
             max_timed_out_share: p.missing,
             max_service_drop: p.drop,
-            max_fronts: *most_fronts as usize,
+            max_fronts: *max_fronts as usize,
             history: p.history as usize,
             recovery_delay: p.listen_ms * 10,
             rollout: mode(p),
--- a/crates/front/src/config.rs
+++ b/crates/front/src/config.rs
@@ -71,9 +71,9 @@
     pub descriptors: Descriptors,
 }
 
-const MIN_SOCKETS: usize = version::LEAST_SOCKETS as usize;
-const MIN_MEMORY_MB: usize = version::LEAST_MEMORY_MB as usize;
-const MAX_LIMIT: usize = version::MOST as usize;
+const MIN_SOCKETS: usize = version::MIN_SOCKETS as usize;
+const MIN_MEMORY_MB: usize = version::MIN_MEMORY_MB as usize;
+const MAX_LIMIT: usize = version::MAX_LIMIT as usize;
 
 /// The connect timeouts that coroutines support; less could never be met.
 const CONNECT_TIMEOUTS: std::ops::RangeInclusive<u64> = 10..=600_000;
--- a/crates/front/src/descriptors.rs
+++ b/crates/front/src/descriptors.rs
@@ -1,6 +1,6 @@
 //! How many file descriptors this process may use, and how many it inherited.
 
-use doorgrade_operator::version::{LEAST_SOCKETS, MOST};
+use doorgrade_operator::version::{MAX_LIMIT, MIN_SOCKETS};
 
 /// Counted by [`crate::bounds`] itself: standard input, output and error.
 const STANDARD: [&str; 3] = ["0", "1", "2"];
@@ -16,7 +16,7 @@
 
 impl Default for Descriptors {
     fn default() -> Self {
-        Descriptors { limit: MOST as usize, inherited: 0 }
+        Descriptors { limit: MAX_LIMIT as usize, inherited: 0 }
     }
 }
 
@@ -25,7 +25,7 @@
     pub fn at_start() -> Self {
         let limit = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
         Descriptors {
-            limit: limit.map_or(MOST as usize, |limit| usize::try_from(limit).unwrap_or(usize::MAX)),
+            limit: limit.map_or(MAX_LIMIT as usize, |limit| usize::try_from(limit).unwrap_or(usize::MAX)),
             inherited: inherited(),
         }
     }
@@ -39,12 +39,12 @@
     /// Fails if the system's limit leaves too few to serve with.
     pub fn check(&self) -> Result<(), String> {
         let Descriptors { limit, inherited } = self;
-        if self.usable(*limit) >= LEAST_SOCKETS as usize {
+        if self.usable(*limit) >= MIN_SOCKETS as usize {
             return Ok(());
         }
         Err(format!(
             "this process may open {limit} files, {inherited} were open at its start, and it needs at least \
-             {LEAST_SOCKETS} more: raise its limit of open files (ulimit -n, LimitNOFILE)"
+             {MIN_SOCKETS} more: raise its limit of open files (ulimit -n, LimitNOFILE)"
         ))
     }
 }
--- a/crates/front/tests/feed.rs
+++ b/crates/front/tests/feed.rs
@@ -3,7 +3,7 @@
 mod helper;
 
 use doorgrade_front::config::{Limits, ReloadedConfig};
-use doorgrade_front::reducer::{Input, Learned};
+use doorgrade_front::reducer::{Input, Observation};
 use doorgrade_operator::neighbours::Recall;
 use doorgrade_operator::{Files, Settings};
 use doorgrade_recall::{Fill, Purge};
@@ -153,7 +153,7 @@
 
 #[test]
 fn recalled_fills_apply_before_the_front_serves_and_new_ones_are_learned() {
-    let recall = Some(Recall { store: "s".into(), write_ms: 1_000, most: 100, pages: 1 });
+    let recall = Some(Recall { store: "s".into(), write_ms: 1_000, max_parts: 100, pages_per_s: 1 });
     let files = Files { settings: Settings { recall, ..Settings::default() }, ..Files::default() };
     let mut w = World::with_files(1, 128, files);
     let client = w.client();
@@ -170,17 +170,17 @@
     assert!(w.request_heads[&2].contains("No-Older-Than: 999"), "{}", w.request_heads[&2]);
     let made = w.now / 10 * 10;
     let own = |object, group| {
-        Learned::Fill(Fill { offering: 0, object, part: 0, group, made_at: made, requested_at: w.now })
+        Observation::Fill(Fill { offering: 0, object, part: 0, group, made_at: made, requested_at: w.now })
     };
     let mut learned = w.reducer.learned();
     learned.sort_by_key(|l| match l {
-        Learned::Fill(f) => f.object,
-        Learned::Purge(_) | Learned::Homes(_) => 0,
+        Observation::Fill(f) => f.object,
+        Observation::Purge(_) | Observation::Homes(_) => 0,
     });
     assert_eq!(learned, [own(5, 1), own(6, 2)]);
     // A purge from the feed is learned, too; without `recall` nothing is kept.
     w.purge(2, Some(5), 1);
-    assert!(matches!(w.reducer.learned()[..], [Learned::Purge(Purge { object: Some(5), .. })]));
+    assert!(matches!(w.reducer.learned()[..], [Observation::Purge(Purge { object: Some(5), .. })]));
     let mut plain = World::new(1, 128);
     plain.purge(2, Some(5), 1);
     assert!(plain.reducer.learned().is_empty());
@@ -190,7 +190,7 @@
 fn a_neighbour_that_reports_wrong_ages_shifts_one_refresh_and_nothing_else() {
     // (reported age of a copy, its true age); all are fresh for 8 s.
     for (reported, age) in [(0, 70_000), (79_000, 1_000)] {
-        let recall = Some(Recall { store: "s".into(), write_ms: 1_000, most: 100, pages: 1 });
+        let recall = Some(Recall { store: "s".into(), write_ms: 1_000, max_parts: 100, pages_per_s: 1 });
         let files = Files { settings: Settings { recall, ..Settings::default() }, ..Files::default() };
         let mut w = World::with_files(1, 128, files);
         let client = w.client();
--- a/crates/keys/src/tls.rs
+++ b/crates/keys/src/tls.rs
@@ -3,7 +3,7 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-use doorgrade_operator::control::Papers;
+use doorgrade_operator::control::IdentityFiles;
 use doorgrade_trust::Ticks;
 use doorgrade_trust::expiry::Validity;
 use rustls::client::Resumption;
@@ -25,8 +25,8 @@
 
 impl Paths {
     /// Paths that are not absolute are relative to the folder of the settings file.
-    pub fn resolve(settings: &Path, papers: &Papers) -> Paths {
-        let resolve = |path: &str| doorgrade_operator::files::beside(settings, path);
+    pub fn resolve(settings: &Path, papers: &IdentityFiles) -> Paths {
+        let resolve = |path: &str| doorgrade_operator::files::resolve(settings, path);
         Paths {
             certificate: resolve(&papers.certificate),
             key: resolve(&papers.key),
