--- a/crates/cli/src/check.rs
+++ b/crates/cli/src/check.rs
@@ -1,4 +1,4 @@
-//! `doorgrade check`: all that a front reads at its start, without starting one.
+//! `doorgrade check`: validates all that a front reads when it starts, without starting one.
 
 use std::path::PathBuf;
 
@@ -6,37 +6,37 @@
 use doorgrade_hierarchy::Shape;
 use doorgrade_operator::files;
 
-use crate::{End, say};
+use crate::{Outcome, write_stdout};
 
 pub fn check(
     config: Option<PathBuf>,
     name: Option<String>,
     listen: Option<String>,
     settings: Option<PathBuf>,
-) -> Result<End, String> {
-    let (mut lines, mut wrong) = (String::new(), false);
-    let mut report = |what: Result<String, String>| {
-        wrong |= what.is_err();
-        let (Ok(line) | Err(line)) = what;
+) -> Result<Outcome, String> {
+    let (mut lines, mut has_problems) = (String::new(), false);
+    let mut report = |result: Result<String, String>| {
+        has_problems |= result.is_err();
+        let (Ok(line) | Err(line)) = result;
         lines.push_str(&line);
         lines.push('\n');
     };
     match &config {
         None => report(Ok(
-            "no configuration named (--config, PROXY_CONFIG): only the settings are checked".into()
+            "no configuration given (--config, PROXY_CONFIG): only the settings are checked".into()
         )),
         Some(path) => {
             let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
-            let read = Config::read(&text, name, listen);
-            report(match read {
-                Ok(read) => Ok(format!(
+            let result = Config::read(&text, name, listen);
+            report(match result {
+                Ok(config) => Ok(format!(
                     "{}: sound; {} listens on {}, {} events known",
                     path.display(),
-                    read.name,
-                    read.listen,
-                    read.known.1.len()
+                    config.name,
+                    config.listen,
+                    config.known.1.len()
                 )),
-                Err(why) => Err(format!("{}: {why}", path.display())),
+                Err(reason) => Err(format!("{}: {reason}", path.display())),
             });
         }
     }
@@ -46,19 +46,19 @@
             None => report(Ok("settings: sound; the hierarchy is off".into())),
             Some(hierarchy) => {
                 let mut shape = Shape::new();
-                files.shape.iter().for_each(|c| drop(shape.apply(c)));
-                let asides = shape.pending_changes();
+                files.shape.iter().for_each(|change| drop(shape.apply(change)));
+                let pending = shape.pending_changes();
                 report(Ok(format!(
                     "settings: sound; the hierarchy is on, {} members in {}",
                     shape.len(),
                     hierarchy.shape
                 )));
-                for aside in asides {
-                    report(Err(format!("{}: {}: {}", hierarchy.shape, aside.member, aside.reason)));
+                for change in pending {
+                    report(Err(format!("{}: {}: {}", hierarchy.shape, change.member, change.reason)));
                 }
             }
         },
     }
-    say(&lines)?;
-    Ok(if wrong { End::Wrong } else { End::Done })
+    write_stdout(&lines)?;
+    Ok(if has_problems { Outcome::ProblemsFound } else { Outcome::Done })
 }
--- a/crates/cli/src/config.rs
+++ b/crates/cli/src/config.rs
@@ -1,4 +1,4 @@
-//! `doorgrade config`: versions published, watched, compared and taken back, through the service.
+//! `doorgrade config`: publishes, watches, compares and rolls back configuration versions, through the service.
 
 mod lines;
 mod publish;
@@ -11,66 +11,66 @@
 use doorgrade_operator::settings::Manage;
 use doorgrade_operator::{Settings, Version, files};
 use doorgrade_versions::service::{ChangeRow, Filter, Request, Response, Totals};
-use lines::{line_json, line_text};
-use publish::published;
+use lines::{event_json, event_text};
+use publish::publish;
 use show::{changes, history, status};
 
-use crate::{End, say};
+use crate::{Outcome, write_stdout};
 
 #[derive(Subcommand)]
 pub enum Config {
-    /// Reads a version's file and says what is wrong with it; asks nobody
+    /// Validates a version's file, without asking the service
     Check { file: PathBuf },
     /// Publishes a file as the next version
     Publish {
         file: PathBuf,
-        /// Why, for the history
+        /// The reason for the change, shown in the history
         #[arg(long, default_value = "")]
         note: String,
-        /// The last version that you have seen; if there is a later one, nothing is published, or, where rollouts go by
-        /// evidence, only what you changed against that version
+        /// The last version that you have seen; if there is a later one, nothing is published, or, with rollouts by
+        /// evidence, only your changes against that version
         #[arg(long, value_name = "NUMBER")]
         expect: Option<u64>,
-        /// Does not wait until it runs everywhere or stops
+        /// Returns at once, without waiting until the rollout is complete or stopped
         #[arg(long)]
         no_wait: bool,
         #[arg(long)]
         json: bool,
     },
-    /// Compares two versions, by number or as files
+    /// Compares two versions, each given by number or as a file
     Diff { old: String, new: String },
     /// Shows a version's content
     Show { number: u64 },
-    /// Lists versions, the newest first
+    /// Lists versions, newest first
     History {
         #[arg(long)]
         json: bool,
     },
-    /// Lists changes of the configuration and how far each is, the newest first; where rollouts go by evidence
+    /// Lists configuration changes and the state of each, newest first; only with rollouts by evidence
     Changes {
         #[arg(long)]
         json: bool,
     },
-    /// Shows what fronts run, in counts or one by one
+    /// Shows which versions fronts run, as counts or per front
     Status {
-        /// Each front
+        /// Lists every front
         #[arg(long)]
         fronts: bool,
-        /// Each front that does not run what is its turn to have
+        /// Lists the fronts that do not run the version meant for them now
         #[arg(long)]
         behind: bool,
-        /// Each front that turned something down, is missing, or says what can't be
+        /// Lists the fronts that rejected a version, timed out, or claim a version that they can't have
         #[arg(long)]
         trouble: bool,
         #[arg(long)]
         json: bool,
     },
-    /// Follows what the service tells, until it is ended
+    /// Prints the service's log events as they come, until interrupted
     Watch {
         #[arg(long)]
         json: bool,
     },
-    /// Publishes an older content again, as a new version, to all at once
+    /// Publishes the content of an older version as a new version, to all fronts at once
     Rollback {
         to: u64,
         #[arg(long, value_name = "NUMBER")]
@@ -80,9 +80,9 @@
         #[arg(long)]
         json: bool,
     },
-    /// Stops a publication where it is, and those that run it go on; or takes a change out, where rollouts go by evidence
+    /// Stops a rollout; fronts that already run the version keep it. With rollouts by evidence, removes a change
     Stop { number: u64 },
-    /// Says that a later service that this one has met is no more, or was this one: it goes on in a new epoch
+    /// Continues a superseded service in a new epoch: confirms that the later service is gone, or was this one
     TakeOver,
 }
 
@@ -90,9 +90,10 @@
     let path = settings.unwrap_or_else(|| files::USUAL.into());
     let name = path.display().to_string();
     let text = std::fs::read_to_string(&path).map_err(|e| format!("{name}: can't be read: {e}"))?;
-    let read = Settings::read(&name, &text).map_err(|problems| problems.to_string())?;
-    let manage =
-        read.manage.ok_or(format!("{name}: key 'manage': is missing: expected the service to talk to"))?;
+    let settings = Settings::read(&name, &text).map_err(|problems| problems.to_string())?;
+    let manage = settings
+        .manage
+        .ok_or(format!("{name}: key 'manage': is missing: expected the address of the control service"))?;
     Ok((manage, path))
 }
 
@@ -100,7 +101,7 @@
     std::fs::read(file).map_err(|e| format!("{}: can't be read: {e}", file.display()))
 }
 
-pub fn run(command: Config, settings: Option<PathBuf>) -> Result<End, String> {
+pub fn run(command: Config, settings: Option<PathBuf>) -> Result<Outcome, String> {
     if let Config::Check { file } = &command {
         return check(file);
     }
@@ -108,16 +109,17 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     runtime.map_err(|e| e.to_string())?.block_on(async {
         let mut asker = Asker::connect(&manage, &path).await?;
-        talk(&mut asker, command).await
+        execute(&mut asker, command).await
     })
 }
 
-fn check(file: &Path) -> Result<End, String> {
+fn check(file: &Path) -> Result<Outcome, String> {
     match Version::sound(&file.display().to_string(), &read(file)?) {
-        Err(why) => say(&format!("{why}\n")).map(|()| End::Wrong),
+        Err(reason) => write_stdout(&format!("{reason}\n")).map(|()| Outcome::ProblemsFound),
         Ok(version) => {
             let members = version.shape.as_ref().map_or(0, Vec::len);
-            say(&format!("{}: sound; {members} members of a hierarchy\n", file.display())).map(|()| End::Done)
+            write_stdout(&format!("{}: sound; {members} members in the hierarchy\n", file.display()))
+                .map(|()| Outcome::Done)
         }
     }
 }
@@ -125,81 +127,81 @@
 async fn totals(asker: &mut Asker) -> Result<Totals, String> {
     match asker.ask(&Request::Status).await? {
         Response::Status(totals) => Ok(*totals),
-        other => Err(refusal(other)),
+        other => Err(response_error(other)),
     }
 }
 
-/// Changes that are not settled, or were lately; none where rollouts go in waves.
-async fn rows(asker: &mut Asker) -> Result<Vec<ChangeRow>, String> {
+/// Changes that are under way or were settled recently; empty with rollouts in waves.
+async fn change_rows(asker: &mut Asker) -> Result<Vec<ChangeRow>, String> {
     match asker.ask(&Request::Changes).await? {
         Response::Changes(rows) => Ok(rows),
-        other => Err(refusal(other)),
+        other => Err(response_error(other)),
     }
 }
 
-/// Why something was not done, as the service says it.
-fn refusal(answer: Response) -> String {
+/// The error for a response other than the expected one.
+fn response_error(answer: Response) -> String {
     match answer {
-        Response::NotPublished(why) => format!("not published: {why}"),
-        Response::NotStored(why) => format!(
-            "it could not be stored: {why}: nothing was published; what was stopped has stopped, and may go on when the \
-             service starts anew"
+        Response::NotPublished(reason) => format!("not published: {reason}"),
+        Response::NotStored(reason) => format!(
+            "could not be stored: {reason}: nothing was published; what was stopped has stopped, but may resume when \
+             the service restarts"
         ),
-        Response::Invalid(why) => format!("not published:\n{why}"),
-        Response::Denied(why) => why.to_string(),
-        other => format!("the service: an answer to something else: {other:?}"),
+        Response::Invalid(reason) => format!("not published:\n{reason}"),
+        Response::Denied(reason) => reason.to_string(),
+        other => format!("unexpected response from the service: {other:?}"),
     }
 }
 
 async fn content(asker: &mut Asker, number: u64) -> Result<Vec<u8>, String> {
     match asker.ask(&Request::Content { number }).await? {
         Response::Content { content, .. } => Ok(content.to_vec()),
-        other => Err(refusal(other)),
+        other => Err(response_error(other)),
     }
 }
 
-/// A version by its number, or else a file.
-async fn one(asker: &mut Asker, named: &str) -> Result<String, String> {
-    let bytes = match named.parse() {
+/// The content of a version given by its number, or of a file.
+async fn text_of(asker: &mut Asker, version: &str) -> Result<String, String> {
+    let bytes = match version.parse() {
         Ok(number) => content(asker, number).await?,
-        Err(_) => read(Path::new(named))?,
+        Err(_) => read(Path::new(version))?,
     };
-    String::from_utf8(bytes).map_err(|_| format!("{named}: is no text"))
+    String::from_utf8(bytes).map_err(|_| format!("{version}: is not UTF-8 text"))
 }
 
-async fn talk(asker: &mut Asker, command: Config) -> Result<End, String> {
+async fn execute(asker: &mut Asker, command: Config) -> Result<Outcome, String> {
     match command {
-        Config::Check { .. } => Ok(End::Done),
+        Config::Check { .. } => Ok(Outcome::Done),
         Config::Publish { file, note, expect, no_wait, json } => {
             let content = read(&file)?;
-            // Read here first: the message then names the file.
+            // Validated here first, so that the error message names the file.
             Version::sound(&file.display().to_string(), &content)?;
-            let expects = match expect {
+            let expected_last = match expect {
                 Some(number) => number,
                 None => totals(asker).await?.last,
             };
-            let ask = Request::Publish { content: content.into(), note: note.into(), expected_last: expects };
-            published(asker, &ask, no_wait, json).await
+            let request = Request::Publish { content: content.into(), note: note.into(), expected_last };
+            publish(asker, &request, no_wait, json).await
         }
         Config::Rollback { to, expect, no_wait, json } => {
-            let expects = match expect {
+            let expected_last = match expect {
                 Some(number) => number,
                 None => totals(asker).await?.last,
             };
-            published(asker, &Request::RollBack { to, expected_last: expects }, no_wait, json).await
+            publish(asker, &Request::RollBack { to, expected_last }, no_wait, json).await
         }
         Config::Diff { old, new } => {
-            let (a, b) = (one(asker, &old).await?, one(asker, &new).await?);
+            let (a, b) = (text_of(asker, &old).await?, text_of(asker, &new).await?);
             if a == b {
-                return Ok(End::Done);
+                return Ok(Outcome::Done);
             }
             let diff = similar::TextDiff::from_lines(&a, &b);
-            say(&diff.unified_diff().header(&old, &new).to_string())?;
-            Ok(End::Differ)
+            write_stdout(&diff.unified_diff().header(&old, &new).to_string())?;
+            Ok(Outcome::Differ)
         }
         Config::Show { number } => {
             let bytes = content(asker, number).await?;
-            say(&String::from_utf8_lossy(&bytes)).map(|()| End::Done)
+            write_stdout(&String::from_utf8_lossy(&bytes)).map(|()| Outcome::Done)
         }
         Config::History { json } => history(asker, json).await,
         Config::Changes { json } => changes(asker, json).await,
@@ -214,25 +216,25 @@
         Config::Watch { json } => {
             match asker.ask(&Request::Watch).await? {
                 Response::Watching => {}
-                other => return Err(refusal(other)),
+                other => return Err(response_error(other)),
             }
             loop {
-                let line = asker.line().await?;
-                say(&if json {
-                    format!("{}\n", line_json(&line))
+                let event = asker.line().await?;
+                write_stdout(&if json {
+                    format!("{}\n", event_json(&event))
                 } else {
-                    format!("{}\n", line_text(&line))
+                    format!("{}\n", event_text(&event))
                 })?;
             }
         }
-        Config::Stop { number } => done(asker, &Request::Stop { number }).await,
-        Config::TakeOver => done(asker, &Request::TakeOver).await,
+        Config::Stop { number } => send(asker, &Request::Stop { number }).await,
+        Config::TakeOver => send(asker, &Request::TakeOver).await,
     }
 }
 
-async fn done(asker: &mut Asker, ask: &Request) -> Result<End, String> {
-    match asker.ask(ask).await? {
-        Response::Done => Ok(End::Done),
-        other => Err(refusal(other)),
+async fn send(asker: &mut Asker, request: &Request) -> Result<Outcome, String> {
+    match asker.ask(request).await? {
+        Response::Done => Ok(Outcome::Done),
+        other => Err(response_error(other)),
     }
 }
--- a/crates/cli/src/config/lines.rs
+++ b/crates/cli/src/config/lines.rs
@@ -1,55 +1,60 @@
-//! Lines that the service tells, for people and for scripts.
+//! The service's log events as text and as JSON.
 
 use doorgrade_versions::service::LogEvent;
 use serde_json::{Value, json};
 
-/// Numbers as a person lists them.
-fn listed(changes: &[u64]) -> String {
+/// "change 3" or "changes 3, 4".
+fn change_list(changes: &[u64]) -> String {
     let numbers: Vec<String> = changes.iter().map(u64::to_string).collect();
-    let word = if numbers.len() == 1 { "change" } else { "changes" };
-    format!("{word} {}", numbers.join(", "))
+    let noun = if numbers.len() == 1 { "change" } else { "changes" };
+    format!("{noun} {}", numbers.join(", "))
 }
 
-pub fn line_text(line: &LogEvent) -> String {
-    match line {
+pub fn event_text(event: &LogEvent) -> String {
+    match event {
         LogEvent::WaveStarted { id, wave, of, fronts } => {
             format!("version {id}: wave {wave} of {of}, {fronts} fronts")
         }
-        LogEvent::Stopped { id, reason: why } => format!("version {id}: stopped: {why}"),
-        LogEvent::Everywhere(id) => format!("version {id}: is everyone's now"),
-        LogEvent::Rejected { front, id, reason: why } => {
-            format!("version {id}: turned down by {front}: {why}")
+        LogEvent::Stopped { id, reason } => format!("version {id}: stopped: {reason}"),
+        LogEvent::Everywhere(id) => format!("version {id}: rollout complete"),
+        LogEvent::Rejected { front, id, reason } => {
+            format!("version {id}: rejected by {front}: {reason}")
         }
-        LogEvent::FalseClaim { front, id } => format!("{front} says that it runs {id}, which can't be"),
+        LogEvent::FalseClaim { front, id } => format!("{front} claims to run {id}, which is impossible"),
         LogEvent::NewEpoch { epoch, because } => {
-            format!("epoch {epoch} is opened: {because} is run, and not known here")
+            format!("epoch {epoch} started: {because} is running but unknown here")
+        }
+        LogEvent::Superseded { by } => {
+            format!("a service of the later epoch {by} exists: no versions are offered")
         }
-        LogEvent::Superseded { by } => format!("a service of epoch {by} is about: nothing is offered"),
         LogEvent::StageStarted { stage, changes, fronts } => {
-            format!("{}: on trial, {}, {fronts} fronts", listed(changes), stage.name())
+            format!("{}: trial stage {} on {fronts} fronts", change_list(changes), stage.name())
         }
-        LogEvent::ChangeRemoved { change, reason: why } => format!("change {change}: taken out: {why}"),
+        LogEvent::ChangeRemoved { change, reason } => format!("change {change}: removed: {reason}"),
         LogEvent::InForce(id) => format!("version {id}: in force"),
         LogEvent::UnderObservation { changes } => {
-            format!("service has fallen since {} came: some fronts run without each, to see", listed(changes))
+            format!(
+                "service level dropped since {}: some fronts run without each, to find the cause",
+                change_list(changes)
+            )
         }
         LogEvent::ContinuedUnproven { change } => {
-            format!("change {change}: too few accesses; it goes on unproven")
+            format!("change {change}: too few accesses to judge; continues unproven")
         }
     }
 }
 
-pub fn line_json(line: &LogEvent) -> Value {
-    match line {
+pub fn event_json(event: &LogEvent) -> Value {
+    match event {
         LogEvent::WaveStarted { id, wave, of, fronts } => {
             json!({"wave": {"version": id.to_string(), "wave": wave, "of": of, "fronts": fronts}})
         }
-        LogEvent::Stopped { id, reason: why } => {
-            json!({"stopped": {"version": id.to_string(), "why": why.to_string()}})
+        LogEvent::Stopped { id, reason } => {
+            json!({"stopped": {"version": id.to_string(), "why": reason.to_string()}})
         }
         LogEvent::Everywhere(id) => json!({"everywhere": {"version": id.to_string()}}),
-        LogEvent::Rejected { front, id, reason: why } => {
-            json!({"turned_down": {"front": front, "version": id.to_string(), "why": why.to_string()}})
+        LogEvent::Rejected { front, id, reason } => {
+            json!({"turned_down": {"front": front, "version": id.to_string(), "why": reason.to_string()}})
         }
         LogEvent::FalseClaim { front, id } => {
             json!({"untrue": {"front": front, "version": id.to_string()}})
@@ -61,8 +66,8 @@
         LogEvent::StageStarted { stage, changes, fronts } => {
             json!({"trial": {"stage": stage.name(), "changes": changes, "fronts": fronts}})
         }
-        LogEvent::ChangeRemoved { change, reason: why } => {
-            json!({"taken_out": {"change": change, "why": why.to_string()}})
+        LogEvent::ChangeRemoved { change, reason } => {
+            json!({"taken_out": {"change": change, "why": reason.to_string()}})
         }
         LogEvent::InForce(id) => json!({"in_force": {"version": id.to_string()}}),
         LogEvent::UnderObservation { changes } => json!({"under_watch": {"changes": changes}}),
--- a/crates/cli/src/config/publish.rs
+++ b/crates/cli/src/config/publish.rs
@@ -1,4 +1,4 @@
-//! Publishing, and waiting for what comes of it.
+//! Publishes a version and waits for the end of its rollout.
 
 use std::time::Duration;
 
@@ -9,81 +9,86 @@
 use serde_json::json;
 
 use super::show::state_name;
-use super::{refusal, rows, totals};
-use crate::{End, say};
+use super::{change_rows, response_error, totals};
+use crate::{Outcome, write_stdout};
 
-const LOOK_EACH: Duration = Duration::from_millis(250);
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Publishes, and stays until it is known what came of it: it runs everywhere, has stopped, or was taken out.
-pub async fn published(asker: &mut Asker, ask: &Request, no_wait: bool, json: bool) -> Result<End, String> {
-    let id = match asker.ask(ask).await? {
+/// Publishes and, unless `no_wait`, waits until the version runs everywhere, has stopped, or was removed.
+pub async fn publish(
+    asker: &mut Asker,
+    request: &Request,
+    no_wait: bool,
+    json: bool,
+) -> Result<Outcome, String> {
+    let id = match asker.ask(request).await? {
         Response::Published(id) => id,
-        other => return Err(refusal(other)),
+        other => return Err(response_error(other)),
     };
     if no_wait {
-        let told = if json {
+        let text = if json {
             format!("{}\n", json!({"version": id.to_string()}))
         } else {
             format!("version {id}\n")
         };
-        return say(&told).map(|()| End::Done);
+        return write_stdout(&text).map(|()| Outcome::Done);
     }
-    // Whoever's rollouts go in waves lists no changes.
-    match rows(asker).await?.iter().any(|row| row.number == id.number) {
-        true => by_evidence(asker, id, json).await,
-        false => in_waves(asker, id, json).await,
+    // A service with rollouts in waves lists no changes.
+    match change_rows(asker).await?.iter().any(|row| row.number == id.number) {
+        true => wait_by_evidence(asker, id, json).await,
+        false => wait_in_waves(asker, id, json).await,
     }
 }
 
-/// Hidden where standard error is no terminal.
-fn shown(template: &str) -> Result<ProgressBar, String> {
+/// A progress bar; hidden if standard error is not a terminal.
+fn progress_bar(template: &str) -> Result<ProgressBar, String> {
     let bar = ProgressBar::new(1);
     bar.set_style(ProgressStyle::with_template(template).map_err(|e| e.to_string())?);
     Ok(bar)
 }
 
-/// Until the change is in force, or out.
-async fn by_evidence(asker: &mut Asker, id: VersionId, json: bool) -> Result<End, String> {
-    let bar = shown("{msg}, {elapsed}")?;
+/// Waits until the change is in force or removed.
+async fn wait_by_evidence(asker: &mut Asker, id: VersionId, json: bool) -> Result<Outcome, String> {
+    let bar = progress_bar("{msg}, {elapsed}")?;
     loop {
-        let row = rows(asker).await?.into_iter().find(|row| row.number == id.number);
+        let row = change_rows(asker).await?.into_iter().find(|row| row.number == id.number);
         let state = row.map(|row| row.state);
-        let told = match &state {
+        let text = match &state {
             Some(ChangeState::InForce) => format!("version {id} is in force"),
             Some(ChangeState::Unproven) => {
-                format!("version {id} is in force, unproven: too few accesses spoke about it")
+                format!("version {id} is in force, unproven: too few accesses to judge it")
             }
-            Some(ChangeState::Removed(why)) => format!("version {id} was taken out: {why}"),
-            // So many came after it that nobody lists it any more; or the service has lost its store.
+            Some(ChangeState::Removed(reason)) => format!("version {id} was removed: {reason}"),
+            // So many changes came after it that it is no longer listed, or the service has lost its store.
             None => {
-                return Err(format!("version {id} is not listed any more: see 'doorgrade config history'"));
+                return Err(format!("version {id} is no longer listed: see 'doorgrade config history'"));
             }
             Some(state) => {
                 bar.set_message(format!("version {id} {state}"));
-                tokio::time::sleep(LOOK_EACH).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
                 continue;
             }
         };
         bar.finish_and_clear();
-        let out = match &state {
-            Some(ChangeState::Removed(why)) => Some(why.to_string()),
+        let removed = match &state {
+            Some(ChangeState::Removed(reason)) => Some(reason.to_string()),
             _ => None,
         };
         let state = state.as_ref().map(state_name);
-        say(&match json {
+        write_stdout(&match json {
             true => format!(
                 "{}\n",
-                json!({"version": id.to_string(), "everywhere": out.is_none(), "stopped": out, "state": state})
+                json!({"version": id.to_string(), "everywhere": removed.is_none(), "stopped": removed, "state": state})
             ),
-            false => format!("{told}\n"),
+            false => format!("{text}\n"),
         })?;
-        return Ok(if out.is_some() { End::Wrong } else { End::Done });
+        return Ok(if removed.is_some() { Outcome::ProblemsFound } else { Outcome::Done });
     }
 }
 
-/// Until it runs everywhere or has stopped.
-async fn in_waves(asker: &mut Asker, id: VersionId, json: bool) -> Result<End, String> {
-    let bar = shown("{msg} [{bar:30}] {pos} of {len} fronts, {elapsed}")?;
+/// Waits until the version runs everywhere or has stopped.
+async fn wait_in_waves(asker: &mut Asker, id: VersionId, json: bool) -> Result<Outcome, String> {
+    let bar = progress_bar("{msg} [{bar:30}] {pos} of {len} fronts, {elapsed}")?;
     loop {
         let totals = totals(asker).await?;
         let own = totals.publication.as_ref().filter(|p| p.id == id);
@@ -96,22 +101,22 @@
             _ => {
                 bar.finish_and_clear();
                 let stopped = own.and_then(|p| p.stopped.clone());
-                // Another one may have been published since: then it is over, too.
+                // Another version may have been published since, which also ends this rollout.
                 let everywhere = stopped.is_none() && totals.base == Some(id);
-                let why = stopped.map(|s| s.to_string());
+                let reason = stopped.map(|s| s.to_string());
                 if json {
-                    say(&format!(
+                    write_stdout(&format!(
                         "{}\n",
-                        json!({"version": id.to_string(), "everywhere": everywhere, "stopped": why})
+                        json!({"version": id.to_string(), "everywhere": everywhere, "stopped": reason})
                     ))?;
-                } else if let Some(why) = &why {
-                    say(&format!("version {id} was stopped: {why}\n"))?;
+                } else if let Some(reason) = &reason {
+                    write_stdout(&format!("version {id} was stopped: {reason}\n"))?;
                 } else {
-                    say(&format!("version {id} is everyone's now\n"))?;
+                    write_stdout(&format!("version {id} runs on all fronts now\n"))?;
                 }
-                return Ok(if why.is_some() { End::Wrong } else { End::Done });
+                return Ok(if reason.is_some() { Outcome::ProblemsFound } else { Outcome::Done });
             }
         }
-        tokio::time::sleep(LOOK_EACH).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
--- a/crates/cli/src/config/show.rs
+++ b/crates/cli/src/config/show.rs
@@ -1,4 +1,4 @@
-//! What the service knows, as tables for people and JSON for scripts.
+//! The service's status, history and changes, as tables or JSON.
 
 use doorgrade_control::ask::Asker;
 use doorgrade_stream::clock::now;
@@ -8,9 +8,9 @@
 };
 use serde_json::{Value, json};
 
-use super::{refusal, rows, totals};
-use crate::table::columns;
-use crate::{End, say};
+use super::{change_rows, response_error, totals};
+use crate::table::format_table;
+use crate::{Outcome, write_stdout};
 
 fn ago(at: u64) -> String {
     match now().saturating_sub(at) / 10_000 {
@@ -21,27 +21,27 @@
     }
 }
 
-pub async fn history(asker: &mut Asker, json: bool) -> Result<End, String> {
-    let (mut all, mut below) = (Vec::new(), u64::MAX);
+pub async fn history(asker: &mut Asker, json: bool) -> Result<Outcome, String> {
+    let (mut versions, mut below) = (Vec::new(), u64::MAX);
     loop {
         let page = match asker.ask(&Request::History { below }).await? {
             Response::History(page) => page,
-            other => return Err(refusal(other)),
+            other => return Err(response_error(other)),
         };
         let Some(last) = page.last() else { break };
         below = last.id.number;
-        all.extend(page);
+        versions.extend(page);
     }
     if json {
-        let one = |p: &doorgrade_versions::service::VersionSummary| {
+        let version_json = |p: &doorgrade_versions::service::VersionSummary| {
             json!({"version": p.id.to_string(), "number": p.id.number, "epoch": p.id.epoch, "bytes": p.bytes,
                 "at_ms": p.published_at / 10, "note": p.note})
         };
-        let all: Vec<Value> = all.iter().map(one).collect();
-        return say(&format!("{}\n", json!({"versions": all}))).map(|()| End::Done);
+        let versions: Vec<Value> = versions.iter().map(version_json).collect();
+        return write_stdout(&format!("{}\n", json!({"versions": versions}))).map(|()| Outcome::Done);
     }
     let mut rows = vec![["number", "published", "bytes", "hash", "note"].map(str::to_owned).to_vec()];
-    for p in &all {
+    for p in &versions {
         let hash = p.id.to_string().rsplit('-').next().unwrap_or_default().to_owned();
         rows.push(vec![
             p.id.number.to_string(),
@@ -51,28 +51,27 @@
             p.note.to_string(),
         ]);
     }
-    say(&columns(&rows)).map(|()| End::Done)
+    write_stdout(&format_table(&rows)).map(|()| Outcome::Done)
 }
 
-fn id(of: Option<VersionId>) -> String {
-    of.map_or("its own file".into(), |id| id.to_string())
+fn version_text(version: Option<VersionId>) -> String {
+    version.map_or("its own file".into(), |id| id.to_string())
 }
 
-fn state(of: &FrontState) -> String {
-    match of {
+fn state(state: &FrontState) -> String {
+    match state {
         FrontState::Current => "current".into(),
         FrontState::Offered => "offered".into(),
-        FrontState::Rejected(why) => format!("turned down: {why}"),
+        FrontState::Rejected(reason) => format!("turned down: {reason}"),
         FrontState::TimedOut => "missing".into(),
         FrontState::Waiting => "waiting".into(),
     }
 }
 
 fn publication(p: &Progress) -> Value {
-    let Progress { id, wave, offered: went, running: runs, rejected: refused, timed_out: missing, stopped } =
-        p;
-    json!({"version": id.to_string(), "wave": wave, "went": went, "runs": runs, "refused": refused,
-        "missing": missing, "stopped": stopped.as_ref().map(ToString::to_string)})
+    let Progress { id, wave, offered, running, rejected, timed_out, stopped } = p;
+    json!({"version": id.to_string(), "wave": wave, "went": offered, "runs": running, "refused": rejected,
+        "missing": timed_out, "stopped": stopped.as_ref().map(ToString::to_string)})
 }
 
 fn row_json(r: &FrontRow) -> Value {
@@ -82,28 +81,33 @@
 }
 
 fn totals_json(t: &Totals) -> Value {
-    let runs: Vec<Value> = t
+    let running: Vec<Value> = t
         .running
         .iter()
         .map(|(id, n)| json!({"version": id.map(|id| id.to_string()), "fronts": n}))
         .collect();
-    let sealed: Vec<Value> = t.seal_keys.iter().map(|(key, n)| json!({"key": key, "fronts": n})).collect();
+    let seal_keys: Vec<Value> = t.seal_keys.iter().map(|(key, n)| json!({"key": key, "fronts": n})).collect();
     json!({"epoch": t.epoch, "last": t.last, "base": t.base.map(|id| id.to_string()),
         "publication": t.publication.as_ref().map(publication), "superseded_by": t.superseded,
         "fronts": t.fronts, "connected": t.connected, "current": t.current, "offered": t.offered,
         "turned_down": t.rejected, "missing": t.timed_out, "waiting": t.waiting, "untrue": t.false_claims,
-        "unstored": t.unstored, "runs": runs, "seal_keys": sealed, "spare_seal_keys": t.spare_keys})
+        "unstored": t.unstored, "runs": running, "seal_keys": seal_keys, "spare_seal_keys": t.spare_keys})
 }
 
 fn totals_text(t: &Totals) -> String {
-    let mut text = format!("epoch {}, last version {}, everyone's: {}\n", t.epoch, t.last, id(t.base));
+    let mut text = format!(
+        "epoch {}, last version {}, version of all fronts: {}\n",
+        t.epoch,
+        t.last,
+        version_text(t.base)
+    );
     if let Some(by) = t.superseded {
-        text += &format!("A service of epoch {by} is about, later than this one: nothing is offered.\n");
+        text += &format!("A service of the later epoch {by} exists: no versions are offered.\n");
     }
     if let Some(p) = &t.publication {
-        let how = p.stopped.as_ref().map_or("under way".into(), |why| format!("stopped: {why}"));
+        let state = p.stopped.as_ref().map_or("under way".into(), |reason| format!("stopped: {reason}"));
         text += &format!(
-            "version {}: {how}; wave {}, went to {}, {} run it, {} turned it down, {} missing\n",
+            "version {}: {state}; wave {}, offered to {}, {} run it, {} rejected it, {} missing\n",
             p.id, p.wave, p.offered, p.running, p.rejected, p.timed_out
         );
     }
@@ -112,72 +116,80 @@
         t.fronts, t.connected, t.current, t.offered, t.rejected, t.timed_out, t.waiting
     );
     if t.unstored > 0 {
-        text += &format!("{} could not store what they run\n", t.unstored);
+        text += &format!("{} could not store the version that they run\n", t.unstored);
     }
     if t.false_claims > 0 {
-        text += &format!("{} say what can't be\n", t.false_claims);
+        text += &format!("{} claim a version that they can't have\n", t.false_claims);
     }
-    for (runs, count) in &t.running {
-        text += &format!("  {count} run {}\n", id(*runs));
+    for (running, count) in &t.running {
+        text += &format!("  {count} run {}\n", version_text(*running));
     }
     for (key, count) in &t.seal_keys {
-        text += &format!("  {count} run what key {key} sealed\n");
+        text += &format!("  {count} run a version sealed with key {key}\n");
     }
     for key in &t.spare_keys {
-        text += &format!("  key {key} can be dropped\n");
+        text += &format!("  key {key} is no longer needed\n");
     }
     text
 }
 
-pub async fn status(asker: &mut Asker, fronts: Option<Filter>, json: bool) -> Result<End, String> {
+pub async fn status(asker: &mut Asker, fronts: Option<Filter>, json: bool) -> Result<Outcome, String> {
     let totals = totals(asker).await?;
-    let open: Vec<ChangeRow> = rows(asker).await?.into_iter().filter(under_way).collect();
+    let changes_under_way: Vec<ChangeRow> = change_rows(asker).await?.into_iter().filter(under_way).collect();
     let rows = match fronts {
         Some(filter) => asker.fronts(filter).await?,
         None => Vec::new(),
     };
     if json {
-        let mut told = totals_json(&totals);
-        told["changes"] = open.iter().map(change_json).collect();
+        let mut object = totals_json(&totals);
+        object["changes"] = changes_under_way.iter().map(change_json).collect();
         if fronts.is_some() {
-            told["list"] = rows.iter().map(row_json).collect();
+            object["list"] = rows.iter().map(row_json).collect();
         }
-        return say(&format!("{told}\n")).map(|()| End::Done);
+        return write_stdout(&format!("{object}\n")).map(|()| Outcome::Done);
     }
     let mut text = totals_text(&totals);
-    for row in &open {
+    for row in &changes_under_way {
         text += &format!("change {}: {}\n", row.number, row.state);
     }
     if !rows.is_empty() {
         let head = ["front", "station", "heard", "runs", "serves", "state"];
         let mut table = vec![head.map(str::to_owned).to_vec()];
         for r in &rows {
-            let heard = if r.connected { ago(r.last_seen) } else { format!("{}, away", ago(r.last_seen)) };
-            let serves = r.service_level.map_or("-".into(), |s| format!("{:.1}%", 100.0 * s));
-            let mut runs = id(r.running);
+            let last_seen =
+                if r.connected { ago(r.last_seen) } else { format!("{}, disconnected", ago(r.last_seen)) };
+            let service_level = r.service_level.map_or("-".into(), |s| format!("{:.1}%", 100.0 * s));
+            let mut running = version_text(r.running);
             if r.running.is_some() && !r.stored {
-                runs.push_str(" (not stored)");
+                running.push_str(" (not stored)");
             }
             let state = if r.false_claim {
-                format!("says what can't be; {}", state(&r.state))
+                format!("claims a version that it can't have; {}", state(&r.state))
             } else {
                 state(&r.state)
             };
-            table.push(vec![r.front.to_string(), r.station.to_string(), heard, runs, serves, state]);
+            table.push(vec![
+                r.front.to_string(),
+                r.station.to_string(),
+                last_seen,
+                running,
+                service_level,
+                state,
+            ]);
         }
         text.push('\n');
-        text += &columns(&table);
+        text += &format_table(&table);
     }
-    say(&text).map(|()| End::Done)
+    write_stdout(&text).map(|()| Outcome::Done)
 }
 
-/// Not settled: neither everyone's nor out.
+/// Whether the change is neither in force nor removed yet.
 fn under_way(row: &ChangeRow) -> bool {
     use ChangeState::{Canary, Everywhere, Queued, Wide};
     matches!(row.state, Queued | Canary | Wide | Everywhere)
 }
 
-/// As scripts name it.
+/// The state's name in JSON.
 pub fn state_name(state: &ChangeState) -> &'static str {
     match state {
         ChangeState::Queued => "queued",
@@ -191,20 +203,20 @@
 }
 
 fn change_json(row: &ChangeRow) -> Value {
-    let why = match &row.state {
-        ChangeState::Removed(why) => Some(why.to_string()),
+    let reason = match &row.state {
+        ChangeState::Removed(reason) => Some(reason.to_string()),
         _ => None,
     };
-    json!({"number": row.number, "note": row.note, "state": state_name(&row.state), "why": why})
+    json!({"number": row.number, "note": row.note, "state": state_name(&row.state), "why": reason})
 }
 
-pub async fn changes(asker: &mut Asker, json: bool) -> Result<End, String> {
-    let all = rows(asker).await?;
+pub async fn changes(asker: &mut Asker, json: bool) -> Result<Outcome, String> {
+    let all = change_rows(asker).await?;
     if json {
         let all: Vec<Value> = all.iter().map(change_json).collect();
-        return say(&format!("{}\n", json!({"changes": all}))).map(|()| End::Done);
+        return write_stdout(&format!("{}\n", json!({"changes": all}))).map(|()| Outcome::Done);
     }
     let mut table = vec![["number", "state", "note"].map(str::to_owned).to_vec()];
     table.extend(all.iter().map(|r| vec![r.number.to_string(), r.state.to_string(), r.note.to_string()]));
-    say(&columns(&table)).map(|()| End::Done)
+    write_stdout(&format_table(&table)).map(|()| Outcome::Done)
 }
--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -1,4 +1,4 @@
-//! `doorgrade fleet`: orders for instances, and how they stand.
+//! `doorgrade fleet`: sends orders for instances to the agent and shows the state of instances.
 
 use std::collections::BTreeSet;
 use std::path::PathBuf;
@@ -13,8 +13,8 @@
 use indicatif::{ProgressBar, ProgressStyle};
 use serde_json::{Value, json};
 
-use crate::table::columns;
-use crate::{End, say};
+use crate::table::format_table;
+use crate::{Outcome, write_stdout};
 
 #[derive(Args)]
 pub struct Fleet {
@@ -37,9 +37,9 @@
     Lost,
 }
 
-/// Which instances; each given narrows them down.
+/// Selects instances; criteria are combined with "and".
 #[derive(Args)]
-struct Which {
+struct Selection {
     /// Instances by name
     names: Vec<String>,
     #[arg(long)]
@@ -48,28 +48,28 @@
     state: Option<State>,
     #[arg(long)]
     label: Option<String>,
-    /// All that the agent has
+    /// All instances of the agent
     #[arg(long)]
     all: bool,
 }
 
 #[derive(Args)]
-struct Way {
+struct OrderArgs {
     #[command(flatten)]
-    which: Which,
-    /// Shows what would be changed, and changes nothing
+    selection: Selection,
+    /// Shows what would change, without changing anything
     #[arg(long)]
     dry_run: bool,
-    /// Takes the last serving instance of this station, too
+    /// Also allows taking the last serving instance of this station out of service
     #[arg(long, value_name = "STATION")]
     force: Vec<String>,
-    /// Does not wait until it is done
+    /// Returns at once, without waiting until the order is done
     #[arg(long)]
     no_wait: bool,
-    /// Seconds to wait for it
+    /// Maximum seconds to wait
     #[arg(long, default_value_t = 300)]
     within: u64,
-    /// Who orders it, for others to see
+    /// Who gives the order, shown in the status and history
     #[arg(long, env = "USER", default_value = "nobody")]
     by: String,
     #[arg(long)]
@@ -78,35 +78,36 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// How instances stand
+    /// Shows the state of instances
     Status {
         #[command(flatten)]
-        which: Which,
+        selection: Selection,
         #[arg(long)]
         json: bool,
     },
-    /// Exits with 3 unless all of these are as wanted
+    /// Exits with 3 unless all selected instances are in their wanted state
     Check {
         #[command(flatten)]
-        which: Which,
+        selection: Selection,
         #[arg(long)]
         json: bool,
     },
-    Start(Way),
-    /// Their clients are told to go elsewhere; `start` takes it back
-    Drain(Way),
-    /// Drained first; after its SIGTERM there is no way back
-    Stop(Way),
-    /// One after the other, as the station's pace allows; stops at the first that does not come back
-    Restart(Way),
-    /// Starts whatever is wanted running and does not run
-    Restore(Way),
-    /// Follows what the agent tells, until it is ended
+    /// Starts instances, or ends their drain
+    Start(OrderArgs),
+    /// Drains instances: they report not ready, so that clients go elsewhere; `start` undoes it
+    Drain(OrderArgs),
+    /// Drains and then stops instances; can't be undone once SIGTERM was sent
+    Stop(OrderArgs),
+    /// Restarts instances in turn, as the pace settings allow; halts at the first that fails to come back
+    Restart(OrderArgs),
+    /// Starts all instances that should be running but are not
+    Restore(OrderArgs),
+    /// Prints the agent's log events as they come, until interrupted
     Watch {
         #[arg(long)]
         json: bool,
     },
-    /// Orders and what came of them, the newest first
+    /// Lists orders and their results, newest first
     History {
         #[arg(long)]
         json: bool,
@@ -128,8 +129,8 @@
     }
 }
 
-impl Which {
-    fn says_something(&self) -> bool {
+impl Selection {
+    fn is_given(&self) -> bool {
         self.all
             || !self.names.is_empty()
             || self.station.is_some()
@@ -137,111 +138,112 @@
             || self.label.is_some()
     }
 
-    fn of(&self, status: Status) -> Result<Vec<Row>, String> {
+    fn apply(&self, status: Status) -> Result<Vec<Row>, String> {
         let unknown = self.names.iter().find(|n| !status.rows.iter().any(|r| *r.name == **n));
         if let Some(name) = unknown {
             return Err(format!(
-                "instance '{name}' is unknown to agent {}: look at `fleet status`",
+                "instance '{name}' is unknown to agent {}: see `fleet status`",
                 status.agent
             ));
         }
-        let fits = |r: &Row| {
+        let matches = |r: &Row| {
             (self.names.is_empty() || self.names.iter().any(|n| *r.name == **n))
                 && self.station.as_ref().is_none_or(|s| *r.station == **s)
                 && self.state.is_none_or(|s| r.phase == s.phase())
                 && self.label.as_ref().is_none_or(|l| r.labels.iter().any(|own| **own == **l))
         };
-        Ok(status.rows.into_iter().filter(fits).collect())
+        Ok(status.rows.into_iter().filter(matches).collect())
     }
 }
 
-pub fn run(fleet: Fleet) -> Result<End, String> {
+pub fn run(fleet: Fleet) -> Result<Outcome, String> {
     let settings = Settings::load(&fleet.file)?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     runtime.map_err(|e| e.to_string())?.block_on(async {
         let mut asker = Asker::connect(&settings.socket()).await?;
-        talk(&mut asker, fleet.command).await
+        execute(&mut asker, fleet.command).await
     })
 }
 
 async fn status(asker: &mut Asker) -> Result<Status, String> {
     match asker.ask(&Ask::Status).await? {
         Answer::Status(status) => Ok(status),
-        other => Err(refusal(other)),
+        other => Err(response_error(other)),
     }
 }
 
-fn refusal(answer: Answer) -> String {
+fn response_error(answer: Answer) -> String {
     match answer {
-        Answer::Refused(why) => why.to_string(),
-        Answer::OnlyLooks => "this user may only look: expected the agent's own user, or root".into(),
-        other => format!("the agent: an answer to something else: {other:?}"),
+        Answer::Refused(reason) => reason.to_string(),
+        Answer::OnlyLooks => "this user has read-only access: expected the agent's own user, or root".into(),
+        other => format!("unexpected response from the agent: {other:?}"),
     }
 }
 
-async fn talk(asker: &mut Asker, command: Command) -> Result<End, String> {
+async fn execute(asker: &mut Asker, command: Command) -> Result<Outcome, String> {
     match command {
-        Command::Status { which, json } => {
+        Command::Status { selection, json } => {
             let status = status(asker).await?;
             let (agent, term) = (status.agent.clone(), status.term);
-            let rows = which.of(status)?;
-            let told = if json { rows_json(&agent, term, &rows) } else { table(&rows) };
-            say(&told).map(|()| End::Done)
+            let rows = selection.apply(status)?;
+            let text = if json { rows_json(&agent, term, &rows) } else { table(&rows) };
+            write_stdout(&text).map(|()| Outcome::Done)
         }
-        Command::Check { which, json } => {
+        Command::Check { selection, json } => {
             let status = status(asker).await?;
             let (agent, term) = (status.agent.clone(), status.term);
-            let off: Vec<Row> = which.of(status)?.into_iter().filter(|r| !as_wanted(r)).collect();
-            let told = if json { rows_json(&agent, term, &off) } else { table(&off) };
-            if json || !off.is_empty() {
-                say(&told)?;
+            let mismatched: Vec<Row> =
+                selection.apply(status)?.into_iter().filter(|r| !is_as_wanted(r)).collect();
+            let text = if json { rows_json(&agent, term, &mismatched) } else { table(&mismatched) };
+            if json || !mismatched.is_empty() {
+                write_stdout(&text)?;
             }
-            Ok(if off.is_empty() { End::Done } else { End::Wrong })
+            Ok(if mismatched.is_empty() { Outcome::Done } else { Outcome::ProblemsFound })
         }
-        Command::Start(way) => order(asker, Operation::Start, way).await,
-        Command::Drain(way) => order(asker, Operation::Drain, way).await,
-        Command::Stop(way) => order(asker, Operation::Stop, way).await,
-        Command::Restart(way) => order(asker, Operation::Restart, way).await,
-        Command::Restore(way) => order(asker, Operation::Restore, way).await,
+        Command::Start(args) => order(asker, Operation::Start, args).await,
+        Command::Drain(args) => order(asker, Operation::Drain, args).await,
+        Command::Stop(args) => order(asker, Operation::Stop, args).await,
+        Command::Restart(args) => order(asker, Operation::Restart, args).await,
+        Command::Restore(args) => order(asker, Operation::Restore, args).await,
         Command::Watch { json } => {
             match asker.ask(&Ask::Watch).await? {
                 Answer::Watching => {}
-                other => return Err(refusal(other)),
+                other => return Err(response_error(other)),
             }
             loop {
-                let line = asker.line().await?;
+                let event = asker.line().await?;
                 let text =
-                    if json { json!({"line": line.to_string()}).to_string() } else { line.to_string() };
-                say(&format!("{text}\n"))?;
+                    if json { json!({"line": event.to_string()}).to_string() } else { event.to_string() };
+                write_stdout(&format!("{text}\n"))?;
             }
         }
         Command::History { json } => match asker.ask(&Ask::History).await? {
-            Answer::History(all) if json => {
-                let all: Vec<Value> = all.iter().map(progress_json).collect();
-                say(&format!("{}\n", json!({"orders": all}))).map(|()| End::Done)
+            Answer::History(orders) if json => {
+                let orders: Vec<Value> = orders.iter().map(progress_json).collect();
+                write_stdout(&format!("{}\n", json!({"orders": orders}))).map(|()| Outcome::Done)
             }
-            Answer::History(all) => {
+            Answer::History(orders) => {
                 let mut rows =
                     vec![["order", "by", "what", "of", "done", "state"].map(str::to_owned).to_vec()];
-                for p in &all {
-                    let what = [
+                for p in &orders {
+                    let cells = [
                         p.number.to_string(),
                         p.by.to_string(),
                         p.operation.to_string(),
                         p.target_count.to_string(),
                     ];
-                    let mut row = what.to_vec();
+                    let mut row = cells.to_vec();
                     row.extend([p.done.to_string(), state(p)]);
                     rows.push(row);
                 }
-                say(&columns(&rows)).map(|()| End::Done)
+                write_stdout(&format_table(&rows)).map(|()| Outcome::Done)
             }
-            other => Err(refusal(other)),
+            other => Err(response_error(other)),
         },
     }
 }
 
-fn as_wanted(r: &Row) -> bool {
+fn is_as_wanted(r: &Row) -> bool {
     use doorgrade_fleet::DesiredState;
     match r.want {
         DesiredState::Running => r.phase == Phase::Ready,
@@ -263,13 +265,13 @@
 
 fn table(rows: &[Row]) -> String {
     let head = ["instance", "station", "state", "for", "want", "run", "process", "order", ""];
-    let mut all = vec![head.map(str::to_owned).to_vec()];
+    let mut lines = vec![head.map(str::to_owned).to_vec()];
     for r in rows {
         let seconds = now().saturating_sub(r.since) / 10_000;
         let process = r.process.map_or("-".into(), |p| p.id.to_string());
         let order = if r.order > 0 { format!("{} by {}", r.order, r.by) } else { "-".into() };
         let note = match (r.set_aside, r.failures) {
-            (true, failures) => format!("set aside, {failures} starts came to nothing"),
+            (true, failures) => format!("set aside after {failures} failed starts"),
             (_, 0) => String::new(),
             (_, 1) => "died".into(),
             (_, failures) => format!("died {failures} times in a row"),
@@ -278,26 +280,26 @@
         let cells = [r.name.to_string(), r.station.to_string(), state, format!("{seconds} s"), want];
         let mut row = cells.to_vec();
         row.extend([r.run.to_string(), process, order, note]);
-        all.push(row);
+        lines.push(row);
     }
-    columns(&all)
+    format_table(&lines)
 }
 
 fn state(p: &Progress) -> String {
-    let mut told = Vec::new();
+    let mut parts = Vec::new();
     if p.halted {
-        told.push("stopped".to_owned());
+        parts.push("stopped".to_owned());
     }
     if !p.failed.is_empty() {
-        told.push(format!("failed: {}", p.failed.join(", ")));
+        parts.push(format!("failed: {}", p.failed.join(", ")));
     }
     if !p.pending.is_empty() && !p.halted {
-        told.push(format!("waits for {}", p.pending.join(", ")));
+        parts.push(format!("waits for {}", p.pending.join(", ")));
     }
     if p.superseded > 0 {
-        told.push(format!("{} ordered otherwise since", p.superseded));
+        parts.push(format!("{} superseded by later orders", p.superseded));
     }
-    if told.is_empty() { "done".into() } else { told.join("; ") }
+    if parts.is_empty() { "done".into() } else { parts.join("; ") }
 }
 
 fn progress_json(p: &Progress) -> Value {
@@ -305,51 +307,51 @@
         "overtaken": p.superseded, "failed": p.failed, "waits_for": p.pending, "stopped": p.halted})
 }
 
-async fn order(asker: &mut Asker, operation: Operation, way: Way) -> Result<End, String> {
-    if !way.which.says_something() {
-        return Err("no instance is named: expected names, --station, --state, --label or --all".into());
+async fn order(asker: &mut Asker, operation: Operation, args: OrderArgs) -> Result<Outcome, String> {
+    if !args.selection.is_given() {
+        return Err("no instance is selected: expected names, --station, --state, --label or --all".into());
     }
-    let rows = way.which.of(status(asker).await?)?;
-    // The revisions that were just seen: if somebody else is quicker, nothing is done.
+    let rows = args.selection.apply(status(asker).await?)?;
+    // With the revisions just read: if another order changed an instance since, the agent rejects this one.
     let targets = rows.iter().map(|r| (r.name.clone(), Some(r.revision))).collect();
-    let force: BTreeSet<Box<str>> = way.force.iter().map(|s| s.as_str().into()).collect();
-    let order = Order { by: way.by.as_str().into(), operation, targets, force };
-    if way.dry_run {
+    let force: BTreeSet<Box<str>> = args.force.iter().map(|s| s.as_str().into()).collect();
+    let order = Order { by: args.by.as_str().into(), operation, targets, force };
+    if args.dry_run {
         return match asker.ask(&Ask::Plan(order)).await? {
-            Answer::Plan(plan) if way.json => {
-                let all: Vec<Value> = plan
+            Answer::Plan(plan) if args.json => {
+                let changes: Vec<Value> = plan
                     .iter()
                     .map(|(name, is, want)| json!({"front": name, "state": is.to_string(), "want": want.to_string()}))
                     .collect();
-                say(&format!("{}\n", json!({"would_change": all}))).map(|()| End::Done)
+                write_stdout(&format!("{}\n", json!({"would_change": changes}))).map(|()| Outcome::Done)
             }
             Answer::Plan(plan) => {
-                let mut all = vec![["instance", "is", "would be"].map(str::to_owned).to_vec()];
-                all.extend(
+                let mut rows = vec![["instance", "is", "would be"].map(str::to_owned).to_vec()];
+                rows.extend(
                     plan.iter()
                         .map(|(name, is, want)| vec![name.to_string(), is.to_string(), want.to_string()]),
                 );
-                say(&columns(&all)).map(|()| End::Done)
+                write_stdout(&format_table(&rows)).map(|()| Outcome::Done)
             }
-            other => Err(refusal(other)),
+            other => Err(response_error(other)),
         };
     }
     let number = match asker.ask(&Ask::Order(order)).await? {
         Answer::Ordered(number) => number,
-        other => return Err(refusal(other)),
+        other => return Err(response_error(other)),
     };
-    if way.no_wait {
-        let text = if way.json { json!({"order": number}).to_string() } else { format!("order {number}") };
-        return say(&format!("{text}\n")).map(|()| End::Done);
+    if args.no_wait {
+        let text = if args.json { json!({"order": number}).to_string() } else { format!("order {number}") };
+        return write_stdout(&format!("{text}\n")).map(|()| Outcome::Done);
     }
-    wait(asker, number, &way).await
+    wait(asker, number, &args).await
 }
 
-const LOOK_EACH: Duration = Duration::from_millis(200);
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Waits until an order is over, and says what it waits for meanwhile.
-async fn wait(asker: &mut Asker, number: u64, way: &Way) -> Result<End, String> {
-    let begun = Instant::now();
+/// Waits until an order is finished, and shows its progress meanwhile.
+async fn wait(asker: &mut Asker, number: u64, args: &OrderArgs) -> Result<Outcome, String> {
+    let started = Instant::now();
     let bar = ProgressBar::new(1);
     let style = ProgressStyle::with_template("order {msg} [{bar:30}] {pos} of {len}, {elapsed}");
     bar.set_style(style.map_err(|e| e.to_string())?);
@@ -358,29 +360,29 @@
             Answer::Progress(Some(progress)) => progress,
             Answer::Progress(None) => {
                 return Err(format!(
-                    "order {number} is not known to this agent: was it replaced? `fleet status` has what is wanted"
+                    "order {number} is not known to this agent: was it replaced? see `fleet status` for the wanted states"
                 ));
             }
-            other => return Err(refusal(other)),
+            other => return Err(response_error(other)),
         };
         bar.set_length(progress.target_count as u64);
         bar.set_position(progress.done as u64);
-        let some: Vec<&str> = progress.pending.iter().take(3).map(|n| &**n).collect();
-        bar.set_message(format!("{number}, waits for {}", some.join(", ")));
-        let late = begun.elapsed() > Duration::from_secs(way.within);
-        if progress.is_finished() || late {
+        let first_pending: Vec<&str> = progress.pending.iter().take(3).map(|n| &**n).collect();
+        bar.set_message(format!("{number}, waits for {}", first_pending.join(", ")));
+        let timed_out = started.elapsed() > Duration::from_secs(args.within);
+        if progress.is_finished() || timed_out {
             bar.finish_and_clear();
-            let text = if way.json {
+            let text = if args.json {
                 progress_json(&progress).to_string()
-            } else if late && !progress.is_finished() {
-                format!("order {number}: {} after {} s; it goes on", state(&progress), way.within)
+            } else if timed_out && !progress.is_finished() {
+                format!("order {number}: {} after {} s; it continues", state(&progress), args.within)
             } else {
                 format!("order {number}: {}", state(&progress))
             };
-            say(&format!("{text}\n"))?;
-            let well = progress.is_finished() && !progress.halted && progress.failed.is_empty();
-            return Ok(if well { End::Done } else { End::Wrong });
+            write_stdout(&format!("{text}\n"))?;
+            let succeeded = progress.is_finished() && !progress.halted && progress.failed.is_empty();
+            return Ok(if succeeded { Outcome::Done } else { Outcome::ProblemsFound });
         }
-        tokio::time::sleep(LOOK_EACH).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
--- a/crates/cli/src/keys.rs
+++ b/crates/cli/src/keys.rs
@@ -1,4 +1,4 @@
-//! `doorgrade keys`: authorities, certificates and seal keys made and looked at.
+//! `doorgrade keys`: creates and shows certificate authorities, certificates and seal keys.
 
 use std::path::{Path, PathBuf};
 
@@ -8,12 +8,12 @@
 use doorgrade_stream::clock::now;
 use serde_json::{Value, json};
 
-use crate::table::columns;
-use crate::{End, say};
+use crate::table::format_table;
+use crate::{Outcome, write_stdout};
 
 #[derive(Subcommand)]
 pub enum Keys {
-    /// Makes an authority: PREFIX.pem, which others are given, and PREFIX.key, which nobody is
+    /// Creates a certificate authority: PREFIX.pem, to be distributed, and PREFIX.key, to be kept secret
     Authority {
         prefix: PathBuf,
         #[arg(long, default_value = "doorgrade")]
@@ -21,24 +21,24 @@
         #[arg(long, default_value_t = 1_825, value_parser = clap::value_parser!(u32).range(1..=36_500))]
         days: u32,
     },
-    /// Makes a certificate from an authority: PREFIX.pem and PREFIX.key
+    /// Issues a certificate from an authority: PREFIX.pem and PREFIX.key
     Issue {
         prefix: PathBuf,
         /// The authority's prefix
         #[arg(long, value_name = "PREFIX")]
         authority: PathBuf,
-        /// Whom it is for: a front's name, `*.station` for a station's fronts, a person, or the service
+        /// The holder: a front's name, `*.station` for a station's fronts, a person, or the service
         #[arg(long = "for", value_name = "NAME", required = true)]
         names: Vec<String>,
         #[arg(long, default_value_t = 90, value_parser = clap::value_parser!(u32).range(1..=3_650))]
         days: u32,
     },
-    /// Prints a new key for sealing versions, as it stands in the file of seal keys
+    /// Prints a new key for sealing versions, in the format of the file of seal keys
     Seal {
-        /// Its number: one that was never used
+        /// The key's number, which must never have been used
         number: u32,
     },
-    /// Shows whom certificates are for and when they end; exits with 3 if one is due or has ended
+    /// Shows the holders of certificates and when they expire; exits with 3 if one is due for renewal or has expired
     Show {
         #[arg(required = true)]
         files: Vec<PathBuf>,
@@ -47,63 +47,67 @@
     },
 }
 
-fn ends(prefix: &Path) -> [PathBuf; 2] {
-    [".pem", ".key"].map(|end| {
+fn pair_paths(prefix: &Path) -> [PathBuf; 2] {
+    [".pem", ".key"].map(|extension| {
         let mut name = prefix.as_os_str().to_owned();
-        name.push(end);
+        name.push(extension);
         name.into()
     })
 }
 
-fn write(prefix: &Path, pair: &Pair) -> Result<End, String> {
-    let [certificate, key] = ends(prefix);
-    // The key first: a certificate without one would look like a whole pair.
-    make::write_new(&key, &pair.key).map_err(|t| t.to_string())?;
-    make::write_new(&certificate, &pair.certificate).map_err(|t| t.to_string())?;
-    say(&format!("{}\n{}\n", certificate.display(), key.display())).map(|()| End::Done)
+fn write(prefix: &Path, pair: &Pair) -> Result<Outcome, String> {
+    let [certificate, key] = pair_paths(prefix);
+    // The key first: a certificate without its key would pass for a complete pair.
+    make::write_new(&key, &pair.key).map_err(|e| e.to_string())?;
+    make::write_new(&certificate, &pair.certificate).map_err(|e| e.to_string())?;
+    write_stdout(&format!("{}\n{}\n", certificate.display(), key.display())).map(|()| Outcome::Done)
 }
 
 fn read(prefix: &Path) -> Result<Pair, String> {
-    let [certificate, key] = ends(prefix);
+    let [certificate, key] = pair_paths(prefix);
     let text = |path: &Path| std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()));
     Ok(Pair { certificate: text(&certificate)?, key: text(&key)? })
 }
 
-pub fn run(command: Keys) -> Result<End, String> {
+pub fn run(command: Keys) -> Result<Outcome, String> {
     match command {
         Keys::Authority { prefix, called, days } => {
-            let pair = make::authority(&called, days.into()).map_err(|t| t.to_string())?;
+            let pair = make::authority(&called, days.into()).map_err(|e| e.to_string())?;
             write(&prefix, &pair)
         }
         Keys::Issue { prefix, authority, names, days } => {
             let names: Vec<&str> = names.iter().map(String::as_str).collect();
-            let pair = make::issue(&read(&authority)?, &names, days.into()).map_err(|t| t.to_string())?;
+            let pair = make::issue(&read(&authority)?, &names, days.into()).map_err(|e| e.to_string())?;
             write(&prefix, &pair)
         }
         Keys::Seal { number } => {
-            let secret = make::secret().map_err(|t| t.to_string())?;
-            say(&format!("key \"{number}\" {{ secret = \"{secret}\" }}\n")).map(|()| End::Done)
+            let secret = make::secret().map_err(|e| e.to_string())?;
+            write_stdout(&format!("key \"{number}\" {{ secret = \"{secret}\" }}\n")).map(|()| Outcome::Done)
         }
         Keys::Show { files, json } => show(&files, json),
     }
 }
 
-fn show(files: &[PathBuf], as_json: bool) -> Result<End, String> {
-    let (mut all, mut wrong): (Vec<Dated>, bool) = Default::default();
+fn show(files: &[PathBuf], as_json: bool) -> Result<Outcome, String> {
+    let (mut certificates, mut any_due): (Vec<Dated>, bool) = Default::default();
     for file in files {
-        all.extend(dates(file).map_err(|t| t.to_string())?);
+        certificates.extend(dates(file).map_err(|e| e.to_string())?);
     }
     let mut rows = vec![["file", "for", "stands"].map(str::to_owned).to_vec()];
     let mut list: Vec<Value> = Vec::new();
-    for Dated { file, of, span } in &all {
-        let word = span.warning(now());
-        wrong |= word.is_some();
+    for Dated { file, of, span } in &certificates {
+        let warning = span.warning(now());
+        any_due |= warning.is_some();
         let days = span.not_after.saturating_sub(now()) / doorgrade_trust::TICKS_PER_DAY;
-        let stands = word.map_or(format!("good for {days} days"), |word| word.to_string());
+        let validity = warning.map_or(format!("good for {days} days"), |warning| warning.to_string());
         list.push(json!({"file": file.display().to_string(), "for": of, "from_ms": span.not_before / 10,
-            "to_ms": span.not_after / 10, "stands": stands, "due": word.is_some()}));
-        rows.push(vec![file.display().to_string(), of.to_string(), stands]);
+            "to_ms": span.not_after / 10, "stands": validity, "due": warning.is_some()}));
+        rows.push(vec![file.display().to_string(), of.to_string(), validity]);
     }
-    say(&if as_json { format!("{}\n", json!({"certificates": list})) } else { columns(&rows) })?;
-    Ok(if wrong { End::Wrong } else { End::Done })
+    write_stdout(&if as_json {
+        format!("{}\n", json!({"certificates": list}))
+    } else {
+        format_table(&rows)
+    })?;
+    Ok(if any_due { Outcome::ProblemsFound } else { Outcome::Done })
 }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,5 +1,5 @@
-//! The program `doorgrade`. Arguments, exit codes, and output for people and for scripts; nothing else.
-//! Without a command it serves.
+//! The binary `doorgrade`: command line arguments, exit codes, and output as text or JSON. The work itself is done in
+//! the other packages. Without a command it runs a front.
 #![forbid(unsafe_code)]
 
 mod check;
@@ -20,75 +20,75 @@
 use doorgrade_front::in_use::Place;
 use doorgrade_front::serve::serve;
 
-/// A front for caches of large objects behind thin links.
+/// A front for caches of large objects behind slow links.
 ///
 /// Without a command it serves: it reads the platform's configuration and the operators' settings, listens, and
-/// goes on until SIGTERM. SIGHUP makes it read both again.
+/// runs until SIGTERM. SIGHUP makes it reload both.
 #[derive(Parser)]
 #[command(name = "doorgrade", version, after_help = EXIT_CODES)]
 struct Cli {
     #[command(flatten)]
-    place: Told,
+    config_args: ConfigArgs,
     #[command(subcommand)]
     command: Option<Command>,
 }
 
-const EXIT_CODES: &str = "Exit codes: 0 done; 1 it could not be done; 2 the arguments are wrong; \
-    3 looked at, and something is wrong; 4 looked at, and they differ.";
+const EXIT_CODES: &str = "Exit codes: 0 success; 1 failure; 2 invalid arguments; \
+    3 the check found problems; 4 the compared items differ.";
 
 #[derive(Args)]
-struct Told {
-    /// The platform's configuration, a JSON file
+struct ConfigArgs {
+    /// Path of the platform's configuration, a JSON file
     #[arg(long, env = "PROXY_CONFIG", value_name = "FILE", global = true)]
     config: Option<PathBuf>,
-    /// The instance's name, in place of the configuration's
+    /// The instance's name; overrides the configuration
     #[arg(long, env = "PROXY_NAME", global = true)]
     name: Option<String>,
-    /// The address to listen on, in place of the configuration's
+    /// The address to listen on; overrides the configuration
     #[arg(long, env = "PROXY_LISTEN", value_name = "ADDRESS", global = true)]
     listen: Option<String>,
-    /// The operators' settings, an HCL file; deploy/doorgrade.hcl if that is there
+    /// Path of the operators' settings, an HCL file; by default deploy/doorgrade.hcl if it exists
     #[arg(long, env = "DOORGRADE_SETTINGS", value_name = "FILE", global = true)]
     settings: Option<PathBuf>,
 }
 
 #[derive(Subcommand)]
 enum Command {
-    /// Serves, as without a command
+    /// Runs a front, as without a command
     Serve,
-    /// Reads the configuration, the settings and the shape, and says what is wrong with them
+    /// Validates the configuration, the settings and the shape, and reports problems
     Check,
-    /// Looks at shapes of the cache hierarchy
+    /// Inspects shapes of the cache hierarchy
     #[command(subcommand)]
     Shape(Shape),
-    /// Serves versions of the configuration to fronts, and answers the commands below `config`
+    /// Runs the service that distributes configuration versions to fronts; the `config` commands talk to it
     Control {
         /// The service's settings, an HCL file
         #[arg(long, value_name = "FILE", default_value = doorgrade_control::settings::USUAL)]
         file: PathBuf,
     },
-    /// Publishes versions of the configuration and shows how they fare; talks to the service that the settings name
+    /// Publishes configuration versions and shows their rollout; talks to the service named in the settings
     #[command(subcommand)]
     Config(config::Config),
-    /// Starts, checks, drains and stops instances of the program, and answers the commands below `fleet`
+    /// Runs the agent that starts, checks, drains and stops instances of the program; the `fleet` commands talk to it
     Agent {
         /// The agent's settings, an HCL file
         #[arg(long, value_name = "FILE", default_value = doorgrade_agent::serve::USUAL)]
         file: PathBuf,
     },
-    /// Orders for instances, and how they stand; asks the agent whose settings are named
+    /// Gives orders for instances and shows their state; talks to the agent whose settings are named
     Fleet(fleet::Fleet),
-    /// How a front stands among others; asks the front whose settings are named
+    /// Shows which other fronts a front knows and their state; asks the front whose settings are named
     Neighbours(neighbours::Neighbours),
-    /// What a front remembers over a restart
+    /// Shows what a front remembers across a restart
     #[command(subcommand)]
     Recall(recall::Recall),
-    /// Makes authorities, certificates and seal keys, and shows when they end
+    /// Creates certificate authorities, certificates and seal keys, and shows when they expire
     #[command(subcommand)]
     Keys(keys::Keys),
-    /// Writes the completions for a shell to standard output
+    /// Writes shell completions to standard output
     Completions { shell: clap_complete::Shell },
-    /// Writes the manual's pages into a folder
+    /// Writes the manual pages into a folder
     Man { folder: PathBuf },
 }
 
@@ -96,23 +96,23 @@
 enum Shape {
     /// Shows a shape as a tree
     Show {
-        /// The shape's file; the one that the settings name if none is given
+        /// The shape's file; by default the one named in the settings
         file: Option<PathBuf>,
-        /// As a table
+        /// Prints a table
         #[arg(long, conflicts_with = "json")]
         table: bool,
-        /// As one JSON object
+        /// Prints one JSON object
         #[arg(long)]
         json: bool,
     },
-    /// Says what of a shape can't be in force, and why; a loop is drawn as a ring
+    /// Reports which parts of a shape can't take effect, and why; a cycle is drawn as a ring
     Check {
         file: Option<PathBuf>,
         #[arg(long)]
         json: bool,
     },
-    /// Says what a change of shape comes to: who comes, goes and is hung elsewhere, and which share of the
-    /// objects moves
+    /// Compares two shapes: members added, removed or given other sources, and the share of objects that
+    /// moves to another home
     Diff {
         old: PathBuf,
         new: PathBuf,
@@ -121,27 +121,29 @@
     },
 }
 
-/// What a command came to.
-pub enum End {
+/// The result of a command that ran, as its exit code tells it.
+pub enum Outcome {
     Done,
-    Wrong,
+    /// A check found problems.
+    ProblemsFound,
+    /// The compared items differ.
     Differ,
 }
 
-impl From<End> for ExitCode {
-    fn from(end: End) -> ExitCode {
-        ExitCode::from(match end {
-            End::Done => 0,
-            End::Wrong => 3,
-            End::Differ => 4,
+impl From<Outcome> for ExitCode {
+    fn from(outcome: Outcome) -> ExitCode {
+        ExitCode::from(match outcome {
+            Outcome::Done => 0,
+            Outcome::ProblemsFound => 3,
+            Outcome::Differ => 4,
         })
     }
 }
 
-/// A command's output: lines for people, or one object for scripts.
-pub fn say(text: &str) -> Result<(), String> {
+/// Writes a command's output to standard output: text, or a JSON object.
+pub fn write_stdout(text: &str) -> Result<(), String> {
     let mut out = std::io::stdout().lock();
-    // A reader that has seen enough is no failure.
+    // A reader that closes the pipe early (`| head`) is no failure.
     match out.write_all(text.as_bytes()).and_then(|()| out.flush()) {
         Err(e) if e.kind() != std::io::ErrorKind::BrokenPipe => Err(format!("standard output: {e}")),
         _ => Ok(()),
@@ -153,29 +155,31 @@
     clap_mangen::generate_to(Cli::command(), folder).map_err(|e| format!("{}: {e}", folder.display()))
 }
 
-fn run(cli: Cli) -> Result<End, String> {
-    let Told { config, name, listen, settings } = cli.place;
-    let of_shape = |file: Option<PathBuf>| shape::file(file, settings.as_deref());
+fn run(cli: Cli) -> Result<Outcome, String> {
+    let ConfigArgs { config, name, listen, settings } = cli.config_args;
+    let shape_file = |file: Option<PathBuf>| shape::file(file, settings.as_deref());
     match cli.command {
         None | Some(Command::Serve) => {
             let config = config.ok_or("PROXY_CONFIG is not set: expected the path of the configuration")?;
             let descriptors = Descriptors::at_start();
-            serve(Place { config, name, listen, settings, descriptors }).map(|()| End::Done)
+            serve(Place { config, name, listen, settings, descriptors }).map(|()| Outcome::Done)
         }
         Some(Command::Check) => check::check(config, name, listen, settings),
-        Some(Command::Shape(Shape::Show { file, table, json })) => shape::show(&of_shape(file)?, table, json),
-        Some(Command::Shape(Shape::Check { file, json })) => shape::check(&of_shape(file)?, json),
+        Some(Command::Shape(Shape::Show { file, table, json })) => {
+            shape::show(&shape_file(file)?, table, json)
+        }
+        Some(Command::Shape(Shape::Check { file, json })) => shape::check(&shape_file(file)?, json),
         Some(Command::Shape(Shape::Diff { old, new, json })) => shape::diff(&old, &new, json),
         Some(Command::Control { file }) => {
             let settings = doorgrade_control::settings::Settings::load(&file)?;
             doorgrade_log::start(doorgrade_log::LevelFilter::INFO, doorgrade_log::Format::Human);
-            doorgrade_control::serve::serve(settings).map(|()| End::Done)
+            doorgrade_control::serve::serve(settings).map(|()| Outcome::Done)
         }
         Some(Command::Config(command)) => config::run(command, settings),
         Some(Command::Agent { file }) => {
             let settings = doorgrade_agent::serve::Settings::load(&file)?;
             doorgrade_log::start(doorgrade_log::LevelFilter::INFO, doorgrade_log::Format::Human);
-            doorgrade_agent::serve::serve(settings).map(|()| End::Done)
+            doorgrade_agent::serve::serve(settings).map(|()| Outcome::Done)
         }
         Some(Command::Fleet(command)) => fleet::run(command),
         Some(Command::Neighbours(command)) => neighbours::run(&command, settings),
@@ -184,29 +188,29 @@
         Some(Command::Completions { shell }) => {
             let mut out = Vec::new();
             clap_complete::generate(shell, &mut Cli::command(), "doorgrade", &mut out);
-            say(&String::from_utf8_lossy(&out)).map(|()| End::Done)
+            write_stdout(&String::from_utf8_lossy(&out)).map(|()| Outcome::Done)
         }
-        Some(Command::Man { folder }) => man(&folder).map(|()| End::Done),
+        Some(Command::Man { folder }) => man(&folder).map(|()| Outcome::Done),
     }
 }
 
 fn main() -> ExitCode {
-    let end = end(Cli::parse());
+    let exit_code = execute(Cli::parse());
     doorgrade_log::finish();
-    end
+    exit_code
 }
 
-fn end(cli: Cli) -> ExitCode {
+fn execute(cli: Cli) -> ExitCode {
     let serves = matches!(cli.command, None | Some(Command::Serve));
     match run(cli) {
-        Ok(end) => end.into(),
-        Err(why) if serves => {
+        Ok(outcome) => outcome.into(),
+        Err(reason) if serves => {
             doorgrade_log::start(doorgrade_log::LevelFilter::INFO, doorgrade_log::Format::Human);
-            doorgrade_log::tracing::error!("{why}");
+            doorgrade_log::tracing::error!("{reason}");
             ExitCode::FAILURE
         }
-        Err(why) => {
-            let _ = writeln!(std::io::stderr(), "doorgrade: {why}");
+        Err(reason) => {
+            let _ = writeln!(std::io::stderr(), "doorgrade: {reason}");
             ExitCode::FAILURE
         }
     }
--- a/crates/cli/src/neighbours.rs
+++ b/crates/cli/src/neighbours.rs
@@ -1,4 +1,4 @@
-//! `doorgrade neighbours`: how a front stands among others, by its own word.
+//! `doorgrade neighbours`: a front's view of its neighbours, as the front reports it.
 
 use std::net::SocketAddrV4;
 use std::path::PathBuf;
@@ -10,18 +10,18 @@
 use doorgrade_operator::files;
 use serde_json::json;
 
-use crate::table::columns;
-use crate::{End, say};
+use crate::table::format_table;
+use crate::{Outcome, write_stdout};
 
 #[derive(Args)]
 pub struct Neighbours {
-    /// The front that is asked; the one that the settings are of if none is given
+    /// The front to ask; by default the one that the settings belong to
     #[arg(long, value_name = "ADDRESS")]
     at: Option<SocketAddrV4>,
-    /// Where this machine reaches it, if that is another address than the one that others know
+    /// The address at which this machine reaches the front, if it differs from the one that its neighbours use
     #[arg(long, value_name = "ADDRESS")]
     through: Option<SocketAddrV4>,
-    /// As one JSON object
+    /// Prints one JSON object
     #[arg(long)]
     json: bool,
 }
@@ -52,13 +52,14 @@
     rows.extend(s.rows.iter().map(|r: &Row| {
         let heard = r.heard_ms.map_or("never".into(), |ms| format!("{} ago", seconds(ms)));
         let id = &r.id;
-        let (name, station, at, life) = (&id.name, &id.station, id.address, id.effective_incarnation());
+        let (name, station, address, incarnation) =
+            (&id.name, &id.station, id.address, id.effective_incarnation());
         let state = state(r.state).to_owned();
         vec![
             name.to_string(),
             station.to_string(),
-            at.to_string(),
-            life.to_string(),
+            address.to_string(),
+            incarnation.to_string(),
             state,
             seconds(r.since_ms),
             heard,
@@ -66,20 +67,20 @@
     }));
     let own = &s.own;
     format!(
-        "{} ({}, {}) is {}, in life {}: {} datagrams said, {} not said, {} refused\n{}",
+        "{} ({}, {}) is {}, incarnation {}: {} datagrams sent, {} held back, {} rejected\n{}",
         own.name,
         own.station,
         own.address,
         match s.standing {
             Standing::Among => "among neighbours",
-            Standing::Doubts => "in doubt: it has slept, and nobody has answered since",
+            Standing::Doubts => "in doubt: it was stalled, and no neighbour has answered since",
             Standing::Alone => "alone",
         },
         own.effective_incarnation(),
         s.said,
         s.kept,
         s.refused,
-        columns(&rows)
+        format_table(&rows)
     )
 }
 
@@ -96,7 +97,7 @@
     format!("{own}\n")
 }
 
-/// Asks a front, with the keys that the settings name.
+/// Asks a front for its status, with the seal keys named in the settings.
 pub fn ask(
     settings: Option<PathBuf>,
     at: Option<SocketAddrV4>,
@@ -104,13 +105,13 @@
 ) -> Result<Status, String> {
     let path = settings.unwrap_or_else(|| files::USUAL.into());
     let files = files::load(Some(&path)).map_err(|problems| problems.to_string())?;
-    let off = || {
+    let disabled = || {
         format!(
             "{}: block 'neighbours' is off: expected the settings of a front with neighbours",
             path.display()
         )
     };
-    let own = files.settings.neighbours.ok_or_else(off)?;
+    let own = files.settings.neighbours.ok_or_else(disabled)?;
     let keys = Keys::new(&read_keys(&files::beside(&path, &own.seal_keys))?);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|e| e.to_string())?;
@@ -118,7 +119,7 @@
     runtime.block_on(status(&keys, at, through.unwrap_or(at)))
 }
 
-pub fn run(command: &Neighbours, settings: Option<PathBuf>) -> Result<End, String> {
-    let told = ask(settings, command.at, command.through)?;
-    say(&if command.json { object(&told) } else { table(&told) }).map(|()| End::Done)
+pub fn run(command: &Neighbours, settings: Option<PathBuf>) -> Result<Outcome, String> {
+    let status = ask(settings, command.at, command.through)?;
+    write_stdout(&if command.json { object(&status) } else { table(&status) }).map(|()| Outcome::Done)
 }
--- a/crates/cli/src/recall.rs
+++ b/crates/cli/src/recall.rs
@@ -1,4 +1,4 @@
-//! `doorgrade recall`: what a front remembers, from its store or by its own word.
+//! `doorgrade recall`: what a front remembers, read from its store or reported by the front.
 
 use std::net::SocketAddrV4;
 use std::path::{Path, PathBuf};
@@ -11,33 +11,33 @@
 use doorgrade_stream::clock::now;
 use serde_json::json;
 
-use crate::{End, neighbours, say};
+use crate::{Outcome, neighbours, write_stdout};
 
 #[derive(Subcommand)]
 pub enum Recall {
-    /// Shows what is remembered, how old it is, from whom, and what of it would be dropped now
+    /// Shows what is remembered, its age and origin, and which parts would be dropped now
     Show {
-        /// A store, or the address of a front with neighbours; the settings' own store if neither is given
+        /// A store, or the address of a front with neighbours; by default the store named in the settings
         what: Option<String>,
-        /// Where this machine reaches that front, if that is another address than the one that others know
+        /// The address at which this machine reaches that front, if it differs from the one that its neighbours use
         #[arg(long, value_name = "ADDRESS")]
         through: Option<SocketAddrV4>,
-        /// As one JSON object
+        /// Prints one JSON object
         #[arg(long)]
         json: bool,
     },
 }
 
-fn asked(front: &str, r: &Remembers, json: bool) -> String {
+fn report_of_front(front: &str, r: &Remembers, json: bool) -> String {
     if json {
-        let told = json!({"front": front, "own": r.own, "snapshot": r.snapshot, "neighbours": r.neighbours,
+        let object = json!({"front": front, "own": r.own, "snapshot": r.snapshot, "neighbours": r.neighbours,
             "purges": r.purges, "pages_given": r.given, "pages_turned_down": r.turned_down, "pages_came": r.came,
             "pages_lost": r.lost, "done": r.done});
-        return format!("{told}\n");
+        return format!("{object}\n");
     }
     format!(
-        "{front} remembers {} parts that it saw itself, {} from its snapshot, {} from neighbours, and {} purges\n\
-         {} pages given, {} turned down; {} pages came, {} did not{}\n",
+        "{front} remembers {} parts that it observed itself, {} from its snapshot, {} from neighbours, and {} purges\n\
+         {} pages given, {} rejected; {} pages received, {} missing{}\n",
         r.own,
         r.snapshot,
         r.neighbours,
@@ -46,31 +46,33 @@
         r.turned_down,
         r.came,
         r.lost,
-        if r.done { "" } else { "; it is still asking" }
+        if r.done { "" } else { "; still fetching" }
     )
 }
 
-fn stored(snapshot: &Snapshot, now: u64, json: bool) -> String {
-    let ago = now.saturating_sub(snapshot.taken_at) / 10;
-    let refused = snapshot.check(&snapshot.front, &snapshot.rules, now).err().map(|why| why.to_string());
+fn report_of_snapshot(snapshot: &Snapshot, now: u64, json: bool) -> String {
+    let age_ms = now.saturating_sub(snapshot.taken_at) / 10;
+    let rejection =
+        snapshot.check(&snapshot.front, &snapshot.rules, now).err().map(|reason| reason.to_string());
     let mut memory = Memory::new(snapshot.rules.clone());
     let (.., tally) = memory.import(now, Source::Snapshot, &snapshot.fills, &snapshot.purges);
     if json {
-        let dropped = tally.dropped.iter().map(|(why, count)| (why.to_string(), json!(count)));
-        let told = json!({"front": &*snapshot.front, "taken_ms_ago": ago, "life": snapshot.incarnation,
-            "parts": snapshot.fills.len(), "purges": snapshot.purges.len(), "refused": refused,
+        let dropped = tally.dropped.iter().map(|(reason, count)| (reason.to_string(), json!(count)));
+        let object = json!({"front": &*snapshot.front, "taken_ms_ago": age_ms, "life": snapshot.incarnation,
+            "parts": snapshot.fills.len(), "purges": snapshot.purges.len(), "refused": rejection,
             "would_take": {"parts": tally.fills, "purges": tally.purges},
             "would_drop": dropped.collect::<serde_json::Map<_, _>>()});
-        return format!("{told}\n");
+        return format!("{object}\n");
     }
-    let fresh =
+    let fresh_times =
         snapshot.rules.fresh_times.iter().map(|t| (t / 10).to_string()).collect::<Vec<_>>().join(", ");
-    let verdict = match refused {
-        Some(why) => format!("a start now would leave it out: {why}"),
-        None => format!("a start now would take of it: {tally}"),
+    let verdict = match rejection {
+        Some(reason) => format!("a front that starts now would ignore it: {reason}"),
+        None => format!("a front that starts now would import: {tally}"),
     };
     format!(
-        "{}\'s snapshot of {ago} ms ago, in life {}: {} parts, {} purges; fresh times {fresh} ms\n{verdict}\n",
+        "{}\'s snapshot of {age_ms} ms ago, incarnation {}: {} parts, {} purges; fresh times {fresh_times} ms\n\
+         {verdict}\n",
         snapshot.front,
         snapshot.incarnation,
         snapshot.fills.len(),
@@ -78,35 +80,35 @@
     )
 }
 
-fn of_store(path: &Path, json: bool) -> Result<End, String> {
-    let named = |what: &dyn std::fmt::Display| format!("{}: {what}", path.display());
+fn show_store(path: &Path, json: bool) -> Result<Outcome, String> {
+    let error_at_path = |message: &dyn std::fmt::Display| format!("{}: {message}", path.display());
     if !path.is_file() {
-        return Err(named(&"expected the store of a front"));
+        return Err(error_at_path(&"expected the store of a front"));
     }
     let records = match Records::open(path) {
         Ok((records, None)) => records,
-        Ok((_, Some(trouble))) => return Err(named(&trouble)),
+        Ok((_, Some(trouble))) => return Err(error_at_path(&trouble)),
         Err(Trouble::InUse) => {
-            return Err(named(&"a front that runs has it open: name its address to ask it"));
+            return Err(error_at_path(&"a front that runs has it open: give its address instead"));
         }
-        Err(trouble) => return Err(named(&trouble)),
+        Err(trouble) => return Err(error_at_path(&trouble)),
     };
-    let snapshot = read(&records).map_err(|why| named(&why))?;
-    let snapshot = snapshot.ok_or_else(|| named(&"there is no snapshot in it"))?;
-    say(&stored(&snapshot, now(), json)).map(|()| End::Done)
+    let snapshot = read(&records).map_err(|e| error_at_path(&e))?;
+    let snapshot = snapshot.ok_or_else(|| error_at_path(&"it contains no snapshot"))?;
+    write_stdout(&report_of_snapshot(&snapshot, now(), json)).map(|()| Outcome::Done)
 }
 
-pub fn run(command: Recall, settings: Option<PathBuf>) -> Result<End, String> {
+pub fn run(command: Recall, settings: Option<PathBuf>) -> Result<Outcome, String> {
     let Recall::Show { what, through, json } = command;
     if let Some(at) = what.as_deref().and_then(|what| what.parse::<SocketAddrV4>().ok()) {
-        let told = neighbours::ask(settings, Some(at), through)?;
-        let memory = told.memory.as_ref();
+        let status = neighbours::ask(settings, Some(at), through)?;
+        let memory = status.memory.as_ref();
         let memory = memory
-            .ok_or_else(|| format!("{at}: {} remembers nothing: block \'recall\' is off", told.own.name))?;
-        return say(&asked(&told.own.name, memory, json)).map(|()| End::Done);
+            .ok_or_else(|| format!("{at}: {} remembers nothing: block \'recall\' is off", status.own.name))?;
+        return write_stdout(&report_of_front(&status.own.name, memory, json)).map(|()| Outcome::Done);
     }
     if let Some(file) = what {
-        return of_store(Path::new(&file), json);
+        return show_store(Path::new(&file), json);
     }
     let path = settings.unwrap_or_else(|| files::USUAL.into());
     let files = files::load(Some(&path)).map_err(|problems| problems.to_string())?;
@@ -114,5 +116,5 @@
         .settings
         .recall
         .ok_or_else(|| format!("{}: block \'recall\' is off: name a store or a front", path.display()))?;
-    of_store(&files::beside(&path, &own.store), json)
+    show_store(&files::beside(&path, &own.store), json)
 }
