--- a/crates/cli/tests/clocks.rs
+++ b/crates/cli/tests/clocks.rs
@@ -1,4 +1,4 @@
-//! A machine's wall clock may be stepped, forward or back, while a front runs. All that is waited for is a span of real time.
+//! The wall clock may be stepped forward or back while a front runs. All timers must measure elapsed (monotonic) time.
 
 mod helper;
 
@@ -6,78 +6,80 @@
 
 use doorgrade_standins::Client;
 use doorgrade_standins::client::AccessRequest;
-use helper::clock::{Rig, STEPS, step};
-use helper::forced::{KEY, ended};
-use helper::until;
+use helper::clock::{CLOCK_STEPS_MS, Rig, set_clock_offset};
+use helper::standins::{KEY, wait_for_exit};
+use helper::wait_until;
 
-/// The terms: how late an answer may be, with the 50 ms that sockets are allowed.
+/// How late a response may be by the acceptance rules, including the 50 ms allowed for sockets.
 const SLACK: Duration = Duration::from_millis(100);
 
 fn write(key: &str, wait_ms: u64) -> AccessRequest<'_> {
     AccessRequest { class: "orders", key, bucket: 17, timeout_ms: wait_ms, body: b"a write" }
 }
 
-/// A step forward of an hour was taken for an hour that had passed: the request in hand was over at once.
+/// A step forward by an hour used to be taken for an hour elapsed: a request in flight timed out at once.
 #[test]
-fn a_request_in_hand_is_answered_though_the_clock_is_stepped() {
-    for ms in STEPS {
-        let rig = Rig::with_lag(0, Duration::from_millis(300));
-        let mut client = Client::connect(rig.front.at).unwrap();
+fn a_request_in_flight_gets_its_response_though_the_clock_is_stepped() {
+    for ms in CLOCK_STEPS_MS {
+        let rig = Rig::with_origin_latency(0, Duration::from_millis(300));
+        let mut client = Client::connect(rig.front.address).unwrap();
         client.send_access(&write(KEY, 1_500)).unwrap();
-        until("its origin has it", || rig.origin.requests() == 1);
-        step(&rig.shim, ms);
+        wait_until("the origin has received it", || rig.origin.requests() == 1);
+        set_clock_offset(&rig.shim, ms);
         let (head, _) = client.receive().unwrap();
         assert!(head.starts_with("Status: 200"), "{ms} ms: {head}");
-        // The next are served as ever.
+        // Later requests are served as usual.
         assert!(rig.read(KEY).starts_with("Status: 200"), "{ms} ms");
     }
 }
 
-/// A step back by under a second stopped the front's clock for as long: whoever waited was answered that much later.
+/// A step back by less than a second used to stop the front's clock for that time, which delayed responses by as much.
 #[test]
-fn a_request_whose_cache_hangs_is_given_up_in_time_though_the_clock_is_stepped() {
-    for ms in STEPS {
+fn a_request_whose_cache_hangs_times_out_on_time_though_the_clock_is_stepped() {
+    for ms in CLOCK_STEPS_MS {
         let rig = Rig::start(0);
         rig.origin.gate().set_closed(true);
-        let mut client = Client::connect(rig.front.at).unwrap();
+        let mut client = Client::connect(rig.front.address).unwrap();
         let wait = Duration::from_millis(800);
-        let asked = Instant::now();
+        let sent_at = Instant::now();
         client.send_access(&write(KEY, wait.as_millis() as u64)).unwrap();
-        until("its origin has it", || rig.origin.gate().waiting() == 1);
-        step(&rig.shim, ms);
+        wait_until("the origin has received it", || rig.origin.gate().waiting() == 1);
+        set_clock_offset(&rig.shim, ms);
         let (head, _) = client.receive().unwrap();
-        let took = asked.elapsed();
+        let took = sent_at.elapsed();
         assert!(head.starts_with("Status: 500"), "{ms} ms: {head}");
-        assert!(took > wait - SLACK && took < wait + SLACK, "{ms} ms: given up after {took:?} of {wait:?}");
+        assert!(took > wait - SLACK && took < wait + SLACK, "{ms} ms: timed out after {took:?} of {wait:?}");
         rig.origin.gate().set_closed(false);
     }
 }
 
-/// The word to stop gives 0.9 s for what still comes and ends what is open within the longest limit (2 s) and 0.4 s.
+/// After SIGTERM a front accepts requests for 0.9 s and ends those in flight within the longest limit (2 s) and 0.4 s.
 #[test]
-fn an_end_takes_as_long_as_ever_though_the_clock_is_stepped() {
-    for ms in STEPS {
+fn a_shutdown_takes_its_usual_time_though_the_clock_is_stepped() {
+    for ms in CLOCK_STEPS_MS {
         let mut rig = Rig::start(0);
-        rig.one.preload(&format!("/data/images/{KEY}/0"), 0);
-        rig.two.preload(&format!("/data/images/{KEY}/0"), 0);
+        rig.first_cache.preload(&format!("/data/images/{KEY}/0"), 0);
+        rig.second_cache.preload(&format!("/data/images/{KEY}/0"), 0);
         rig.origin.gate().set_closed(true);
-        let mut client = Client::connect(rig.front.at).unwrap();
+        let mut client = Client::connect(rig.front.address).unwrap();
         client.send_access(&write(KEY, 60_000)).unwrap();
-        until("its origin has it", || rig.origin.gate().waiting() == 1);
+        wait_until("the origin has received it", || rig.origin.gate().waiting() == 1);
         rig.front.signal("-TERM");
-        let told = Instant::now();
-        until("it is told", || rig.front.log().iter().any(|l| l.contains("told to stop")));
-        step(&rig.shim, ms);
-        std::thread::sleep(Duration::from_millis(600).saturating_sub(told.elapsed()));
-        assert!(rig.read(KEY).starts_with("Status: 200"), "{ms} ms: still taken");
+        let signalled_at = Instant::now();
+        wait_until("the front logs the signal", || {
+            rig.front.log().iter().any(|l| l.contains("told to stop"))
+        });
+        set_clock_offset(&rig.shim, ms);
+        std::thread::sleep(Duration::from_millis(600).saturating_sub(signalled_at.elapsed()));
+        assert!(rig.read(KEY).starts_with("Status: 200"), "{ms} ms: still accepted");
         let (head, _) = client.receive().unwrap();
-        let took = told.elapsed();
+        let took = signalled_at.elapsed();
         assert!(head.starts_with("Status: 500"), "{ms} ms: {head}");
         assert!(
             took > Duration::from_millis(2_000) && took < Duration::from_millis(2_650),
             "{ms} ms: {took:?}"
         );
-        assert!(ended(&mut rig.front, Duration::from_millis(700)).success(), "{ms} ms");
+        assert!(wait_for_exit(&mut rig.front, Duration::from_millis(700)).success(), "{ms} ms");
         rig.origin.gate().set_closed(false);
     }
 }
--- a/crates/cli/tests/cold.rs
+++ b/crates/cli/tests/cold.rs
@@ -1,5 +1,5 @@
-//! Twenty and thirty real processes before a cache that has just started: what comes to it from all of them together, counted
-//! there, against what acceptance allows.
+//! Twenty and thirty real fronts and a cache that has just restarted: the requests that it gets from all of them together,
+//! counted at the cache, against the acceptance limit.
 
 mod helper;
 
@@ -11,24 +11,26 @@
 
 const WINDOW_MS: u64 = 1_500;
 const COLD_MS: f64 = 17_000.0;
-const FROM: f64 = 0.16;
-const MULTIPLE: f64 = 2.0;
-/// Accesses a second for each of the three caches, over all fronts: N is 4.8 at the start.
-const EACH: f64 = 10.0;
+/// Share of its usual rate that a cold cache may get at its start.
+const START_SHARE: f64 = 0.16;
+/// Setting `fallMultiple`.
+const FALL_MULTIPLE: f64 = 2.0;
+/// Accesses per second and cache, over all fronts: N is 4.8 at the start.
+const ACCESSES_PER_S: f64 = 10.0;
 
-/// The highest share of N + 2 root N + 2 that came in one window, by what was allowed when it began.
-fn highest(came: &[u64], start: u64) -> f64 {
+/// The highest share of the limit N + 2 √N + 2 that one window reached, with N as allowed at the window's start.
+fn highest_share(arrivals: &[u64], start: u64) -> f64 {
     let mut worst = 0f64;
-    for (at, &first) in came.iter().enumerate() {
-        let count = came[at..].iter().take_while(|&&t| t < first + WINDOW_MS).count();
-        let share = FROM + (1.0 - FROM) * (first - start) as f64 / COLD_MS;
-        let n = MULTIPLE * share.min(1.0) * EACH * WINDOW_MS as f64 / 1_000.0;
+    for (at, &first) in arrivals.iter().enumerate() {
+        let count = arrivals[at..].iter().take_while(|&&t| t < first + WINDOW_MS).count();
+        let share = START_SHARE + (1.0 - START_SHARE) * (first - start) as f64 / COLD_MS;
+        let n = FALL_MULTIPLE * share.min(1.0) * ACCESSES_PER_S * WINDOW_MS as f64 / 1_000.0;
         worst = worst.max(count as f64 / (n + 2.0 * n.sqrt() + 2.0));
     }
     worst
 }
 
-fn many(fronts: usize) {
+fn check_load_on_cold_cache(fronts: usize) {
     let directory = Directory::default();
     let member = |id, role| Member::start(MemberConfig::new(id, "127.0.0.1:0", role), &directory).unwrap();
     let caches = ["s-00000001", "s-00000002", "s-00000003"].map(|id| member(id, Role::Cache));
@@ -48,12 +50,12 @@
         ("{\"id\": \"s-00000020\"", third),
         ("\"fleetSize\": 1", format!("\"fleetSize\": {fronts}")),
         ("\"crewByZone\": [1]", format!("\"crewByZone\": [{fronts}]")),
-        ("\"fallMultiple\": 4.0", format!("\"fallMultiple\": {MULTIPLE}")),
+        ("\"fallMultiple\": 4.0", format!("\"fallMultiple\": {FALL_MULTIPLE}")),
     ] {
         assert!(config.contains(from), "{from}");
         config = config.replace(from, &to);
     }
-    // Each file is read before the next is written.
+    // Each front has read its configuration before the next one is written.
     let fronts: Vec<_> = (0..fronts)
         .map(|n| start(&config.replace("8c1f30d27a5be964", &format!("{:016x}", n + 1)), None))
         .collect();
@@ -64,38 +66,39 @@
             let (stop, count) = (&stop, fronts.len() as f64);
             scope.spawn(move || {
                 let mut rng = fastrand::Rng::with_seed(n as u64);
-                let mut client = Client::connect(front.at).unwrap();
+                let mut client = Client::connect(front.address).unwrap();
                 while !stop.load(Ordering::SeqCst) {
-                    let pause = -(1.0 - rng.f64()).ln() * count / (3.0 * EACH);
+                    let pause = -(1.0 - rng.f64()).ln() * count / (3.0 * ACCESSES_PER_S);
                     std::thread::sleep(Duration::from_secs_f64(pause.min(3.0)));
                     let key = format!("{:016x}", rng.u64(..));
                     let _ = client.request("images", &key, 2_000);
                 }
             });
         }
-        // As long as it takes to learn what is usual, then word that one has started anew.
+        // Long enough for the fronts to learn the usual rates; then the feed reports that one cache has restarted.
         std::thread::sleep(Duration::from_secs(10).saturating_sub(begun.elapsed()));
         started = unix_ms();
         feed.publish_members(2, &[feed::member_record("s-00000001", caches[0].address, 0, 0, 0, started)]);
         std::thread::sleep(Duration::from_secs(10));
         stop.store(true, Ordering::SeqCst);
     });
-    // Told some tens of milliseconds later: what came before is not of this start.
-    let told = started + 100;
-    let came: Vec<u64> = caches[0].request_log().into_iter().map(|a| a.0).filter(|&at| at >= told).collect();
-    let warm = caches[1].request_log().into_iter().filter(|a| a.0 >= told).count();
-    let worst = highest(&came, started);
-    assert!(warm > 50, "{warm} came to a warm one");
-    assert!(!came.is_empty(), "it never begins");
-    assert!(worst <= 1.0, "{worst} of what is allowed came in one window: {came:?}, {started}");
+    // The fronts learn of it some tens of milliseconds later; earlier requests don't count.
+    let counted_from = started + 100;
+    let arrivals: Vec<u64> =
+        caches[0].request_log().into_iter().map(|a| a.0).filter(|&at| at >= counted_from).collect();
+    let warm = caches[1].request_log().into_iter().filter(|a| a.0 >= counted_from).count();
+    let worst = highest_share(&arrivals, started);
+    assert!(warm > 50, "{warm} requests came to a warm cache");
+    assert!(!arrivals.is_empty(), "the cold cache gets no requests");
+    assert!(worst <= 1.0, "{worst} of the limit came in one window: {arrivals:?}, {started}");
 }
 
 #[test]
-fn twenty_processes_do_not_send_a_cold_cache_too_much() {
-    many(20);
+fn twenty_fronts_do_not_overload_a_cold_cache() {
+    check_load_on_cold_cache(20);
 }
 
 #[test]
-fn thirty_processes_do_not_send_a_cold_cache_too_much() {
-    many(30);
+fn thirty_fronts_do_not_overload_a_cold_cache() {
+    check_load_on_cold_cache(30);
 }
--- a/crates/cli/tests/descriptors.rs
+++ b/crates/cli/tests/descriptors.rs
@@ -1,4 +1,4 @@
-//! Starts, descriptors and floods with real connections: clients, whatever they do, leave the front what it needs.
+//! Starts, descriptor limits and floods of clients, with real connections: no client may use up what a front needs to serve.
 
 mod helper;
 
@@ -9,75 +9,77 @@
 use std::time::{Duration, Instant};
 
 use doorgrade_standins::{Client, Feed};
-use helper::forced::{KEY, SOON, caches, config};
-use helper::{Front, Launch, start, until};
+use helper::standins::{KEY, TIMEOUT, example_config, start_members};
+use helper::{Front, Launch, start, wait_until};
 
-/// The process that had the address before goes only after some seconds.
+/// The previous process keeps its address for some seconds more.
 #[test]
 fn a_start_waits_for_an_address_that_is_still_in_use() {
-    let (_directory, [one, two, origin], feed) = caches();
-    let before = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-    let at = before.local_addr().unwrap().to_string();
-    let config = config(
+    let (_directory, [one, two, origin], feed) = start_members();
+    let previous = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
+    let at = previous.local_addr().unwrap().to_string();
+    let config = example_config(
         [&one.address, &two.address, &origin.address, &feed.address],
         &[("\"listen\": \"127.0.0.1:0\"", &format!("\"listen\": \"{at}\""))],
     );
-    let leaves = std::thread::spawn(move || {
-        // Longer than the 3.7 s that a front may take to end.
+    let previous_exit = std::thread::spawn(move || {
+        // Longer than the 3.7 s that a front may take to shut down.
         std::thread::sleep(Duration::from_millis(4_000));
-        drop(before);
+        drop(previous);
     });
     let front = start(&config, None);
-    assert_eq!(front.at.to_string(), at);
-    assert!(Client::connect(front.at).unwrap().is_ready().unwrap());
-    leaves.join().unwrap();
+    assert_eq!(front.address.to_string(), at);
+    assert!(Client::connect(front.address).unwrap().is_ready().unwrap());
+    previous_exit.join().unwrap();
 }
 
-/// While discovery is down clients fill the descriptors to the last; then it is back, and all goes on.
+/// While discovery is down, clients use up the descriptors. Once it is back, the front must still reach it and serve.
 #[test]
-fn idle_clients_cannot_take_the_descriptors_of_feed_and_caches() {
-    idle_clients_take_no_more_than_their_share(&[]);
+fn idle_clients_can_not_use_up_the_descriptors_for_feed_and_caches() {
+    check_descriptor_limit_with_idle_clients(&[]);
 }
 
-/// The front was told of 64 descriptors, but whoever started it had left some open for it: with one numbered over the
-/// limit it came to "65 descriptors of 64", with two below it the log said that no descriptor was left.
+/// The front was configured for 64 descriptors, but inherited open ones from the process that started it: with one numbered
+/// above the limit it reached "65 descriptors of 64", with two below the limit the log said that no descriptor was left.
 #[test]
 fn descriptors_that_a_front_inherits_count_against_its_limit() {
-    // So many that the count passes the limit on a busy machine, too, where connections to caches are fewer at once.
-    idle_clients_take_no_more_than_their_share(&[20, 21, 22, 23, 24, 25, 26, 27, 28, 29, 90, 91]);
+    // So many that the count would exceed the limit also on a busy machine, where fewer connections to caches are open.
+    check_descriptor_limit_with_idle_clients(&[20, 21, 22, 23, 24, 25, 26, 27, 28, 29, 90, 91]);
 }
 
-fn idle_clients_take_no_more_than_their_share(inherited: &[u32]) {
-    // The machine's own limit is lower than what the configuration says, or the same.
-    for (told, machine) in [(1_024, 64), (64, 64), (64, 1_024)] {
-        let (_directory, [one, two, origin], _) = caches();
+fn check_descriptor_limit_with_idle_clients(inherited: &[u32]) {
+    // The configured limit, and the process limit (`ulimit -n`).
+    for (configured, ulimit) in [(1_024, 64), (64, 64), (64, 1_024)] {
+        let (_directory, [one, two, origin], _) = start_members();
         let gone = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
         let at = gone.local_addr().unwrap();
         drop(gone);
-        let sockets = format!("\"sockets\": {told}");
-        let config =
-            config([&one.address, &two.address, &origin.address, &at], &[("\"sockets\": 1024", &sockets)]);
-        let front = Launch { most_descriptors: Some(machine), inherited, ..Launch::default() }.start(&config);
+        let sockets = format!("\"sockets\": {configured}");
+        let config = example_config(
+            [&one.address, &two.address, &origin.address, &at],
+            &[("\"sockets\": 1024", &sockets)],
+        );
+        let front = Launch { max_descriptors: Some(ulimit), inherited, ..Launch::default() }.start(&config);
         let fds = format!("/proc/{}/fd", front.process.id());
         let done = AtomicBool::new(false);
-        let most = std::thread::scope(|scope| {
-            // It never rests, so that no peak is missed.
-            let most = scope.spawn(|| {
-                let mut most = 0;
+        let max = std::thread::scope(|scope| {
+            // Counts without a pause, so that no peak is missed.
+            let counter = scope.spawn(|| {
+                let mut max = 0;
                 while !done.load(Ordering::SeqCst) {
-                    most = most.max(std::fs::read_dir(&fds).unwrap().count());
+                    max = max.max(std::fs::read_dir(&fds).unwrap().count());
                 }
-                most
+                max
             });
-            // Also when a check fails: the scope waits for its threads.
+            // Set also when an assertion fails, since the scope waits for its threads.
             let finished = SetOnDrop(&done);
-            clients_come_and_discovery_returns(&front, at);
+            check_service_once_discovery_returns(&front, at);
             drop(finished);
-            most.join().unwrap()
+            counter.join().unwrap()
         });
-        assert!(most <= 64, "{most} descriptors of 64 ({told} told, {machine} by the machine)");
-        let told = front.log();
-        assert!(!told.iter().any(|l| l.contains("no descriptor or memory left")), "{told:#?}");
+        assert!(max <= 64, "{max} descriptors of 64 ({configured} configured, ulimit {ulimit})");
+        let log = front.log();
+        assert!(!log.iter().any(|l| l.contains("no descriptor or memory left")), "{log:#?}");
     }
 }
 
@@ -89,32 +91,32 @@
     }
 }
 
-/// Idle clients fill the descriptors; then discovery is back at its address, and others want to be served.
-fn clients_come_and_discovery_returns(front: &Front, discovery: SocketAddr) {
+/// Idle clients use up the descriptors; then discovery is back at its address, and other clients send requests.
+fn check_service_once_discovery_returns(front: &Front, discovery: SocketAddr) {
     let mut idle = Vec::new();
     for _ in 0..200 {
-        idle.extend(TcpStream::connect(front.at));
+        idle.extend(TcpStream::connect(front.address));
     }
     let feed = Feed::start(&discovery.to_string()).unwrap();
     let back = Instant::now();
-    until("the feed is followed", || !feed.resume_numbers().is_empty());
-    // Its usual time: it is asked anew after a second at the most.
+    wait_until("the front subscribes to the feed", || !feed.resume_numbers().is_empty());
+    // The front retries at least once a second.
     assert!(back.elapsed() < Duration::from_millis(1_600), "{:?}", back.elapsed());
     let begun = Instant::now();
     for number in 0..100 {
-        let mut client = Client::connect(front.at).unwrap();
+        let mut client = Client::connect(front.address).unwrap();
         assert!(client.is_ready().unwrap(), "{number}");
         let (head, _) = client.request("images", &format!("{number:016x}"), 2_000).unwrap();
         assert!(head.starts_with("Status: 200"), "{number}: {head}");
-        idle.extend(TcpStream::connect(front.at));
+        idle.extend(TcpStream::connect(front.address));
     }
-    // Each newcomer finds its place at once: 100 of them, and as many idle ones.
+    // Each new client gets a place at once: 100 of them, and as many idle ones.
     assert!(begun.elapsed() < Duration::from_secs(5), "{:?} for 100", begun.elapsed());
 }
 
 #[test]
-fn a_descriptor_limit_too_small_to_serve_ends_the_start_with_what_to_do() {
-    let config = config([&"127.0.0.1:1"; 4], &[]);
+fn a_descriptor_limit_too_low_to_serve_fails_the_start_with_advice() {
+    let config = example_config([&"127.0.0.1:1"; 4], &[]);
     let path = std::env::temp_dir().join(format!("doorgrade-few-{}.json", std::process::id()));
     std::fs::write(&path, config).unwrap();
     let line = format!("ulimit -n 20; exec {}", env!("CARGO_BIN_EXE_doorgrade"));
@@ -129,34 +131,34 @@
     let status = loop {
         match process.try_wait().unwrap() {
             Some(status) => break status.code(),
-            None if begun.elapsed() > SOON => {
+            None if begun.elapsed() > TIMEOUT => {
                 process.kill().unwrap();
                 break None;
             }
             None => std::thread::sleep(Duration::from_millis(5)),
         }
     };
-    let mut said = String::new();
-    process.stderr.take().unwrap().read_to_string(&mut said).unwrap();
-    assert_eq!(status, Some(1), "{said}");
-    assert!(said.contains("20") && said.contains("32") && said.contains("ulimit -n"), "{said}");
+    let mut stderr = String::new();
+    process.stderr.take().unwrap().read_to_string(&mut stderr).unwrap();
+    assert_eq!(status, Some(1), "{stderr}");
+    assert!(stderr.contains("20") && stderr.contains("32") && stderr.contains("ulimit -n"), "{stderr}");
     std::fs::remove_file(&path).unwrap();
 }
 
-/// Thirty are started together, discovery is down: nine in ten are ready within 10 s, and all within 30.
+/// Thirty fronts start together while discovery is down: nine in ten must be ready within 10 s, and all within 30 s.
 #[test]
 fn thirty_fronts_restarted_together_are_ready_while_discovery_is_down() {
     let gone = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let at = gone.local_addr().unwrap();
     drop(gone);
-    let (_directory, [one, two, origin], _) = caches();
-    let config = config([&one.address, &two.address, &origin.address, &at], &[]);
+    let (_directory, [one, two, origin], _) = start_members();
+    let config = example_config([&one.address, &two.address, &origin.address, &at], &[]);
     let begun = Instant::now();
     let mut took: Vec<_> = std::thread::scope(|scope| {
         let one = || {
             let front = start(&config, None);
-            assert!(Client::connect(front.at).unwrap().is_ready().unwrap());
-            // All of them are up together.
+            assert!(Client::connect(front.address).unwrap().is_ready().unwrap());
+            // The front is returned, so that all of them run at the same time.
             (begun.elapsed(), front)
         };
         let all: Vec<_> = (0..30).map(|_| scope.spawn(one)).collect();
@@ -171,17 +173,18 @@
     assert!(took[26] < Duration::from_secs(10) && took[29] < Duration::from_secs(30), "{took:?}");
 }
 
-/// Clients send bodies without end, and go on after they were told that it is too much.
+/// Clients send endless bodies, and keep sending after their requests were rejected as too large.
 #[test]
-fn clients_that_send_without_end_keep_nobody_from_being_served() {
-    let (_directory, [one, two, origin], feed) = caches();
-    let front = start(&config([&one.address, &two.address, &origin.address, &feed.address], &[]), None);
+fn clients_that_send_endless_bodies_do_not_delay_others() {
+    let (_directory, [one, two, origin], feed) = start_members();
+    let front =
+        start(&example_config([&one.address, &two.address, &origin.address, &feed.address], &[]), None);
     let (stop, ends) = (AtomicBool::new(false), AtomicUsize::new(0));
     std::thread::scope(|scope| {
         for _ in 0..4 {
             scope.spawn(|| {
                 while !stop.load(Ordering::SeqCst) {
-                    let Ok(mut raw) = TcpStream::connect(front.at) else { continue };
+                    let Ok(mut raw) = TcpStream::connect(front.address) else { continue };
                     let begin =
                         [&[1u8, 1, 0, 1, 0, 8, 0, 0, 0, 1, 1, 0, 0, 0, 0, 0][..], &[1, 4, 0, 1, 0, 0, 0, 0]]
                             .concat();
@@ -195,9 +198,9 @@
         let mut slowest = Duration::ZERO;
         let begun = Instant::now();
         while begun.elapsed() < Duration::from_secs(3) || ends.load(Ordering::SeqCst) < 8 {
-            assert!(begun.elapsed() < SOON, "their connections are not ended");
+            assert!(begun.elapsed() < TIMEOUT, "their connections are not closed");
             let asked = Instant::now();
-            let mut client = Client::connect(front.at).unwrap();
+            let mut client = Client::connect(front.address).unwrap();
             assert!(client.is_ready().unwrap());
             assert!(client.request("images", KEY, 2_000).unwrap().0.starts_with("Status: 200"));
             slowest = slowest.max(asked.elapsed());
--- a/crates/cli/tests/helper/control.rs
+++ b/crates/cli/tests/helper/control.rs
@@ -1,4 +1,4 @@
-//! The service of versions as a process.
+//! The control service as a process.
 
 use std::ffi::OsString;
 use std::io::{BufRead, BufReader};
@@ -10,9 +10,11 @@
 
 pub struct Control {
     pub process: Child,
-    pub fronts: SocketAddr,
-    pub operators: SocketAddr,
-    lines: Arc<Mutex<Vec<String>>>,
+    /// Where fronts connect.
+    pub fronts_address: SocketAddr,
+    /// Where the `config` commands connect.
+    pub operators_address: SocketAddr,
+    log_lines: Arc<Mutex<Vec<String>>>,
 }
 
 impl Drop for Control {
@@ -23,37 +25,43 @@
 }
 
 impl Control {
-    pub fn lines(&self) -> Vec<String> {
-        self.lines.lock().unwrap().clone()
+    pub fn log_lines(&self) -> Vec<String> {
+        self.log_lines.lock().unwrap().clone()
     }
 }
 
-/// As the block `publication` has it, for tests that do not wait.
-pub const QUICK: &str = "  soak_ms = 50\n  answer_within_ms = 5000";
+/// Content of the settings block `publication` for rollouts without long waits.
+pub const QUICK_ROLLOUT: &str = "  soak_ms = 50\n  answer_within_ms = 5000";
 
-pub fn control(place: &Installation, at: &str, publication: &str) -> Control {
-    control_with(place, at, publication, Vec::new())
+pub fn start_control(installation: &Installation, listen: &str, publication: &str) -> Control {
+    start_control_with(installation, listen, publication, Vec::new())
 }
 
-/// With further variables of its environment.
-pub fn control_with(
-    place: &Installation,
-    at: &str,
+/// With additional environment variables.
+pub fn start_control_with(
+    installation: &Installation,
+    listen: &str,
     publication: &str,
     environment: Vec<(&str, OsString)>,
 ) -> Control {
-    let file = place.write_control_settings(at, "127.0.0.1:0", publication).unwrap();
+    let file = installation.write_control_settings(listen, "127.0.0.1:0", publication).unwrap();
     let mut command = Command::new(env!("CARGO_BIN_EXE_doorgrade"));
     command.envs(environment);
     let mut process = command.arg("control").arg("--file").arg(file).stderr(Stdio::piped()).spawn().unwrap();
     let mut lines = BufReader::new(process.stderr.take().unwrap()).lines();
-    let line = lines.by_ref().map_while(Result::ok).find(|l| l.contains("fronts at ")).expect("it starts");
-    let kept = Arc::new(Mutex::new(Vec::new()));
-    let to = kept.clone();
-    std::thread::spawn(move || lines.map_while(Result::ok).for_each(|line| to.lock().unwrap().push(line)));
-    let address = |after: &str| {
-        let (_, rest) = line.split_once(after).unwrap();
+    let line =
+        lines.by_ref().map_while(Result::ok).find(|l| l.contains("fronts at ")).expect("the service starts");
+    let log_lines = Arc::new(Mutex::new(Vec::new()));
+    let sink = log_lines.clone();
+    std::thread::spawn(move || lines.map_while(Result::ok).for_each(|line| sink.lock().unwrap().push(line)));
+    let address = |prefix: &str| {
+        let (_, rest) = line.split_once(prefix).unwrap();
         rest.split([',', ' ']).next().unwrap().parse().unwrap()
     };
-    Control { process, fronts: address("fronts at "), operators: address("operators at "), lines: kept }
+    Control {
+        process,
+        fronts_address: address("fronts at "),
+        operators_address: address("operators at "),
+        log_lines,
+    }
 }
--- a/crates/cli/tests/helper/mod.rs
+++ b/crates/cli/tests/helper/mod.rs
@@ -1,10 +1,10 @@
-//! The program itself as a process.
-#![allow(dead_code)] // Each test file uses a part.
+//! A front as a process.
+#![allow(dead_code)] // Each test target uses only a part.
 
 pub mod clock;
 pub mod control;
 pub mod fleet;
-pub mod forced;
+pub mod standins;
 
 use std::ffi::OsString;
 use std::io::{BufRead, BufReader, Read};
@@ -17,7 +17,7 @@
 pub struct Front {
     pub process: Child,
     pub config: std::path::PathBuf,
-    pub at: std::net::SocketAddr,
+    pub address: std::net::SocketAddr,
     lines: Arc<Mutex<Vec<String>>>,
 }
 
@@ -32,16 +32,16 @@
     Launch { settings, ..Launch::default() }.start(config)
 }
 
-/// How a front is started.
+/// Options of a front's start.
 #[derive(Default)]
 pub struct Launch<'a> {
-    /// The operators' settings; none of them without.
+    /// The operators' settings file, if any.
     pub settings: Option<&'a Path>,
-    /// The machine's limit of descriptors.
-    pub most_descriptors: Option<usize>,
-    /// Descriptors, by their numbers, that are left open for the front to inherit.
+    /// The limit of descriptors set with `ulimit -n`.
+    pub max_descriptors: Option<usize>,
+    /// Descriptor numbers that are left open for the front to inherit.
     pub inherited: &'a [u32],
-    /// Further variables of its environment.
+    /// Additional environment variables.
     pub environment: Vec<(&'a str, OsString)>,
 }
 
@@ -61,41 +61,42 @@
             .stderr(Stdio::piped())
             .spawn()
             .unwrap();
-        let (lines, at) = follow(process.stderr.take().unwrap());
-        Front { process, config: path, at, lines }
+        let (lines, address) = read_log(process.stderr.take().unwrap());
+        Front { process, config: path, address, lines }
     }
 
     fn command(&self) -> Command {
         let program = env!("CARGO_BIN_EXE_doorgrade");
-        if self.most_descriptors.is_none() && self.inherited.is_empty() {
+        if self.max_descriptors.is_none() && self.inherited.is_empty() {
             return Command::new(program);
         }
-        // By bash: other shells can't name descriptors over 9.
-        let mut line = String::new();
+        // bash, since other shells can't redirect descriptors above 9.
+        let mut script = String::new();
         for number in self.inherited {
-            line.push_str(&format!("exec {number}</dev/null; "));
+            script.push_str(&format!("exec {number}</dev/null; "));
         }
-        if let Some(most) = self.most_descriptors {
-            line.push_str(&format!("ulimit -n {most}; "));
+        if let Some(max) = self.max_descriptors {
+            script.push_str(&format!("ulimit -n {max}; "));
         }
         let mut shell = Command::new("bash");
-        shell.args(["-c", &format!("{line}exec {program}")]);
+        shell.args(["-c", &format!("{script}exec {program}")]);
         shell
     }
 }
 
-/// The log from here on, and the address that it says the front listens on.
-pub fn follow(log: impl Read + Send + 'static) -> (Arc<Mutex<Vec<String>>>, std::net::SocketAddr) {
+/// Reads a front's log on a thread, so that a full pipe never blocks the front; the lines, and the address that the
+/// front listens on.
+pub fn read_log(log: impl Read + Send + 'static) -> (Arc<Mutex<Vec<String>>>, std::net::SocketAddr) {
     let mut log = BufReader::new(log).lines();
-    // The log says where it listens; it is read on, so that it never blocks the front.
     let lines = Arc::new(Mutex::new(Vec::new()));
     let line = log.by_ref().map_while(Result::ok).inspect(|line| lines.lock().unwrap().push(line.clone()));
-    let line = { line }.find(|line| line.contains(" listens on ")).expect("it starts");
-    let (_, at) = line.split_once(" listens on ").unwrap();
-    let at = at.split(|c: char| !c.is_ascii_digit() && c != '.' && c != ':').next().unwrap().parse().unwrap();
-    let kept = lines.clone();
-    std::thread::spawn(move || log.map_while(Result::ok).for_each(|line| kept.lock().unwrap().push(line)));
-    (lines, at)
+    let line = { line }.find(|line| line.contains(" listens on ")).expect("the front starts");
+    let (_, rest) = line.split_once(" listens on ").unwrap();
+    let address =
+        rest.split(|c: char| !c.is_ascii_digit() && c != '.' && c != ':').next().unwrap().parse().unwrap();
+    let sink = lines.clone();
+    std::thread::spawn(move || log.map_while(Result::ok).for_each(|line| sink.lock().unwrap().push(line)));
+    (lines, address)
 }
 
 impl Front {
@@ -109,14 +110,14 @@
 }
 
 pub fn signal(process: u32, name: &str) {
-    let told = Command::new("kill").args([name, &process.to_string()]).status().unwrap();
-    assert!(told.success());
+    let status = Command::new("kill").args([name, &process.to_string()]).status().unwrap();
+    assert!(status.success());
 }
 
-pub fn until(what: &str, mut holds: impl FnMut() -> bool) {
-    let begun = Instant::now();
-    while !holds() {
-        assert!(begun.elapsed() < Duration::from_secs(20), "{what}");
+pub fn wait_until(description: &str, mut condition: impl FnMut() -> bool) {
+    let started_at = Instant::now();
+    while !condition() {
+        assert!(started_at.elapsed() < Duration::from_secs(20), "{description}");
         std::thread::sleep(Duration::from_millis(10));
     }
 }
--- a/crates/cli/tests/known_red.rs
+++ b/crates/cli/tests/known_red.rs
@@ -1,4 +1,4 @@
-//! The list of tests that may fail is read strictly: it must not grow into a way round them.
+//! The list of known failing tests is parsed strictly, so that it can't become a way to skip tests.
 
 use std::path::Path;
 use std::process::{Command, Output};
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn a_list_of_known_failures_is_taken_line_by_line() {
+fn a_valid_list_of_known_failures_is_accepted() {
     let text = "# why\n\ndoorgrade-front reducer a_test | the cause | issue 37\ndoorgrade lib other | it | 4";
     let out = read("sound", text);
     assert!(out.status.success(), "{}", String::from_utf8_lossy(&out.stderr));
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_fourth_test_or_one_without_cause_or_issue_fails_the_list() {
+fn a_fourth_test_or_one_without_cause_or_issue_is_rejected() {
     let line = "doorgrade-front reducer a_test | the cause | 37\n";
     for (name, text) in [
         ("four", line.repeat(4)),
@@ -34,6 +34,6 @@
     ] {
         let out = read(name, &text);
         assert_eq!(out.status.code(), Some(1), "{name}: {}", String::from_utf8_lossy(&out.stdout));
-        assert!(!out.stderr.is_empty(), "{name}: it says why");
+        assert!(!out.stderr.is_empty(), "{name}: a message is printed");
     }
 }
--- a/crates/cli/tests/log_writes.rs
+++ b/crates/cli/tests/log_writes.rs
@@ -1,4 +1,4 @@
-//! A log that cannot be written: its disk is full, its reader has gone, or its reader has stopped reading.
+//! A log that cannot be written: the disk is full, the reader has exited, or the reader has stopped reading.
 
 mod helper;
 
@@ -9,10 +9,10 @@
 use doorgrade_standins::client::AccessRequest;
 use doorgrade_standins::ports::free_address;
 use doorgrade_standins::{Client, Feed, Member};
-use helper::forced::{caches, config};
-use helper::until;
+use helper::standins::{example_config, start_members};
+use helper::wait_until;
 
-/// With its lines of level `debug`, these fill a pipe (64 KB) several times over.
+/// At log level `debug`, so many requests fill a pipe (64 KB) several times.
 const REQUESTS: usize = 600;
 
 struct Running {
@@ -28,10 +28,10 @@
     }
 }
 
-/// A front with its log there; it is not read, so the front's address is chosen for it.
+/// Starts a front that logs to `log`. Its address is chosen here, since it can't be read from the log.
 fn start(name: &str, [one, two, origin]: &[Member; 3], feed: &Feed, log: Stdio) -> (Running, SocketAddr) {
     let debug = ("\"log\": \"info\"", "\"log\": \"debug\"");
-    let text = config([&one.address, &two.address, &origin.address, &feed.address], &[debug]);
+    let text = example_config([&one.address, &two.address, &origin.address, &feed.address], &[debug]);
     let path = std::env::temp_dir().join(format!("doorgrade-log-{}-{name}.json", std::process::id()));
     std::fs::write(&path, text).unwrap();
     let at = free_address();
@@ -46,52 +46,52 @@
     (Running { process, config: path }, at)
 }
 
-/// All are answered, and the front ends in order.
-fn serves(running: &mut Running, at: SocketAddr) {
+/// Asserts that all requests get a response and that the front exits normally.
+fn check_serves(running: &mut Running, at: SocketAddr) {
     let mut client = None;
-    until("it listens", || {
-        assert_eq!(running.process.try_wait().unwrap(), None, "it runs");
+    wait_until("the front listens", || {
+        assert_eq!(running.process.try_wait().unwrap(), None, "the front still runs");
         client = Client::connect(at).ok();
         client.is_some()
     });
     let mut client = client.unwrap();
     for number in 0..REQUESTS {
         let key = format!("{:016x}", number % 20);
-        let asked = AccessRequest { class: "images", key: &key, bucket: 17, timeout_ms: 2_000, body: b"" };
-        client.send_access(&asked).unwrap();
-        let answer = client.receive();
-        let ended = running.process.try_wait().unwrap();
-        let (head, _) = answer.unwrap_or_else(|why| panic!("request {number}: {why}; the front: {ended:?}"));
+        let access = AccessRequest { class: "images", key: &key, bucket: 17, timeout_ms: 2_000, body: b"" };
+        client.send_access(&access).unwrap();
+        let response = client.receive();
+        let status = running.process.try_wait().unwrap();
+        let (head, _) = response.unwrap_or_else(|e| panic!("request {number}: {e}; the front: {status:?}"));
         assert!(head.starts_with("Status: 200") || head.starts_with("Status: 503"), "{number}: {head}");
     }
     helper::signal(running.process.id(), "-TERM");
-    until("it ends", || running.process.try_wait().unwrap().is_some());
+    wait_until("the front exits", || running.process.try_wait().unwrap().is_some());
     assert!(running.process.wait().unwrap().success());
 }
 
 #[test]
-fn requests_are_answered_though_the_disk_of_the_log_is_full() {
-    let (_directory, members, feed) = caches();
+fn requests_get_responses_though_the_disk_of_the_log_is_full() {
+    let (_directory, members, feed) = start_members();
     let full = OpenOptions::new().write(true).open("/dev/full").unwrap();
     let (mut running, at) = start("full", &members, &feed, full.into());
-    serves(&mut running, at);
+    check_serves(&mut running, at);
 }
 
 #[test]
-fn requests_are_answered_though_the_reader_of_the_log_has_gone() {
-    let (_directory, members, feed) = caches();
+fn requests_get_responses_though_the_reader_of_the_log_has_exited() {
+    let (_directory, members, feed) = start_members();
     let (mut running, at) = start("gone", &members, &feed, Stdio::piped());
     drop(running.process.stderr.take());
-    serves(&mut running, at);
+    check_serves(&mut running, at);
 }
 
-/// Lines go into a pipe whose reader is stopped, as a collector of logs may be. Once the pipe was full, the thread that serves
-/// waited for room in it: of 600 requests the 137th and all later ones had no answer.
+/// The log goes to a pipe whose reader does not read, like a log collector that is stopped. Once the pipe was full, the serving
+/// thread used to block on it: of 600 requests the 137th and all later ones got no response.
 #[test]
-fn requests_are_answered_though_the_reader_of_the_log_stops_reading() {
-    let (_directory, members, feed) = caches();
+fn requests_get_responses_though_the_reader_of_the_log_stops_reading() {
+    let (_directory, members, feed) = start_members();
     let (mut running, at) = start("stops", &members, &feed, Stdio::piped());
-    // Kept open, and never read.
+    // The pipe stays open and is never read.
     let _log = running.process.stderr.take();
-    serves(&mut running, at);
+    check_serves(&mut running, at);
 }
--- a/crates/cli/tests/soak/cache.rs
+++ b/crates/cli/tests/soak/cache.rs
@@ -1,4 +1,4 @@
-//! Caches and origin that answer well, badly or not at all, and keep what came to them.
+//! Caches and an origin that respond correctly, wrongly or not at all, and record the requests that they receive.
 
 use std::collections::HashMap;
 use std::io::{self, BufRead, BufReader, Read, Write};
@@ -9,24 +9,24 @@
 
 use fastrand::Rng;
 
-/// A request that came whole.
+/// A request that was received completely.
 #[derive(Clone, Debug)]
-pub struct Asked {
+pub struct Received {
     pub at: Instant,
     pub cache: String,
-    pub call: String,
+    pub request_id: String,
     pub class: String,
     pub key: String,
-    /// How long the front says that it waits.
-    pub wait: Duration,
+    /// The time that the front tells in `Call-Ms`.
+    pub timeout: Duration,
     pub source: Option<String>,
-    /// The oldest copy that will do, in milliseconds; 0 for the fresh time.
-    pub no_older_ms: u64,
-    /// The answer proves that it did not run.
-    pub unrun: bool,
+    /// The maximum age of an acceptable copy, in milliseconds; 0 for its fresh time.
+    pub max_age_ms: u64,
+    /// The response proves that the access did not run.
+    pub not_run: bool,
 }
 
-pub type Record = Arc<Mutex<Vec<Asked>>>;
+pub type Record = Arc<Mutex<Vec<Received>>>;
 
 pub struct Cache {
     pub at: SocketAddr,
@@ -41,70 +41,72 @@
 }
 
 /// The bytes of an object.
-pub fn object(path: &str) -> Vec<u8> {
+pub fn object_bytes(path: &str) -> Vec<u8> {
     let times = 1 + path.bytes().map(usize::from).sum::<usize>() % 400;
     format!("bytes of {path}\n").repeat(times).into_bytes()
 }
 
 impl Cache {
-    /// Of its answers, `spoilt` in a hundred go wrong.
-    pub fn start(id: &str, spoilt: u8, seed: u64, record: &Record) -> io::Result<Cache> {
+    /// `fault_percent` of its responses are faulty.
+    pub fn start(id: &str, fault_percent: u8, seed: u64, record: &Record) -> io::Result<Cache> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let at = listener.local_addr()?;
         let stop = Arc::new(AtomicBool::new(false));
-        let (ended, record, name) = (stop.clone(), record.clone(), id.to_owned());
+        let (stopped, record, name) = (stop.clone(), record.clone(), id.to_owned());
         std::thread::spawn(move || {
             for (number, stream) in (1..).zip(listener.incoming()) {
-                if ended.load(Ordering::SeqCst) {
+                if stopped.load(Ordering::SeqCst) {
                     return;
                 }
                 let Ok(stream) = stream else { continue };
                 let rng = Rng::with_seed(seed ^ (number << 20));
-                let line = Line { name: name.clone(), spoilt, rng, record: record.clone() };
-                std::thread::spawn(move || line.serve(&stream));
+                let connection =
+                    Connection { name: name.clone(), fault_percent, rng, record: record.clone() };
+                std::thread::spawn(move || connection.serve(&stream));
             }
         });
         Ok(Cache { at, stop })
     }
 }
 
-/// One connection to it.
-struct Line {
+/// A connection to a cache.
+struct Connection {
     name: String,
-    spoilt: u8,
+    fault_percent: u8,
     rng: Rng,
     record: Record,
 }
 
-/// What becomes of a request.
-enum Fate {
+/// The outcome of a request.
+enum Outcome {
     Served,
-    /// After a long time.
+    /// Served after a long time.
     Late(Duration),
     Failed,
     Full,
     Missed,
     Expired,
-    /// Reset before an answer, or in the middle of one.
+    /// Reset before the response.
     Reset,
+    /// Reset in the middle of the response.
     Cut,
-    /// Served, and said once more.
+    /// Served, with the response sent twice.
     Twice,
-    /// No answer comes.
+    /// No response.
     Silent,
 }
 
-impl Line {
+impl Connection {
     fn serve(mut self, stream: &TcpStream) -> io::Result<()> {
         stream.set_nodelay(true)?;
         let mut reader = BufReader::new(stream.try_clone()?);
         while let Some(head) = read(&mut reader)? {
-            let fate = self.fate();
-            let unrun = matches!(fate, Fate::Full | Fate::Missed | Fate::Expired);
-            self.note(&head, unrun);
+            let outcome = self.outcome();
+            let not_run = matches!(outcome, Outcome::Full | Outcome::Missed | Outcome::Expired);
+            self.record(&head, not_run);
             std::thread::sleep(Duration::from_micros(self.rng.u64(0..4_000)));
-            self.answer(stream, &head, &fate)?;
-            // Some end connections that rest.
+            self.respond(stream, &head, &outcome)?;
+            // Sometimes closes an idle connection.
             if self.rng.u8(0..50) == 0 {
                 return Ok(());
             }
@@ -112,65 +114,67 @@
         Ok(())
     }
 
-    fn fate(&mut self) -> Fate {
-        if self.rng.u8(0..100) >= self.spoilt {
-            return Fate::Served;
+    fn outcome(&mut self) -> Outcome {
+        if self.rng.u8(0..100) >= self.fault_percent {
+            return Outcome::Served;
         }
         match self.rng.u8(0..9) {
-            0 => Fate::Late(Duration::from_millis(self.rng.u64(50..900))),
-            1 => Fate::Failed,
-            2 => Fate::Full,
-            3 => Fate::Missed,
-            4 => Fate::Expired,
-            5 => Fate::Reset,
-            6 => Fate::Cut,
-            7 => Fate::Twice,
-            _ => Fate::Silent,
+            0 => Outcome::Late(Duration::from_millis(self.rng.u64(50..900))),
+            1 => Outcome::Failed,
+            2 => Outcome::Full,
+            3 => Outcome::Missed,
+            4 => Outcome::Expired,
+            5 => Outcome::Reset,
+            6 => Outcome::Cut,
+            7 => Outcome::Twice,
+            _ => Outcome::Silent,
         }
     }
 
-    fn note(&self, head: &Head, unrun: bool) {
-        let mut words = head.path.split('/').skip(2);
-        let asked = Asked {
+    fn record(&self, head: &Head, not_run: bool) {
+        let mut segments = head.path.split('/').skip(2);
+        let received = Received {
             at: Instant::now(),
             cache: self.name.clone(),
-            call: head.field("call-id"),
-            class: words.next().unwrap_or("").into(),
-            key: words.next().unwrap_or("").into(),
-            wait: Duration::from_millis(head.field("call-ms").parse().unwrap_or(0)),
+            request_id: head.field("call-id"),
+            class: segments.next().unwrap_or("").into(),
+            key: segments.next().unwrap_or("").into(),
+            timeout: Duration::from_millis(head.field("call-ms").parse().unwrap_or(0)),
             source: Some(head.field("miss-to")).filter(|s| !s.is_empty()),
-            no_older_ms: head.field("no-older-than").parse().unwrap_or(0),
-            unrun,
+            max_age_ms: head.field("no-older-than").parse().unwrap_or(0),
+            not_run,
         };
-        self.record.lock().unwrap().push(asked);
+        self.record.lock().unwrap().push(received);
     }
 
-    fn answer(&mut self, stream: &TcpStream, head: &Head, fate: &Fate) -> io::Result<()> {
-        let whole = served(&head.path);
+    fn respond(&mut self, stream: &TcpStream, head: &Head, outcome: &Outcome) -> io::Result<()> {
+        let response = response_bytes(&head.path);
         let mut to = stream;
-        match fate {
-            Fate::Served => to.write_all(&whole),
-            Fate::Late(time) => {
+        match outcome {
+            Outcome::Served => to.write_all(&response),
+            Outcome::Late(time) => {
                 std::thread::sleep(*time);
-                to.write_all(&whole)
+                to.write_all(&response)
             }
-            Fate::Failed => to.write_all(b"HTTP/1.1 500 Failed\r\nContent-Length: 0\r\n\r\n"),
-            Fate::Full => to.write_all(b"HTTP/1.1 503 Full\r\nNot-Begun: 1\r\nContent-Length: 0\r\n\r\n"),
-            Fate::Missed => to.write_all(b"HTTP/1.1 404 Miss\r\nDetail: l\r\nContent-Length: 0\r\n\r\n"),
-            Fate::Expired => to.write_all(b"HTTP/1.1 504 Over\r\nNot-Begun: 1\r\nContent-Length: 0\r\n\r\n"),
-            Fate::Reset => reset(stream),
-            Fate::Cut => {
-                let part = self.rng.usize(1..whole.len());
-                to.write_all(&whole[..part])?;
+            Outcome::Failed => to.write_all(b"HTTP/1.1 500 Failed\r\nContent-Length: 0\r\n\r\n"),
+            Outcome::Full => to.write_all(b"HTTP/1.1 503 Full\r\nNot-Begun: 1\r\nContent-Length: 0\r\n\r\n"),
+            Outcome::Missed => to.write_all(b"HTTP/1.1 404 Miss\r\nDetail: l\r\nContent-Length: 0\r\n\r\n"),
+            Outcome::Expired => {
+                to.write_all(b"HTTP/1.1 504 Over\r\nNot-Begun: 1\r\nContent-Length: 0\r\n\r\n")
+            }
+            Outcome::Reset => reset(stream),
+            Outcome::Cut => {
+                let part = self.rng.usize(1..response.len());
+                to.write_all(&response[..part])?;
                 reset(stream)
             }
-            Fate::Twice => {
-                to.write_all(&whole)?;
+            Outcome::Twice => {
+                to.write_all(&response)?;
                 std::thread::sleep(Duration::from_millis(self.rng.u64(0..8)));
-                to.write_all(&whole)
+                to.write_all(&response)
             }
-            Fate::Silent => {
-                // Until the front gives it up.
+            Outcome::Silent => {
+                // Waits until the front closes the connection.
                 let _ = to.read(&mut [0; 1]);
                 Err(io::ErrorKind::ConnectionAborted.into())
             }
@@ -178,8 +182,8 @@
     }
 }
 
-fn served(path: &str) -> Vec<u8> {
-    let body = object(path);
+fn response_bytes(path: &str) -> Vec<u8> {
+    let body = object_bytes(path);
     let made = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis();
     let head = format!(
         "HTTP/1.1 200 OK\r\nDetail: h\r\nTag: aa\r\nMade-At: {made}\r\nContent-Length: {}\r\n\r\n",
@@ -204,7 +208,7 @@
     }
 }
 
-/// A request, once it is whole; none where the front has ended the connection.
+/// Reads a complete request; `None` if the front has closed the connection.
 fn read(reader: &mut BufReader<TcpStream>) -> io::Result<Option<Head>> {
     let mut first = String::new();
     if reader.read_line(&mut first)? == 0 {
--- a/crates/cli/tests/soak/judge.rs
+++ b/crates/cli/tests/soak/judge.rs
@@ -1,168 +1,170 @@
-//! Whether the rules were kept, by what clients and caches have seen; nothing of the front's own is asked.
+//! Checks the acceptance rules against what clients and caches observed; nothing that the front reports is used.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-use super::cache::Asked;
+use super::cache::Received;
 use super::client::{End, Request};
 
-/// On sockets each limit is so much longer.
-const SOCKETS: Duration = Duration::from_millis(50);
-/// An answer later than this after its time is none.
-const LATE: Duration = Duration::from_millis(500);
-/// How much more time than its client has left an attempt may tell.
-const TOLD: Duration = Duration::from_millis(150);
-/// Nothing begins for a client that left longer ago.
+/// Added to each limit for the time that sockets take.
+const SOCKET_TIME: Duration = Duration::from_millis(50);
+/// A response later than this after its deadline counts as missing.
+const MAX_LATENESS: Duration = Duration::from_millis(500);
+/// How much more time than its client has left an attempt may tell the cache.
+const MAX_EXCESS_TIME: Duration = Duration::from_millis(150);
+/// No attempt may start for a client that left longer ago.
 const AFTER_LEAVING: Duration = Duration::from_millis(100);
 const PURGE_GRACE: Duration = Duration::from_millis(300);
 const PURGE_DONE: Duration = Duration::from_millis(6_000);
 const DRAIN_GRACE: Duration = Duration::from_millis(2_000);
 
-/// What was told by the feed, when it had happened, and when the front can have heard of it.
+/// A message of the feed, when its event happened, and when the front must have received it.
 #[derive(Clone, Debug)]
-pub struct Told {
-    pub what: What,
+pub struct FeedMessage {
+    pub event: FeedEvent,
     pub at: Instant,
-    pub heard: Instant,
+    pub received_by: Instant,
 }
 
 #[derive(Clone, Debug)]
-pub enum What {
-    /// An object, by its key.
+pub enum FeedEvent {
+    /// The key of the purged object.
     Purged(String),
-    /// A cache, by its id.
+    /// The id of the draining cache.
     Drains(String),
 }
 
 pub struct Run<'a> {
     pub requests: &'a [Request],
-    pub asked: &'a [Asked],
-    pub told: &'a [Told],
-    pub killed: Instant,
-    /// Idle clients filled the descriptors: new connections may be shut unread.
-    pub crowd: bool,
-    /// How late this rig's own threads may have been in seeing what came.
-    pub rig: Duration,
+    /// Requests that caches received.
+    pub received: &'a [Received],
+    pub messages: &'a [FeedMessage],
+    pub killed_at: Instant,
+    /// Idle clients used up the descriptors, so that new connections may be closed unread.
+    pub descriptors_exhausted: bool,
+    /// How late the test's own threads may have been in observing an event.
+    pub scheduling_delay: Duration,
 }
 
 #[derive(Debug, Default)]
 pub struct Verdict {
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
     pub answered: usize,
     pub served: usize,
     pub late: usize,
     pub left: usize,
-    /// Requests that crossed the end of a resting connection.
+    /// Requests that were sent while the front closed their idle connection.
     pub crossed: usize,
 }
 
 pub fn judge(run: &Run<'_>) -> Verdict {
     let mut verdict = Verdict::default();
-    let mut attempts: HashMap<&str, Vec<&Asked>> = HashMap::new();
-    for asked in run.asked {
-        attempts.entry(&asked.call).or_default().push(asked);
+    let mut attempts: HashMap<&str, Vec<&Received>> = HashMap::new();
+    for received in run.received {
+        attempts.entry(&received.request_id).or_default().push(received);
     }
     for request in run.requests {
-        let own = attempts.remove(&*request.call).unwrap_or_default();
-        answer(run, request, &own, &mut verdict);
-        effects(request, &own, &mut verdict);
-        times(run, request, &own, &mut verdict);
+        let own = attempts.remove(&*request.request_id).unwrap_or_default();
+        check_response(run, request, &own, &mut verdict);
+        check_repeats(request, &own, &mut verdict);
+        check_times(run, request, &own, &mut verdict);
     }
-    for asked in run.asked {
-        word(run, asked, &mut verdict);
+    for received in run.received {
+        check_feed_events(run, received, &mut verdict);
     }
     verdict
 }
 
-/// Each request taken gets one answer, in time.
-fn answer(run: &Run<'_>, request: &Request, own: &[&Asked], verdict: &mut Verdict) {
-    let mut broken = |what: &str| verdict.broken.push(format!("lost, {what}: {request:?}, attempts {own:?}"));
-    let until = request.written + request.wait + SOCKETS;
+/// Each accepted request gets one response, in time.
+fn check_response(run: &Run<'_>, request: &Request, own: &[&Received], verdict: &mut Verdict) {
+    let mut violation =
+        |what: &str| verdict.violations.push(format!("lost, {what}: {request:?}, attempts {own:?}"));
+    let until = request.written + request.timeout + SOCKET_TIME;
     if request.twice {
-        broken("a second answer");
+        violation("a second response");
     }
     match request.end {
-        End::Answered { at, status, sound } => {
-            if !sound {
-                broken("its answer is not whole");
-            } else if at > until + LATE {
-                broken("its answer came too late");
+        End::Response { at, status, correct } => {
+            if !correct {
+                violation("its response is not complete");
+            } else if at > until + MAX_LATENESS {
+                violation("its response came too late");
             } else if at > until {
                 verdict.late += 1;
             }
             verdict.answered += 1;
             verdict.served += usize::from(status == 200);
         }
-        End::Cut { at, .. } if at >= run.killed => broken("unanswered when the front was killed"),
-        End::Cut { rested, .. } => {
-            let excused = !request.fresh || run.crowd;
-            match excused && rested && own.is_empty() {
+        End::Closed { at, .. } if at >= run.killed_at => violation("no response when the front was killed"),
+        End::Closed { idle, .. } => {
+            let excused = !request.fresh || run.descriptors_exhausted;
+            match excused && idle && own.is_empty() {
                 true => verdict.crossed += 1,
-                false => broken("its connection ended"),
+                false => violation("its connection was closed"),
             }
         }
         End::Left(_) => verdict.left += 1,
-        End::Open => broken("unanswered when the front was killed"),
+        End::Open => violation("no response when the front was killed"),
     }
 }
 
-/// What may have run is not run again, nor declined.
-fn effects(request: &Request, own: &[&Asked], verdict: &mut Verdict) {
+/// An access that may have run must not run again, nor be rejected as not run.
+fn check_repeats(request: &Request, own: &[&Received], verdict: &mut Verdict) {
     if request.class != "orders" {
         return;
     }
-    let ran = own.iter().filter(|a| !a.unrun).count();
-    let first = own.iter().position(|a| !a.unrun);
+    let ran = own.iter().filter(|a| !a.not_run).count();
+    let first = own.iter().position(|a| !a.not_run);
     if first.is_some_and(|first| first + 1 < own.len()) {
-        verdict.broken.push(format!("run again: {request:?}, attempts {own:?}"));
+        verdict.violations.push(format!("run again: {request:?}, attempts {own:?}"));
     }
-    if matches!(request.end, End::Answered { status: 429 | 503, .. }) && ran > 0 {
-        verdict.broken.push(format!("declined though it may have run: {request:?}, attempts {own:?}"));
+    if matches!(request.end, End::Response { status: 429 | 503, .. }) && ran > 0 {
+        verdict.violations.push(format!("rejected though it may have run: {request:?}, attempts {own:?}"));
     }
 }
 
-/// No attempt begins for nobody, after the answer, or with more time than there is.
-fn times(run: &Run<'_>, request: &Request, own: &[&Asked], verdict: &mut Verdict) {
+/// No attempt starts after its client left or got its response, or with more time than is left.
+fn check_times(run: &Run<'_>, request: &Request, own: &[&Received], verdict: &mut Verdict) {
     for attempt in own {
-        let mut broken =
-            |what: String| verdict.broken.push(format!("{what}: {request:?}, attempt {attempt:?}"));
+        let mut violation =
+            |what: String| verdict.violations.push(format!("{what}: {request:?}, attempt {attempt:?}"));
         match request.end {
-            End::Left(at) if attempt.at > at + AFTER_LEAVING + run.rig => {
-                broken(format!("begun {:?} after its client had left", attempt.at - at));
+            End::Left(at) if attempt.at > at + AFTER_LEAVING + run.scheduling_delay => {
+                violation(format!("started {:?} after its client had left", attempt.at - at));
             }
-            End::Answered { at, .. } if attempt.at > at + run.rig => {
-                broken(format!("begun {:?} after its answer", attempt.at - at));
+            End::Response { at, .. } if attempt.at > at + run.scheduling_delay => {
+                violation(format!("started {:?} after its response", attempt.at - at));
             }
             _ => {}
         }
-        let left = (request.written + request.wait).saturating_duration_since(attempt.at);
-        if attempt.wait > left + TOLD + run.rig {
-            broken(format!("told {:?} with {left:?} left", attempt.wait));
+        let left = (request.written + request.timeout).saturating_duration_since(attempt.at);
+        if attempt.timeout > left + MAX_EXCESS_TIME + run.scheduling_delay {
+            violation(format!("told {:?} with {left:?} left", attempt.timeout));
         }
     }
 }
 
-/// Purges and drains are heeded once their graces are over.
-fn word(run: &Run<'_>, asked: &Asked, verdict: &mut Verdict) {
-    for Told { what, at, heard } in run.told {
-        let known = asked.at.saturating_duration_since(*heard);
-        match what {
-            What::Purged(key) if *key == asked.key && asked.class == "images" => {
-                let since = asked.at.saturating_duration_since(*at);
-                let binds = known > PURGE_GRACE + SOCKETS + run.rig && since < PURGE_DONE;
-                // Times of purges are told in whole milliseconds.
-                let most = since.as_millis() as u64 + 1;
-                if binds && (asked.no_older_ms == 0 || asked.no_older_ms > most) {
-                    verdict.broken.push(format!("older than a purge {since:?} ago: {asked:?}"));
+/// Purges and drains are respected once their grace periods are over.
+fn check_feed_events(run: &Run<'_>, received: &Received, verdict: &mut Verdict) {
+    for FeedMessage { event, at, received_by } in run.messages {
+        let known = received.at.saturating_duration_since(*received_by);
+        match event {
+            FeedEvent::Purged(key) if *key == received.key && received.class == "images" => {
+                let since = received.at.saturating_duration_since(*at);
+                let applies = known > PURGE_GRACE + SOCKET_TIME + run.scheduling_delay && since < PURGE_DONE;
+                // Purges carry their time in whole milliseconds.
+                let max_age_ms = since.as_millis() as u64 + 1;
+                if applies && (received.max_age_ms == 0 || received.max_age_ms > max_age_ms) {
+                    verdict.violations.push(format!("older than a purge {since:?} ago: {received:?}"));
                 }
             }
-            What::Drains(cache) => {
-                let names = asked.cache == *cache || asked.source.as_ref() == Some(cache);
-                if names && known > DRAIN_GRACE + SOCKETS + run.rig {
-                    verdict.broken.push(format!("after a drain: {asked:?}"));
+            FeedEvent::Drains(cache) => {
+                let uses_cache = received.cache == *cache || received.source.as_ref() == Some(cache);
+                if uses_cache && known > DRAIN_GRACE + SOCKET_TIME + run.scheduling_delay {
+                    verdict.violations.push(format!("after a drain: {received:?}"));
                 }
             }
-            What::Purged(_) => {}
+            FeedEvent::Purged(_) => {}
         }
     }
 }
--- a/crates/cli/tests/soak/main.rs
+++ b/crates/cli/tests/soak/main.rs
@@ -1,9 +1,9 @@
-//! A real front through a whole life under seeded faults: its caches answer badly, clients do what they like on the
-//! connections that they have, the system's calls fail, threads stall, the wall clock is stepped, discovery goes and comes
-//! back, signals come in series; then it is told to end, and killed at the earliest moment that the terms allow, while clients
-//! go on sending. What became of each request is judged by what clients and caches saw.
+//! Runs a real front from start to exit under seeded faults: caches respond wrongly, clients use connections in every
+//! legal way, system calls fail, threads stall, the wall clock is stepped, discovery goes down and comes back, signals come
+//! in bursts. Then the front gets SIGTERM, and SIGKILL at the earliest time that the acceptance rules allow, while clients keep
+//! sending. The outcome of each request is checked against what clients and caches observed.
 //!
-//! `DOORGRADE_SOAK=FROM..TO` plays other seeds than the few that stand here, one line for each.
+//! `DOORGRADE_SOAK=FROM..TO` runs other seeds than `SEEDS`, and prints one line for each.
 
 #[path = "../helper/mod.rs"]
 mod helper;
@@ -27,39 +27,41 @@
 
 use cache::{Cache, Record};
 use client::{Client, KEYS, Request};
-use helper::forced::config;
-use helper::{Front, Launch, signal, until};
-use judge::{Run, Told, Verdict, What};
+use helper::standins::example_config;
+use helper::{Front, Launch, signal, wait_until};
+use judge::{FeedEvent, FeedMessage, Run, Verdict};
 use plan::Plan;
 
-/// The terms: SIGKILL may come as early as this after the longest time of a request.
-const KILL: Duration = Duration::from_millis(700);
-/// New connections go on coming for so long after the word to stop.
-const COMING: Duration = Duration::from_millis(400);
-/// After discovery is back, the front follows it within so long; what is told just before it goes may not arrive.
-const FOLLOWED_AGAIN: Duration = Duration::from_millis(1_300);
-const SOON_DOWN: Duration = Duration::from_millis(100);
-/// Seeds that are played where no others are asked for.
+/// By the acceptance rules, SIGKILL may come this long after SIGTERM and the longest time of a request.
+const KILL_DELAY: Duration = Duration::from_millis(700);
+/// Clients keep opening new connections for this long after SIGTERM.
+const CONNECTING_AFTER_STOP: Duration = Duration::from_millis(400);
+/// Maximum time in which the front subscribes again once discovery is back.
+const RESUBSCRIBE_TIME: Duration = Duration::from_millis(1_300);
+/// Feed messages sent less than this before discovery goes down may not arrive.
+const LOST_BEFORE_DOWN: Duration = Duration::from_millis(100);
+/// The seeds to run by default.
 const SEEDS: std::ops::Range<u64> = 1..9;
 
-/// What runs beside the front.
+/// The front and what runs beside it.
 struct Rig {
     plan: Plan,
     front: Front,
     shim: Shim,
     caches: [Cache; 3],
-    /// Both tell the same.
+    /// Both send the same messages.
     feeds: [Feed; 2],
-    /// When the front was told to follow the other feed.
-    moves: Mutex<Vec<Instant>>,
+    /// When the front's configuration was switched to the other feed.
+    feed_switches: Mutex<Vec<Instant>>,
     record: Record,
-    told: Mutex<Vec<Told>>,
+    messages: Mutex<Vec<FeedMessage>>,
 }
 
 impl Rig {
     fn start(plan: Plan) -> Rig {
         let record: Record = Arc::default();
-        let cache = |id: &str, n: u64| Cache::start(id, plan.spoilt, plan.seed ^ n << 40, &record).unwrap();
+        let cache =
+            |id: &str, n: u64| Cache::start(id, plan.fault_percent, plan.seed ^ n << 40, &record).unwrap();
         let caches = [cache("s-00000001", 1), cache("s-00000002", 2), cache("s-00000020", 3)];
         let feeds = [(); 2].map(|()| Feed::start(&free_address().to_string()).unwrap());
         let shim = Shim::new(plan.seed).unwrap();
@@ -73,18 +75,28 @@
             ("\"connIdle\": 15000.0", "\"connIdle\": 2000.0"),
             ("\"log\": \"info\"", "\"log\": \"debug\""),
         ];
-        let config = config([&caches[0].at, &caches[1].at, &caches[2].at, &feeds[0].address], &changes);
+        let config =
+            example_config([&caches[0].at, &caches[1].at, &caches[2].at, &feeds[0].address], &changes);
         let front = Launch { environment: shim.environment().unwrap(), ..Launch::default() }.start(&config);
-        until("the feed is followed", || !feeds[0].resume_numbers().is_empty());
-        Rig { plan, front, shim, caches, feeds, moves: Mutex::default(), record, told: Mutex::default() }
+        wait_until("the front subscribes to the feed", || !feeds[0].resume_numbers().is_empty());
+        Rig {
+            plan,
+            front,
+            shim,
+            caches,
+            feeds,
+            feed_switches: Mutex::default(),
+            record,
+            messages: Mutex::default(),
+        }
     }
 
-    fn faults(&self) {
-        let Plan { fails, interrupted, cut_short, lost, stalled, stall_us, .. } = self.plan;
+    fn inject_faults(&self) {
+        let Plan { failed, interrupted, shortened, lost, stalled, stall_us, .. } = self.plan;
         for (fault, value) in [
-            (Fault::FailPerMille, fails),
+            (Fault::FailPerMille, failed),
             (Fault::InterruptPerMille, interrupted),
-            (Fault::ShortPerMille, cut_short),
+            (Fault::ShortPerMille, shortened),
             (Fault::LosePerMille, lost),
             (Fault::StallPerMille, stalled),
             (Fault::StallUs, stall_us),
@@ -93,111 +105,111 @@
         }
     }
 
-    /// Signals, steps of the clock and the feed's coming and going, in their order, until the word to stop and all that
-    /// follows it have come.
-    fn play(&self, begun: Instant, stays: &AtomicBool) -> Instant {
+    /// Plays signals, clock steps and feed outages in order of time, to the end of the plan; when SIGTERM was sent.
+    fn play(&self, started_at: Instant, no_new_connections: &AtomicBool) -> Instant {
         let plan = &self.plan;
-        let mut todo: Vec<(Duration, Act)> = plan.signals.iter().map(|s| (s.0, Act::Signal(s.1))).collect();
-        todo.extend(plan.steps.iter().map(|s| (s.0, Act::Step(s.1))));
+        let mut actions: Vec<(Duration, Action)> =
+            plan.signals.iter().map(|s| (s.0, Action::Signal(s.1))).collect();
+        actions.extend(plan.steps.iter().map(|s| (s.0, Action::Step(s.1))));
         if let Some((from, to)) = plan.feed_down {
-            todo.extend([(from, Act::Feed { down: true }), (to, Act::Feed { down: false })]);
+            actions.extend([(from, Action::Feed { down: true }), (to, Action::Feed { down: false })]);
         }
-        todo.push((plan.stop_at + COMING, Act::NoMoreConnections));
-        todo.sort_by_key(|(at, _)| *at);
-        let mut stopped = None;
-        for (at, act) in todo {
-            std::thread::sleep((begun + at).saturating_duration_since(Instant::now()));
-            if matches!(act, Act::Signal("-TERM")) {
-                stopped.get_or_insert_with(Instant::now);
+        actions.push((plan.stop_at + CONNECTING_AFTER_STOP, Action::NoMoreConnections));
+        actions.sort_by_key(|(at, _)| *at);
+        let mut stopped_at = None;
+        for (at, action) in actions {
+            std::thread::sleep((started_at + at).saturating_duration_since(Instant::now()));
+            if matches!(action, Action::Signal("-TERM")) {
+                stopped_at.get_or_insert_with(Instant::now);
             }
-            self.act(&act, stays);
+            self.perform(&action, no_new_connections);
         }
-        stopped.expect("the word to stop")
+        stopped_at.expect("the plan contains SIGTERM")
     }
 
-    fn act(&self, act: &Act, stays: &AtomicBool) {
-        let hour = 3_600_000_000_000;
-        match act {
-            // It may have ended in good order already.
-            Act::Signal(name) => {
-                if *name == "-HUP" && self.plan.feed_moves {
-                    self.move_feed();
+    fn perform(&self, action: &Action, no_new_connections: &AtomicBool) {
+        let hour_ns = 3_600_000_000_000;
+        match action {
+            // The front may have exited normally already.
+            Action::Signal(name) => {
+                if *name == "-HUP" && self.plan.switches_feed {
+                    self.switch_feed();
                 }
                 signal_if_there(&self.front, name);
             }
-            Act::Step(ms) => {
-                self.shim.set(Fault::ClockOffsetNs, (ms * 1_000_000).clamp(-hour, hour)).unwrap()
+            Action::Step(ms) => {
+                self.shim.set(Fault::ClockOffsetNs, (ms * 1_000_000).clamp(-hour_ns, hour_ns)).unwrap()
             }
-            Act::Feed { down } => self.feeds.iter().for_each(|feed| feed.set_down(*down)),
-            Act::NoMoreConnections => stays.store(true, Ordering::SeqCst),
+            Action::Feed { down } => self.feeds.iter().for_each(|feed| feed.set_down(*down)),
+            Action::NoMoreConnections => no_new_connections.store(true, Ordering::SeqCst),
         }
     }
 
-    /// Purges now and then, and one cache that drains.
-    fn tell(&self, begun: Instant, over: &AtomicBool) {
+    /// Sends purges at random times, and the drain of one cache.
+    fn send_feed_messages(&self, started_at: Instant, over: &AtomicBool) {
         let mut rng = Rng::with_seed(self.plan.seed ^ 7);
-        let drains = begun + Duration::from_millis(rng.u64(500..2_000));
+        let drain_at = started_at + Duration::from_millis(rng.u64(500..2_000));
         let (mut number, mut drained) = (1, false);
         while !over.load(Ordering::SeqCst) {
             std::thread::sleep(Duration::from_millis(rng.u64(20..200)));
             number += 1;
             let at = Instant::now();
-            let what = if !drained && at > drains {
+            let event = if !drained && at > drain_at {
                 drained = true;
                 let draining = member_record("s-00000002", self.caches[1].at, 1, 0, 0, 0);
                 self.feeds
                     .iter()
                     .for_each(|feed| feed.publish_members(number, std::slice::from_ref(&draining)));
-                What::Drains("s-00000002".into())
+                FeedEvent::Drains("s-00000002".into())
             } else {
                 let key = 1 + rng.u64(0..KEYS);
                 let purged_ms = doorgrade_standins::unix_ms();
                 self.feeds.iter().for_each(|feed| feed.publish_purge(number, key, purged_ms));
-                What::Purged(format!("{key:016x}"))
+                FeedEvent::Purged(format!("{key:016x}"))
             };
-            let heard = self.heard(begun, Instant::now());
-            self.told.lock().unwrap().push(Told { what, at, heard });
+            let received_by = self.received_by(started_at, Instant::now());
+            self.messages.lock().unwrap().push(FeedMessage { event, at, received_by });
         }
     }
 
-    /// A new configuration, which names the feed that the one before did not.
-    fn move_feed(&self) {
+    /// Writes a configuration that names the other feed.
+    fn switch_feed(&self) {
         let config = std::fs::read_to_string(&self.front.config).unwrap();
         let [one, other] = self.feeds.each_ref().map(|feed| feed.address.to_string());
-        let moved = match config.contains(&one) {
+        let switched = match config.contains(&one) {
             true => config.replace(&one, &other),
             false => config.replace(&other, &one),
         };
-        let whole = self.front.config.with_extension("next");
-        std::fs::write(&whole, moved).unwrap();
-        std::fs::rename(&whole, &self.front.config).unwrap();
-        self.moves.lock().unwrap().push(Instant::now());
+        let new_file = self.front.config.with_extension("next");
+        std::fs::write(&new_file, switched).unwrap();
+        std::fs::rename(&new_file, &self.front.config).unwrap();
+        self.feed_switches.lock().unwrap().push(Instant::now());
     }
 
-    /// What was told. The front may have heard it only after it had moved to another feed.
-    fn all_told(&self) -> Vec<Told> {
-        let moves = self.moves.lock().unwrap();
-        let mut told = self.told.lock().unwrap().clone();
-        for Told { at, heard, .. } in &mut told {
-            for moved in moves.iter().filter(|&&moved| *at + SOON_DOWN > moved) {
-                let again = *moved + FOLLOWED_AGAIN;
-                if *at < again {
-                    *heard = again.max(*heard);
+    /// The messages that were sent. The front may have received one only after it had switched to the other feed.
+    fn all_messages(&self) -> Vec<FeedMessage> {
+        let switches = self.feed_switches.lock().unwrap();
+        let mut messages = self.messages.lock().unwrap().clone();
+        for FeedMessage { at, received_by, .. } in &mut messages {
+            for switched_at in switches.iter().filter(|&&switched_at| *at + LOST_BEFORE_DOWN > switched_at) {
+                let subscribed_at = *switched_at + RESUBSCRIBE_TIME;
+                if *at < subscribed_at {
+                    *received_by = subscribed_at.max(*received_by);
                 }
             }
         }
-        told
+        messages
     }
 
-    /// When the front can have heard what was told at this time: discovery is asked anew after a second at the most.
-    fn heard(&self, begun: Instant, at: Instant) -> Instant {
+    /// When the front must have received a message sent at this time: it reconnects to discovery at least once a second.
+    fn received_by(&self, started_at: Instant, at: Instant) -> Instant {
         let Some((down, up)) = self.plan.feed_down else { return at };
-        let again = begun + up + FOLLOWED_AGAIN;
-        if at + SOON_DOWN > begun + down && at < again { again } else { at }
+        let subscribed_at = started_at + up + RESUBSCRIBE_TIME;
+        if at + LOST_BEFORE_DOWN > started_at + down && at < subscribed_at { subscribed_at } else { at }
     }
 }
 
-enum Act {
+enum Action {
     Signal(&'static str),
     Step(i64),
     Feed { down: bool },
@@ -212,10 +224,10 @@
     }
 }
 
-/// Connections that say nothing, made again as they are ended.
-fn crowd(front: std::net::SocketAddr, count: usize, stays: &AtomicBool) {
+/// Keeps `count` idle connections open, and replaces those that the front closes.
+fn keep_idle_connections(front: std::net::SocketAddr, count: usize, no_new_connections: &AtomicBool) {
     let mut idle: Vec<TcpStream> = Vec::new();
-    while !stays.load(Ordering::SeqCst) {
+    while !no_new_connections.load(Ordering::SeqCst) {
         idle.retain(|stream| {
             let _ = stream.set_nonblocking(true);
             !matches!(stream.peek(&mut [0; 1]), Ok(0))
@@ -228,73 +240,79 @@
     }
 }
 
-/// How late the rig's own threads come: the worst that a short sleep took too long.
-fn lateness(over: &AtomicBool) -> Duration {
-    let mut worst = Duration::ZERO;
+/// How late the test's own threads run: the maximum delay of a short sleep.
+fn max_scheduling_delay(over: &AtomicBool) -> Duration {
+    let mut max = Duration::ZERO;
     while !over.load(Ordering::SeqCst) {
-        let asleep = Instant::now();
+        let slept_from = Instant::now();
         std::thread::sleep(Duration::from_millis(1));
-        worst = worst.max(asleep.elapsed().saturating_sub(Duration::from_millis(1)));
+        max = max.max(slept_from.elapsed().saturating_sub(Duration::from_millis(1)));
     }
-    worst
+    max
 }
 
-fn play(seed: u64) -> (Plan, Verdict, String) {
-    let plan = Plan::drawn(seed);
+fn run_seed(seed: u64) -> (Plan, Verdict, String) {
+    let plan = Plan::from_seed(seed);
     let mut rig = Rig::start(plan.clone());
-    let (stays, over) = (AtomicBool::new(false), AtomicBool::new(false));
-    rig.faults();
-    let begun = Instant::now();
-    let (requests, killed, late) = std::thread::scope(|scope| {
-        let (rig, stays, over) = (&rig, &stays, &over);
+    let (no_new_connections, over) = (AtomicBool::new(false), AtomicBool::new(false));
+    rig.inject_faults();
+    let started_at = Instant::now();
+    let (requests, killed_at, late) = std::thread::scope(|scope| {
+        let (rig, no_new_connections, over) = (&rig, &no_new_connections, &over);
         let clients: Vec<_> = (0..plan.clients)
             .map(|n| {
                 let rng = Rng::with_seed(seed ^ (n as u64 + 1) << 32);
-                let (front, deadline) = (rig.front.at, plan.deadline);
-                let client = Client { front, rng, deadline, stays, over, done: Vec::new() };
+                let (front, deadline) = (rig.front.address, plan.deadline);
+                let client = Client { front, rng, deadline, no_new_connections, over, done: Vec::new() };
                 scope.spawn(|| client.run())
             })
             .collect();
-        scope.spawn(|| crowd(rig.front.at, plan.crowd, stays));
-        scope.spawn(|| rig.tell(begun, over));
-        let late = scope.spawn(|| lateness(over));
-        let stopped = rig.play(begun, stays);
-        let kill = stopped + plan.deadline + KILL;
-        std::thread::sleep(kill.saturating_duration_since(Instant::now()));
-        let killed = Instant::now();
+        scope.spawn(|| keep_idle_connections(rig.front.address, plan.idle_connections, no_new_connections));
+        scope.spawn(|| rig.send_feed_messages(started_at, over));
+        let late = scope.spawn(|| max_scheduling_delay(over));
+        let stopped_at = rig.play(started_at, no_new_connections);
+        let kill_at = stopped_at + plan.deadline + KILL_DELAY;
+        std::thread::sleep(kill_at.saturating_duration_since(Instant::now()));
+        let killed_at = Instant::now();
         signal_if_there(&rig.front, "-KILL");
         over.store(true, Ordering::SeqCst);
         let requests: Vec<Request> = clients.into_iter().flat_map(|c| c.join().unwrap()).collect();
-        (requests, killed, late.join().unwrap())
+        (requests, killed_at, late.join().unwrap())
     });
     let status = rig.front.process.wait().unwrap();
-    let asked = rig.record.lock().unwrap().clone();
-    let told = rig.all_told();
-    let run =
-        Run { requests: &requests, asked: &asked, told: &told, killed, crowd: plan.crowd > 0, rig: late };
+    let received = rig.record.lock().unwrap().clone();
+    let messages = rig.all_messages();
+    let run = Run {
+        requests: &requests,
+        received: &received,
+        messages: &messages,
+        killed_at,
+        descriptors_exhausted: plan.idle_connections > 0,
+        scheduling_delay: late,
+    };
     let mut verdict = judge::judge(&run);
-    let by_kill = status.signal() == Some(9);
-    if !status.success() && !by_kill {
-        verdict.broken.push(format!("it crashed: {status}"));
+    let killed = status.signal() == Some(9);
+    if !status.success() && !killed {
+        verdict.violations.push(format!("it crashed: {status}"));
     }
-    let seen = |what| rig.shim.read(what).unwrap();
+    let count = |counter| rig.shim.read(counter).unwrap();
     let faults = [Counter::Failed, Counter::Interrupted, Counter::Shortened, Counter::Lost, Counter::Stalled]
-        .map(seen);
+        .map(count);
     let line = format!(
-        "seed {seed}: a crowd of {}; {} requests, {} answered ({} served, {} late), {} left, {} crossed an end; {} attempts; faults \
-         {faults:?}; rig late by {late:?}; ended {}; broken: {}",
-        plan.crowd,
+        "seed {seed}: {} idle connections; {} requests, {} with a response ({} served, {} late), {} left by clients, {} crossed a \
+         close; {} attempts; faults {faults:?}; test late by {late:?}; exited {}; violations: {}",
+        plan.idle_connections,
         requests.len(),
         verdict.answered,
         verdict.served,
         verdict.late,
         verdict.left,
         verdict.crossed,
-        asked.len(),
-        if by_kill { "by the kill" } else { "by itself" },
-        verdict.broken.len()
+        received.len(),
+        if killed { "by SIGKILL" } else { "by itself" },
+        verdict.violations.len()
     );
-    if !verdict.broken.is_empty() {
+    if !verdict.violations.is_empty() {
         let path = std::env::temp_dir().join(format!("doorgrade-soak-{seed}.log"));
         std::fs::write(&path, rig.front.log().join("\n")).unwrap();
     }
@@ -302,20 +320,20 @@
 }
 
 fn seeds() -> std::ops::Range<u64> {
-    let Ok(asked) = std::env::var("DOORGRADE_SOAK") else { return SEEDS };
-    let (from, to) = asked.split_once("..").expect("DOORGRADE_SOAK=FROM..TO");
+    let Ok(range) = std::env::var("DOORGRADE_SOAK") else { return SEEDS };
+    let (from, to) = range.split_once("..").expect("DOORGRADE_SOAK=FROM..TO");
     from.parse().unwrap()..to.parse().unwrap()
 }
 
 #[test]
-fn every_request_is_answered_once_whatever_happens_until_the_kill() {
+fn every_request_gets_one_response_under_random_faults_until_the_kill() {
     let mut failed = Vec::new();
     for seed in seeds() {
-        let (plan, verdict, line) = play(seed);
+        let (plan, verdict, line) = run_seed(seed);
         println!("{line}");
         assert!(verdict.answered > 100, "{line}");
-        if !verdict.broken.is_empty() {
-            let first = verdict.broken.iter().take(5).cloned().collect::<Vec<_>>().join("\n  ");
+        if !verdict.violations.is_empty() {
+            let first = verdict.violations.iter().take(5).cloned().collect::<Vec<_>>().join("\n  ");
             failed.push(format!("{line}\n  {plan:?}\n  {first}"));
         }
     }
--- a/crates/cli/tests/tiers.rs
+++ b/crates/cli/tests/tiers.rs
@@ -1,4 +1,4 @@
-//! The program with a hierarchy that changes shape, against stand-ins on loopback.
+//! A front with a cache hierarchy whose shape changes, against stand-ins on loopback.
 
 mod helper;
 
@@ -6,7 +6,7 @@
 
 use doorgrade_standins::feed::member_record;
 use doorgrade_standins::{Client, Directory, Feed, Member, MemberConfig, Role, unix_ms};
-use helper::{start, until};
+use helper::{start, wait_until};
 use serde_json::{Value, json};
 
 const CACHE: &str = "s-00000001";
@@ -43,16 +43,13 @@
 }
 
 #[test]
-fn a_shape_changes_under_way_rings_are_caught_and_old_homes_give_what_they_hold() {
+fn shape_changes_take_effect_cycles_are_rejected_and_old_homes_hand_over_their_copies() {
     let directory = Directory::default();
-    let member_at = |id, role, keeps| {
-        Member::start(
-            MemberConfig { max_copies: keeps, ..MemberConfig::new(id, "127.0.0.1:0", role) },
-            &directory,
-        )
-        .unwrap()
+    let member_at = |id, role, max_copies| {
+        Member::start(MemberConfig { max_copies, ..MemberConfig::new(id, "127.0.0.1:0", role) }, &directory)
+            .unwrap()
     };
-    // The station's cache keeps next to nothing, so each access shows what is above it.
+    // The station's cache keeps one copy only, so that nearly every access reaches the tiers above it.
     let (cache, archive) = (member_at(CACHE, Role::Cache, 1), member_at(ARCHIVE, Role::Archive, 0));
     let trunks = TRUNKS.map(|id| member_at(id, Role::Parent, 1_000));
     trunks.iter().for_each(|t| t.set_fill_sources(&[ARCHIVE]));
@@ -69,75 +66,72 @@
     let shape = |text: &str| std::fs::write(folder.join("shape.hcl"), text).unwrap();
     shape(&two);
     let front = start(&config(&feed, &cache, &trunks[..2], &archive), Some(&settings));
-    let mut client = Client::connect(front.at).unwrap();
+    let mut client = Client::connect(front.address).unwrap();
     let mut ask = |key: u64| {
         let (head, _) = client.request("files", &format!("{key:016x}"), 2_000).unwrap();
         assert!(head.starts_with("Status: 200"), "{head}");
     };
 
-    // Each object is fetched once: its fills meet at one parent.
+    // Each object is fetched once, since all its fills go through one parent.
     (1..=60).for_each(&mut ask);
     (1..=60).for_each(&mut ask);
     assert_eq!(archive.requests(), 60);
 
-    // A third parent comes. Its objects are had from their old homes, not from the archive.
+    // A third parent joins. It fills its objects from their old homes, not from the archive.
     let three = two.clone() + &member(TRUNKS[2], 1, 1, &[ARCHIVE]);
     shape(&three);
     front.signal("-HUP");
     feed.publish_members(2, &[member_record(TRUNKS[2], trunks[2].address, 0, 1, 1, unix_ms())]);
-    let heard = |text: &str| front.log().iter().any(|line| line.contains(text));
-    until("the new list is heard", || heard("33.3% of the objects move"));
-    until("the newcomer has taken objects over", || {
+    let logged = |text: &str| front.log().iter().any(|line| line.contains(text));
+    wait_until("the new member list is received", || logged("33.3% of the objects move"));
+    wait_until("the newcomer has taken objects over", || {
         (1..=60).for_each(&mut ask);
         trunks[2].counts().fills.load(SeqCst) >= 10
     });
-    assert_eq!(archive.requests(), 60, "nothing was fetched anew");
+    assert_eq!(archive.requests(), 60, "nothing was fetched again");
 
-    // A shape with a loop in it is set aside, named, and harms nobody.
+    // A change that would close a cycle is left pending and logged; accesses continue.
     shape(&(three.clone() + &member(TRUNKS[0], 2, 1, &[TRUNKS[1]]) + &member(TRUNKS[1], 2, 1, &[TRUNKS[0]])));
     front.signal("-HUP");
-    let ring = format!("it would close a ring: {0} -> {1} -> {0}", TRUNKS[1], TRUNKS[0]);
-    until("the loop is named", || heard(&ring));
+    let cycle = format!("it would close a ring: {0} -> {1} -> {0}", TRUNKS[1], TRUNKS[0]);
+    wait_until("the cycle is logged", || logged(&cycle));
     (1..=20).for_each(&mut ask);
 
-    // A ring that the shape doesn't show: it is cut on its first turn, reported, and the access goes another way.
+    // A cycle that is not in the shape: it is detected on the first turn and reported, and the access uses another route.
     trunks[0].set_fill_sources(&[TRUNKS[1]]);
     trunks[1].set_fill_sources(&[TRUNKS[0]]);
     (1_000..1_030).for_each(&mut ask);
-    until("the ring is reported", || heard("a fill came round in a ring"));
+    wait_until("the cycle is reported", || logged("a fill came round in a ring"));
     let sum = |of: fn(&Member) -> usize| trunks.iter().map(of).sum::<usize>();
     assert!(sum(|t| t.counts().loops_rejected.load(SeqCst)) > 0);
     assert_eq!(sum(|t| t.counts().loops_missed.load(SeqCst)), 0);
 
-    // Every line is one JSON object with the same names.
+    // Every log line is a JSON object with the same keys.
     let log = front.log();
     for line in &log {
         let line: Value = serde_json::from_str(line).expect("a line that is JSON");
         assert!(line["timestamp"].is_string() && line["level"].is_string() && line["message"].is_string());
         assert_eq!(line["span"]["front"], "n1", "{line}");
     }
-    let aside = log.iter().find(|l| l.contains("it would close a ring")).unwrap();
-    assert!(aside.contains(&format!("\"member\":\"{}\"", TRUNKS[1])), "{aside}");
+    let pending = log.iter().find(|l| l.contains("it would close a ring")).unwrap();
+    assert!(pending.contains(&format!("\"member\":\"{}\"", TRUNKS[1])), "{pending}");
     std::fs::remove_dir_all(folder).unwrap();
 }
 
-/// Killed in the middle of a hand-over and back from its disk, a front asks old homes for what they hold; without its disk
-/// it would have that fetched anew.
+/// A front killed during a hand-over and restarted with its store still fills from old homes; without its store the copies
+/// there would be fetched again.
 #[test]
-fn a_hand_over_begun_before_a_death_is_known_again() {
+fn a_hand_over_in_progress_survives_a_restart() {
     const OBJECTS: u64 = 60;
     let directory = Directory::default();
-    let member_at = |id, role, keeps| {
-        Member::start(
-            MemberConfig { max_copies: keeps, ..MemberConfig::new(id, "127.0.0.1:0", role) },
-            &directory,
-        )
-        .unwrap()
+    let member_at = |id, role, max_copies| {
+        Member::start(MemberConfig { max_copies, ..MemberConfig::new(id, "127.0.0.1:0", role) }, &directory)
+            .unwrap()
     };
     let (cache, archive) = (member_at(CACHE, Role::Cache, 1), member_at(ARCHIVE, Role::Archive, 0));
     let trunks = [TRUNKS[0], TRUNKS[1]].map(|id| member_at(id, Role::Parent, 1_000));
     trunks.iter().for_each(|t| t.set_fill_sources(&[ARCHIVE]));
-    // All stands at the first parent.
+    // The first parent holds all objects.
     let path = |key: u64| format!("/data/files/{key:016x}/0");
     (0..OBJECTS).for_each(|key| trunks[0].preload(&path(key), 1_000));
     let feed = Feed::start("127.0.0.1:0").unwrap();
@@ -153,38 +147,40 @@
     shape(&one);
     let config = config(&feed, &cache, &trunks, &archive);
     let mut front = start(&config, Some(&settings));
-    let has = |front: &helper::Front, text: &str| front.log().iter().any(|line| line.contains(text));
-    until("one parent", || has(&front, "shape: 2 members"));
+    let logged = |front: &helper::Front, text: &str| front.log().iter().any(|line| line.contains(text));
+    wait_until("one parent", || logged(&front, "shape: 2 members"));
     shape(&(one + &member(TRUNKS[1], 1, 1, &[ARCHIVE])));
     front.signal("-HUP");
-    until("a hand-over begins", || has(&front, "50.0% of the objects move"));
+    wait_until("the hand-over begins", || logged(&front, "50.0% of the objects move"));
     let ask = |front: &helper::Front, keys: std::ops::Range<u64>| {
-        let mut client = Client::connect(front.at).unwrap();
+        let mut client = Client::connect(front.address).unwrap();
         for key in keys {
             let (head, _) = client.request("files", &format!("{key:016x}"), 2_000).unwrap();
             assert!(head.starts_with("Status: 200"), "{head}");
         }
     };
     ask(&front, 0..10);
-    assert_eq!(archive.requests(), 0, "all is had where it stands");
+    assert_eq!(archive.requests(), 0, "everything comes from the first parent");
     let store = folder.join("n1.redb");
-    let written = || std::fs::metadata(&store).and_then(|m| m.modified()).ok();
-    let before = written();
+    let modified = || std::fs::metadata(&store).and_then(|m| m.modified()).ok();
+    let before = modified();
     ask(&front, 10..12);
-    until("it is written down", || written() > before);
+    wait_until("the snapshot is written", || modified() > before);
     std::thread::sleep(std::time::Duration::from_millis(500));
     let _ = front.process.kill();
     let _ = front.process.wait();
     front = start(&config, Some(&settings));
-    until("it is known again", || has(&front, "homes: a hand-over is known again, over 2 lists"));
+    wait_until("the hand-over is restored", || {
+        logged(&front, "homes: a hand-over is known again, over 2 lists")
+    });
     ask(&front, 12..40);
-    assert_eq!(archive.requests(), 0, "nothing was fetched anew");
-    // Without its disk half of the rest is.
+    assert_eq!(archive.requests(), 0, "nothing was fetched again");
+    // Without its store half of the rest is fetched again.
     let _ = front.process.kill();
     let _ = front.process.wait();
     std::fs::remove_file(&store).unwrap();
     front = start(&config, Some(&settings));
     ask(&front, 40..OBJECTS);
-    assert!(archive.requests() > 0, "or the test shows nothing");
+    assert!(archive.requests() > 0, "otherwise the test shows nothing");
     std::fs::remove_dir_all(folder).unwrap();
 }
--- a/crates/cli/tests/versions.rs
+++ b/crates/cli/tests/versions.rs
@@ -1,4 +1,4 @@
-//! The service, a real front and the commands, as processes on loopback.
+//! The control service, a real front and the `config` commands, as processes on loopback.
 
 mod helper;
 
@@ -11,11 +11,12 @@
 use doorgrade_standins::shim::{Fault, Shim};
 use doorgrade_standins::versions::{Installation, SERVICE};
 use doorgrade_standins::{Client, Directory, Feed, Member, MemberConfig, Role};
-use helper::control::{Control, QUICK, control, control_with};
-use helper::{Front, signal, start, until};
+use helper::control::{Control, QUICK_ROLLOUT, start_control, start_control_with};
+use helper::{Front, signal, start, wait_until};
 use serde_json::Value;
 
-const RING: &str = r#"
+/// A shape whose members fill from each other in a loop.
+const CYCLE: &str = r#"
 hierarchy { tier = 1 }
 member "root" {
   incarnation = 1
@@ -36,17 +37,17 @@
 }
 "#;
 
-/// A front's settings, which have the commands' as well.
-fn settings(place: &Installation, control: &Control) -> PathBuf {
+/// Settings of a front, which also name the service for the commands.
+fn settings(installation: &Installation, control: &Control) -> PathBuf {
     let text = format!(
         "versions {{\n  enabled = true\n  service = [\"{}\"]\n  server_name = \"{SERVICE}\"\n  station = \"hill\"\n  \
          certificate = \"n1.pem\"\n  key = \"n1.key\"\n  authority = \"fronts-ca.pem\"\n  seal_keys = \"seal-keys.hcl\"\n  \
          store = \"n1.redb\"\n}}\nmanage {{\n  service = \"{}\"\n  server_name = \"{SERVICE}\"\n  \
          certificate = \"person.pem\"\n  key = \"person.key\"\n  authority = \"fronts-ca.pem\"\n}}\n",
-        control.fronts, control.operators
+        control.fronts_address, control.operators_address
     );
-    place.write("n1.hcl", &text).unwrap();
-    place.file("n1.hcl")
+    installation.write("n1.hcl", &text).unwrap();
+    installation.file("n1.hcl")
 }
 
 fn config(settings: &Path, args: &[&str]) -> Output {
@@ -63,7 +64,7 @@
 }
 
 struct Rig {
-    place: Installation,
+    installation: Installation,
     control: Control,
     settings: PathBuf,
     config: String,
@@ -74,14 +75,14 @@
 
 impl Rig {
     fn start(name: &str) -> Rig {
-        Rig::with(name, QUICK, Vec::new())
+        Rig::with(name, QUICK_ROLLOUT, Vec::new())
     }
 
     fn with(name: &str, publication: &str, environment: Vec<(&str, OsString)>) -> Rig {
-        let place = Installation::new(name).unwrap();
-        place.issue("n1", &place.fronts, &["n1"], 30).unwrap();
-        let control = control_with(&place, "127.0.0.1:0", publication, environment);
-        let settings = settings(&place, &control);
+        let installation = Installation::new(name).unwrap();
+        installation.issue("n1", &installation.fronts, &["n1"], 30).unwrap();
+        let control = start_control_with(&installation, "127.0.0.1:0", publication, environment);
+        let settings = settings(&installation, &control);
         let directory = Directory::default();
         let member =
             |id, role| Member::start(MemberConfig::new(id, "127.0.0.1:0", role), &directory).unwrap();
@@ -97,7 +98,7 @@
         ] {
             config = config.replace(&format!("127.0.0.1:{from}"), &to.to_string());
         }
-        Rig { place, control, settings, config, feed, origin, _cache: cache }
+        Rig { installation, control, settings, config, feed, origin, _cache: cache }
     }
 
     fn front(&self) -> Front {
@@ -105,24 +106,24 @@
     }
 
     fn publish(&self, content: &str) -> Output {
-        self.place.write("next.hcl", content).unwrap();
-        config(&self.settings, &["publish", self.place.file("next.hcl").to_str().unwrap(), "--json"])
+        self.installation.write("next.hcl", content).unwrap();
+        config(&self.settings, &["publish", self.installation.file("next.hcl").to_str().unwrap(), "--json"])
     }
 
-    fn connected(&self) {
-        until("the front has come", || {
+    fn wait_for_front(&self) {
+        wait_until("the front has connected", || {
             json(&config(&self.settings, &["status", "--json"]))["connected"] == 1
         });
     }
 }
 
 #[test]
-fn a_version_reaches_a_front_survives_its_death_and_is_taken_back() {
+fn a_version_reaches_a_front_survives_its_restart_and_is_rolled_back() {
     let rig = Rig::start("streamed");
     let front = rig.front();
-    rig.connected();
-    // What no front could use is turned down before it has a number, with the file, line, key and expectation.
-    for (content, why) in [
+    rig.wait_for_front();
+    // An invalid version is rejected before it gets a number; the error names file, line, key and expected value.
+    for (content, message) in [
         ("log {", "next.hcl:1:6: is not HCL"),
         ("log { level = 7 }\n", "next.hcl:1:15: key 'log.level': expected one of"),
         ("limits { sockets = 3 }\n", "key 'limits.sockets': expected a whole number from 32"),
@@ -130,28 +131,32 @@
             "hierarchy { tier = 1 }\nmember \"a\" {\n incarnation = 1\n number = 1\n tier = 2\n}\n",
             "tier 1: expected at least one member",
         ),
-        (RING, "it would close a ring: b -> a -> b"),
+        (CYCLE, "it would close a ring: b -> a -> b"),
     ] {
-        let refused = rig.publish(content);
-        assert_eq!(refused.status.code(), Some(1), "{content}");
-        assert!(text(&refused.stderr).contains(why), "{content}: {}", text(&refused.stderr));
+        let rejected = rig.publish(content);
+        assert_eq!(rejected.status.code(), Some(1), "{content}");
+        assert!(text(&rejected.stderr).contains(message), "{content}: {}", text(&rejected.stderr));
     }
-    // What this front could only take with a new start is turned down by it, in its own words, and stops.
+    // A change that needs a restart is rejected by the front, which gives the reason, and the rollout stops.
     let member = "member \"a\" {\n incarnation = 1\n number = 1\n tier = 1\n}\n";
     let stopped = rig.publish(&format!("hierarchy {{ tier = 1 }}\n{member}"));
     assert_eq!(stopped.status.code(), Some(3));
-    let why = json(&stopped)["stopped"].as_str().unwrap().to_owned();
+    let reason = json(&stopped)["stopped"].as_str().unwrap().to_owned();
     assert!(
-        why.contains("1 of 1 fronts turned it down: it changes settings that need a restart: hierarchy (off"),
-        "{why}"
+        reason.contains(
+            "1 of 1 fronts turned it down: it changes settings that need a restart: hierarchy (off"
+        ),
+        "{reason}"
     );
 
     let done = rig.publish("log { level = \"debug\" }\n");
     assert!(done.status.success(), "{done:?}");
     assert_eq!(json(&done)["everywhere"], true);
     let second = json(&done)["version"].as_str().unwrap().to_owned();
-    until("its log says so", || front.log().iter().any(|l| l.contains(&format!("{second} is in use"))));
-    // Killed: it starts on what it ran, before it has heard of anybody.
+    wait_until("the front logs the version", || {
+        front.log().iter().any(|l| l.contains(&format!("{second} is in use")))
+    });
+    // After a kill the front starts with its stored version, before it reaches the service.
     drop(front);
     let front = rig.front();
     assert!(
@@ -159,14 +164,14 @@
         "{:?}",
         front.log()
     );
-    // Its store spoilt: it runs its own file, says so, and is given the version anew.
+    // With a corrupt store it starts with its own file, logs that, and is sent the version again.
     drop(front);
-    std::fs::write(rig.place.file("n1.redb"), vec![7; 9_000]).unwrap();
+    std::fs::write(rig.installation.file("n1.redb"), vec![7; 9_000]).unwrap();
     let front = rig.front();
     let log = front.log();
     assert!(log.iter().any(|l| l.contains("the store can't be opened")), "{log:?}");
     assert!(log.iter().any(|l| l.contains("none is kept; this start runs its own file")), "{log:?}");
-    until("it is given what is everyone's", || {
+    wait_until("the front is sent the current version", || {
         front.log().iter().any(|l| l.contains(&format!("{second} is in use")))
     });
 
@@ -175,9 +180,9 @@
     let diff = config(&rig.settings, &["diff", "2", "3"]);
     assert_eq!(diff.status.code(), Some(4));
     assert!(text(&diff.stdout).contains("-log { level = \"debug\" }\n+log { level = \"warn\" }"));
-    let behind = config(&rig.settings, &["rollback", "2", "--expect", "2"]);
-    assert_eq!(behind.status.code(), Some(1));
-    assert!(text(&behind.stderr).contains("somebody has published since: the last version is 3"));
+    let outdated = config(&rig.settings, &["rollback", "2", "--expect", "2"]);
+    assert_eq!(outdated.status.code(), Some(1));
+    assert!(text(&outdated.stderr).contains("somebody has published since: the last version is 3"));
     assert!(config(&rig.settings, &["rollback", "2"]).status.success());
     let status = json(&config(&rig.settings, &["status", "--fronts", "--json"]));
     assert_eq!((&status["current"], &status["last"]), (&1.into(), &4.into()));
@@ -190,13 +195,13 @@
 }
 
 #[test]
-fn a_version_meets_accesses_in_flight_a_drain_a_reload_and_the_end() {
+fn versions_arrive_during_accesses_a_drain_a_reload_and_a_shutdown() {
     let mut rig = Rig::start("meets");
     let mut front = rig.front();
-    rig.connected();
+    rig.wait_for_front();
     // Writes in flight at the origin.
     rig.origin.gate().set_closed(true);
-    let mut clients: Vec<Client> = (0..6).map(|_| Client::connect(front.at).unwrap()).collect();
+    let mut clients: Vec<Client> = (0..6).map(|_| Client::connect(front.address).unwrap()).collect();
     for client in &mut clients {
         let key = "7f3a9c21e0b4d655";
         client
@@ -209,80 +214,88 @@
             })
             .unwrap();
     }
-    until("they wait at the origin", || rig.origin.gate().waiting() == 6);
-    // Word that a cache drains, a version with another feed and tighter limits, and SIGHUP, all together.
-    let later = Feed::start("127.0.0.1:0").unwrap();
-    until("the feed is followed", || !rig.feed.resume_numbers().is_empty());
+    wait_until("the writes wait at the origin", || rig.origin.gate().waiting() == 6);
+    // All at once: a cache starts to drain, a version with another feed and lower limits arrives, and SIGHUP is sent.
+    let new_feed = Feed::start("127.0.0.1:0").unwrap();
+    wait_until("the front subscribes to the feed", || !rig.feed.resume_numbers().is_empty());
     rig.feed.publish(2, 2, &member_record("s-00000002", rig.origin.address, 1, 0, 0, 0));
-    let content = format!("feed = \"{}\"\nlimits {{\n  memory_mb = 64\n  sockets = 128\n}}\n", later.address);
-    rig.place.write("next.hcl", &content).unwrap();
+    let content =
+        format!("feed = \"{}\"\nlimits {{\n  memory_mb = 64\n  sockets = 128\n}}\n", new_feed.address);
+    rig.installation.write("next.hcl", &content).unwrap();
     let mut command = Command::new(env!("CARGO_BIN_EXE_doorgrade"));
-    command.arg("config").arg("publish").arg(rig.place.file("next.hcl")).arg("--settings").arg(&rig.settings);
-    let mut publishes = command.stdout(Stdio::null()).spawn().unwrap();
+    command
+        .arg("config")
+        .arg("publish")
+        .arg(rig.installation.file("next.hcl"))
+        .arg("--settings")
+        .arg(&rig.settings);
+    let mut publisher = command.stdout(Stdio::null()).spawn().unwrap();
     (0..20).for_each(|_| front.signal("-HUP"));
-    assert!(publishes.wait().unwrap().success());
-    until("the version's feed is followed", || !later.resume_numbers().is_empty());
-    // A reload after it keeps what the version says over the file.
+    assert!(publisher.wait().unwrap().success());
+    wait_until("the front subscribes to the version's feed", || !new_feed.resume_numbers().is_empty());
+    // After a later reload the version still takes precedence over the file.
     let before = front.log().len();
     front.signal("-HUP");
-    until("it has reloaded", || {
-        front.log()[before..].iter().any(|l| l.contains(&format!("feed at {}", later.address)))
+    wait_until("it has reloaded", || {
+        front.log()[before..].iter().any(|l| l.contains(&format!("feed at {}", new_feed.address)))
     });
-    // Told to stop while one more version comes: each access is answered once, and it ends by itself.
-    rig.place.write("last.hcl", "log { level = \"warn\" }\n").unwrap();
+    // SIGTERM while one more version arrives: each access gets one response, and the front exits by itself.
+    rig.installation.write("last.hcl", "log { level = \"warn\" }\n").unwrap();
     let mut command = Command::new(env!("CARGO_BIN_EXE_doorgrade"));
-    command.arg("config").arg("publish").arg(rig.place.file("last.hcl")).arg("--no-wait");
-    let published = command.arg("--settings").arg(&rig.settings).stdout(Stdio::null()).spawn();
+    command.arg("config").arg("publish").arg(rig.installation.file("last.hcl")).arg("--no-wait");
+    let publisher = command.arg("--settings").arg(&rig.settings).stdout(Stdio::null()).spawn();
     signal(front.process.id(), "-TERM");
-    assert!(published.unwrap().wait().unwrap().success());
+    assert!(publisher.unwrap().wait().unwrap().success());
     rig.origin.gate().set_closed(false);
     for client in &mut clients {
         assert!(client.receive().unwrap().0.starts_with("Status: 200"));
         assert!(!client.has_unread_bytes());
     }
     assert!(front.process.wait().unwrap().success());
-    // The service is killed and comes back with its store; the front, started again, runs what it had and finds it.
-    let at = rig.control.fronts.to_string();
+    // The service is killed and restarted with its store; a restarted front runs its stored version and reconnects.
+    let at = rig.control.fronts_address.to_string();
     let _ = rig.control.process.kill();
     let _ = rig.control.process.wait();
     let front = rig.front();
     assert!(front.log().iter().any(|l| l.contains("versions: this start runs ")), "{:?}", front.log());
-    rig.control = control(&rig.place, &at, QUICK);
-    rig.settings = settings(&rig.place, &rig.control);
-    rig.connected();
+    rig.control = start_control(&rig.installation, &at, QUICK_ROLLOUT);
+    rig.settings = settings(&rig.installation, &rig.control);
+    rig.wait_for_front();
     assert_eq!(json(&config(&rig.settings, &["status", "--json"]))["last"], 2);
 }
 
-/// A publication is stopped while the service's disk fails. The word was acknowledged, and forgotten with the next death of
-/// the service, which went on with the publication.
+/// A rollout is stopped while the service's disk fails. The stop used to be acknowledged but was not stored, so that the
+/// service continued the rollout after its next restart.
 #[test]
-fn a_stop_that_could_not_be_stored_is_told_so_and_stored_when_the_disk_is_well() {
+fn a_stop_that_can_not_be_stored_is_reported_and_stored_once_the_disk_recovers() {
     let shim = Shim::new(1).unwrap();
     let soaking = "  soak_ms = 60000\n  answer_within_ms = 5000";
     let mut rig = Rig::with("disk-fails", soaking, shim.environment().unwrap());
     let _front = rig.front();
-    rig.connected();
-    rig.place.write("next.hcl", "log { level = \"debug\" }\n").unwrap();
-    let file = rig.place.file("next.hcl");
+    rig.wait_for_front();
+    rig.installation.write("next.hcl", "log { level = \"debug\" }\n").unwrap();
+    let file = rig.installation.file("next.hcl");
     let published = config(&rig.settings, &["publish", file.to_str().unwrap(), "--no-wait", "--json"]);
     assert!(published.status.success(), "{published:?}");
-    let running = || json(&config(&rig.settings, &["status", "--json"]))["publication"].clone();
-    until("it is on its way", || running().is_object());
-    let version = running()["version"].as_str().unwrap().to_owned();
+    let rollout = || json(&config(&rig.settings, &["status", "--json"]))["publication"].clone();
+    wait_until("the rollout has started", || rollout().is_object());
+    let version = rollout()["version"].as_str().unwrap().to_owned();
     let number = version.split(['.', '-']).nth(1).unwrap();
 
     shim.set(Fault::DiskErrno, nix::errno::Errno::EIO as i64).unwrap();
     let stop = config(&rig.settings, &["stop", number]);
-    assert!(!stop.status.success(), "it may be forgotten: {stop:?}");
-    assert_ne!(running()["stopped"], serde_json::Value::Null, "it has stopped all the same");
+    assert!(!stop.status.success(), "it is not stored yet: {stop:?}");
+    assert_ne!(rollout()["stopped"], serde_json::Value::Null, "it has stopped nevertheless");
     shim.set(Fault::DiskErrno, 0).unwrap();
-    until("it is stored", || rig.control.lines().iter().any(|line| line.contains("is stored now")));
+    wait_until("the stop is stored", || {
+        rig.control.log_lines().iter().any(|line| line.contains("is stored now"))
+    });
 
-    let at = rig.control.fronts.to_string();
+    let at = rig.control.fronts_address.to_string();
     rig.control.process.kill().unwrap();
     rig.control.process.wait().unwrap();
-    rig.control = control(&rig.place, &at, soaking);
-    rig.settings = settings(&rig.place, &rig.control);
-    let running = json(&config(&rig.settings, &["status", "--json"]))["publication"].clone();
-    assert_ne!(running["stopped"], serde_json::Value::Null, "{running}");
+    rig.control = start_control(&rig.installation, &at, soaking);
+    rig.settings = settings(&rig.installation, &rig.control);
+    let rollout = json(&config(&rig.settings, &["status", "--json"]))["publication"].clone();
+    assert_ne!(rollout["stopped"], serde_json::Value::Null, "{rollout}");
 }
