--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -130,7 +130,7 @@
 }
 
 impl Selection {
-    fn is_given(&self) -> bool {
+    fn is_specified(&self) -> bool {
         self.all
             || !self.names.is_empty()
             || self.station.is_some()
@@ -146,13 +146,13 @@
                 status.agent
             ));
         }
-        let matches = |r: &Row| {
+        let is_selected = |r: &Row| {
             (self.names.is_empty() || self.names.iter().any(|n| *r.name == **n))
                 && self.station.as_ref().is_none_or(|s| *r.station == **s)
                 && self.state.is_none_or(|s| r.phase == s.phase())
                 && self.label.as_ref().is_none_or(|l| r.labels.iter().any(|own| **own == **l))
         };
-        Ok(status.rows.into_iter().filter(matches).collect())
+        Ok(status.rows.into_iter().filter(is_selected).collect())
     }
 }
 
@@ -308,7 +308,7 @@
 }
 
 async fn order(asker: &mut Asker, operation: Operation, args: OrderArgs) -> Result<Outcome, String> {
-    if !args.selection.is_given() {
+    if !args.selection.is_specified() {
         return Err("no instance is selected: expected names, --station, --state, --label or --all".into());
     }
     let rows = args.selection.apply(status(asker).await?)?;
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -121,7 +121,7 @@
     },
 }
 
-/// The result of a command that ran, as its exit code tells it.
+/// The result of a command, which determines its exit code.
 pub enum Outcome {
     Done,
     /// A check found problems.
--- a/crates/cli/tests/attempts.rs
+++ b/crates/cli/tests/attempts.rs
@@ -44,8 +44,8 @@
     }
 }
 
-/// A request told the cache the time that was left when the attempt was decided on: `Call-Ms` was written then, up to a
-/// second before the connection was established.
+/// `Call-Ms`, which tells the cache how much time is left, used to be written when the attempt was decided on, a second
+/// before its connection was established.
 #[test]
 fn an_attempt_whose_connection_is_late_tells_the_time_left_when_it_is_sent() {
     let mut cache = ManualCache::start().unwrap();
@@ -131,8 +131,9 @@
     );
 }
 
-/// The coroutines' thread is delayed when an attempt is handed to it. The request used to be written 400 ms later with the time
-/// that had been left before; likewise a repeat could start after its window, or an attempt after the grace of a purge.
+/// The coroutines' thread is delayed when an attempt is handed to it. The request used to be written 400 ms later with the
+/// time that had been left before; likewise a repeat could start after its window, or an attempt after the grace of a
+/// purge.
 #[test]
 fn an_attempt_that_was_handed_over_long_ago_is_updated_before_it_starts() {
     let mut caches = [Cache::start(), Cache::start()];
--- a/crates/cli/tests/closing.rs
+++ b/crates/cli/tests/closing.rs
@@ -63,7 +63,7 @@
     }
 }
 
-/// Thousands of clients disconnect at random moments, many of them at once, while caches are slow, fail, or break off.
+/// Thousands of clients disconnect at random moments, some in bursts, while caches are slow, fail, or break off.
 #[test]
 fn no_attempt_starts_for_clients_that_have_left() {
     let directory = Directory::default();
@@ -152,16 +152,16 @@
     (client, raw)
 }
 
-/// The front is stopped (SIGSTOP) past the time until which it accepts requests during a shutdown. Meanwhile a request arrives
-/// on a connection with a response that its client has not read yet.
+/// During a shutdown the front is stopped (SIGSTOP) past the time until which it accepts requests. Meanwhile a request
+/// arrives on a connection with a response that its client has not read yet.
 #[test]
 fn a_request_that_arrives_late_in_a_shutdown_is_rejected_without_loss_of_other_responses() {
     let (_directory, [one, two, origin], feed) = start_members();
     let mut front =
         start(&example_config([&one.address, &two.address, &origin.address, &feed.address], &[]), None);
     let (mut client, mut raw) = connect(&front);
-    let mut resting = Client::connect(front.address).unwrap();
-    assert!(resting.is_ready().unwrap());
+    let mut idle = Client::connect(front.address).unwrap();
+    assert!(idle.is_ready().unwrap());
     let read = AccessRequest { class: "images", ..order(KEY) };
     client.send_access(&read).unwrap();
     wait_until("its response has arrived", || raw.peek(&mut [0; 4_096]).is_ok_and(|n| n == 4_096));
@@ -181,7 +181,7 @@
     let (head, _) = client.receive().expect("a response to the late request");
     assert!(head.starts_with("Status: 503"), "{head}");
     assert_eq!(raw.read(&mut [0; 1]).expect("an orderly close"), 0);
-    assert!(resting.receive().is_err_and(|e| e.kind() == std::io::ErrorKind::UnexpectedEof));
+    assert!(idle.receive().is_err_and(|e| e.kind() == std::io::ErrorKind::UnexpectedEof));
     assert!(wait_for_exit(&mut front, Duration::from_secs(5)).success());
     assert_eq!([&one, &two, &origin].map(|m| m.requests()), requests, "nothing was forwarded");
 }
@@ -192,23 +192,23 @@
     let (_directory, [one, two, origin], feed) = start_members();
     let mut front =
         start(&example_config([&one.address, &two.address, &origin.address, &feed.address], &[]), None);
-    let mut resting: Vec<_> = (0..8).map(|_| connect(&front)).collect();
-    for (client, _) in &mut resting {
+    let mut idle: Vec<_> = (0..8).map(|_| connect(&front)).collect();
+    for (client, _) in &mut idle {
         assert!(client.is_ready().unwrap());
         // Its response is not read before the shutdown.
         client.send_access(&AccessRequest { class: "images", ..order(KEY) }).unwrap();
     }
-    for (_, raw) in &resting {
+    for (_, raw) in &idle {
         wait_until("its response has arrived", || raw.peek(&mut [0; 4_096]).is_ok_and(|n| n == 4_096));
     }
     front.signal("-TERM");
     // Writes bytes for as long as the connections accept them.
     let started_at = Instant::now();
-    while resting.iter_mut().any(|(_, raw)| raw.write_all(&[1]).is_ok()) {
+    while idle.iter_mut().any(|(_, raw)| raw.write_all(&[1]).is_ok()) {
         assert!(started_at.elapsed() < TIMEOUT, "the connections are not closed");
         std::thread::sleep(Duration::from_millis(1));
     }
-    for (client, _) in &mut resting {
+    for (client, _) in &mut idle {
         let (head, body) = client.receive().expect("its response, though it kept writing");
         assert!(head.starts_with("Status: 200"), "{head}");
         assert_eq!(body, object_bytes(&format!("/data/images/{KEY}/0")));
@@ -258,8 +258,8 @@
     std::fs::remove_file(&front.config).unwrap();
 }
 
-/// All client places have requests in flight at SIGTERM, and further clients have sent requests on connections that the kernel
-/// has accepted but the front has not. Closing the listener used to reset those connections.
+/// All client places have requests in flight at SIGTERM, and further clients have sent requests on connections that the
+/// kernel has accepted but the front has not. Closing the listener used to reset those connections.
 #[test]
 fn requests_in_the_accept_queue_get_a_response_during_a_shutdown() {
     let (_directory, [one, two, origin], feed) = start_members();
--- a/crates/cli/tests/cold.rs
+++ b/crates/cli/tests/cold.rs
@@ -59,7 +59,7 @@
     let fronts: Vec<_> = (0..fronts)
         .map(|n| start(&config.replace("8c1f30d27a5be964", &format!("{:016x}", n + 1)), None))
         .collect();
-    let (stop, begun) = (AtomicBool::new(false), Instant::now());
+    let (stop, started_at) = (AtomicBool::new(false), Instant::now());
     let mut started = 0;
     std::thread::scope(|scope| {
         for (n, front) in fronts.iter().enumerate() {
@@ -76,7 +76,7 @@
             });
         }
         // Long enough for the fronts to learn the usual rates; then the feed reports that one cache has restarted.
-        std::thread::sleep(Duration::from_secs(10).saturating_sub(begun.elapsed()));
+        std::thread::sleep(Duration::from_secs(10).saturating_sub(started_at.elapsed()));
         started = unix_ms();
         feed.publish_members(2, &[feed::member_record("s-00000001", caches[0].address, 0, 0, 0, started)]);
         std::thread::sleep(Duration::from_secs(10));
--- a/crates/cli/tests/crossing.rs
+++ b/crates/cli/tests/crossing.rs
@@ -1,10 +1,10 @@
-//! A front closes an idle client connection to make room for a new client, at the moment at which the client sends its next
-//! request there. The request had been read, but the reducer had not processed it when it decided to close. It then
+//! Guards against requests that are lost when the front closes an idle client connection, to make room for a new client,
+//! at the moment at which the client sends its next request there.
+//!
+//! In the failure, the request had been read, but the reducer had not processed it when it decided to close. It then
 //! accepted the request and forwarded it. The connection's coroutine found the commands to close and to read on in its
 //! queue together, ignored their order, and closed the connection with the request in flight. The client closed its side,
-//! and the front cancelled the attempt, all within a millisecond.
-//!
-//! The log of the failure:
+//! and the front cancelled the attempt, all within a millisecond. The log of the first run of this test against it:
 //!
 //!     198.5 DEBUG a client's connection is to end: others need its place
 //!     198.7 DEBUG client's connection connection=22 clients=23
--- a/crates/cli/tests/descriptors.rs
+++ b/crates/cli/tests/descriptors.rs
@@ -102,7 +102,7 @@
     wait_until("the front subscribes to the feed", || !feed.resume_numbers().is_empty());
     // The front retries at least once a second.
     assert!(back.elapsed() < Duration::from_millis(1_600), "{:?}", back.elapsed());
-    let begun = Instant::now();
+    let started_at = Instant::now();
     for number in 0..100 {
         let mut client = Client::connect(front.address).unwrap();
         assert!(client.is_ready().unwrap(), "{number}");
@@ -111,7 +111,7 @@
         idle.extend(TcpStream::connect(front.address));
     }
     // Each new client gets a place at once: 100 of them, and as many idle ones.
-    assert!(begun.elapsed() < Duration::from_secs(5), "{:?} for 100", begun.elapsed());
+    assert!(started_at.elapsed() < Duration::from_secs(5), "{:?} for 100", started_at.elapsed());
 }
 
 #[test]
@@ -127,11 +127,11 @@
         .stderr(Stdio::piped())
         .spawn()
         .unwrap();
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let status = loop {
         match process.try_wait().unwrap() {
             Some(status) => break status.code(),
-            None if begun.elapsed() > TIMEOUT => {
+            None if started_at.elapsed() > TIMEOUT => {
                 process.kill().unwrap();
                 break None;
             }
@@ -153,13 +153,13 @@
     drop(gone);
     let (_directory, [one, two, origin], _) = start_members();
     let config = example_config([&one.address, &two.address, &origin.address, &at], &[]);
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let mut took: Vec<_> = std::thread::scope(|scope| {
         let one = || {
             let front = start(&config, None);
             assert!(Client::connect(front.address).unwrap().is_ready().unwrap());
             // The front is returned, so that all of them run at the same time.
-            (begun.elapsed(), front)
+            (started_at.elapsed(), front)
         };
         let all: Vec<_> = (0..30).map(|_| scope.spawn(one)).collect();
         all.into_iter()
@@ -196,14 +196,14 @@
             });
         }
         let mut slowest = Duration::ZERO;
-        let begun = Instant::now();
-        while begun.elapsed() < Duration::from_secs(3) || ends.load(Ordering::SeqCst) < 8 {
-            assert!(begun.elapsed() < TIMEOUT, "their connections are not closed");
-            let asked = Instant::now();
+        let started_at = Instant::now();
+        while started_at.elapsed() < Duration::from_secs(3) || ends.load(Ordering::SeqCst) < 8 {
+            assert!(started_at.elapsed() < TIMEOUT, "their connections are not closed");
+            let sent_at = Instant::now();
             let mut client = Client::connect(front.address).unwrap();
             assert!(client.is_ready().unwrap());
             assert!(client.request("images", KEY, 2_000).unwrap().0.starts_with("Status: 200"));
-            slowest = slowest.max(asked.elapsed());
+            slowest = slowest.max(sent_at.elapsed());
         }
         stop.store(true, Ordering::SeqCst);
         assert!(slowest < Duration::from_secs(1), "{slowest:?} for one access");
--- a/crates/cli/tests/fleet.rs
+++ b/crates/cli/tests/fleet.rs
@@ -123,7 +123,7 @@
     }
 }
 
-/// Clients like the platform's: they use fronts whose `/check` says ready, and notice within 50 ms when it no longer does.
+/// Clients like the platform's: they use only fronts whose `/check` says ready, and notice within 50 ms if one is not.
 fn traffic(
     addresses: Vec<SocketAddr>,
     stop: Arc<AtomicBool>,
@@ -177,7 +177,7 @@
     rig.kill_agent();
     rig.start_agent();
     wait_until("the drain continues", || rig.states()[1] == "draining");
-    wait_until("the others are taken over", || {
+    wait_until("the other instances are taken over", || {
         rig.states().iter().filter(|s| *s == "ready").count() == FRONTS - 1
     });
     assert_eq!(
@@ -188,7 +188,7 @@
     rig.run(&["stop", "n1"]);
     rig.kill_agent();
     rig.start_agent();
-    wait_until("it stays stopped", || rig.states()[1] == "stopped");
+    wait_until("the instance stays stopped", || rig.states()[1] == "stopped");
     // A rolling restart under the same traffic.
     rig.run(&["restart", "--station", "hill"]);
     rig.run(&["start", "n1"]);
@@ -262,7 +262,7 @@
     let (head, _) = client.receive().expect("a response, though it is unknown whether the access ran");
     assert!(head.starts_with("Status: 500"), "{head}");
     origin.gate().set_closed(false);
-    wait_until("it has stopped", || rig.states()[0] == "stopped");
+    wait_until("the instance has stopped", || rig.states()[0] == "stopped");
 }
 
 /// Writes and syncs fail for a while, first in a running agent, then in one that starts.
@@ -295,7 +295,7 @@
         set_aside, [""; 0],
         "a journal that could not be opened for a moment is not treated as damaged"
     );
-    wait_until("all are known again", || {
+    wait_until("the agent knows all instances again", || {
         let states = rig.states();
         states[1] == "stopped" && states.iter().filter(|s| *s == "ready").count() == FRONTS - 1
     });
--- a/crates/cli/tests/log_writes.rs
+++ b/crates/cli/tests/log_writes.rs
@@ -85,8 +85,8 @@
     check_serves(&mut running, at);
 }
 
-/// The log goes to a pipe whose reader does not read, like a log collector that is stopped. Once the pipe was full, the serving
-/// thread used to block on it: of 600 requests the 137th and all later ones got no response.
+/// The log goes to a pipe whose reader does not read, like a log collector that is stopped. Once the pipe was full, the
+/// serving thread used to block on it: of 600 requests the 137th and all later ones got no response.
 #[test]
 fn requests_get_responses_though_the_reader_of_the_log_stops_reading() {
     let (_directory, members, feed) = start_members();
--- a/crates/cli/tests/neighbours.rs
+++ b/crates/cli/tests/neighbours.rs
@@ -71,7 +71,7 @@
     let mut fleet = Fleet::new("neighbours-stall", 5);
     fleet.wait_for_membership(0..5, 0..5);
     fleet.front(3).suspend();
-    // Longer than any of its timers, and until the others mark it down.
+    // Long enough to count as a stall, and until the others mark it down.
     let marked_down =
         |fleet: &Fleet| (0..5).filter(|&n| n != 3).all(|n| !fleet.alive_members(n).contains(&"n3".into()));
     wait_until("n3 is marked down", || marked_down(&fleet));
--- a/crates/cli/tests/recall.rs
+++ b/crates/cli/tests/recall.rs
@@ -1,6 +1,6 @@
-//! What killed fronts know after a restart, from their stores and from neighbours. A stand-in cache holds a copy in the last
-//! fifth of its fresh time and counts refresh requests: a front that knows the copy's age asks for a refresh at the first
-//! access.
+//! What killed fronts know after a restart, from their stores and from neighbours. A stand-in cache holds a copy in the
+//! last fifth of its fresh time and counts refresh requests: a front that knows the copy's age asks for a refresh at the
+//! first access.
 
 mod helper;
 
@@ -210,7 +210,7 @@
         rig.fleet.start(2);
         rig.wait_for_log(2, message);
         rig.fleet.front(2).suspend();
-        // Longer than any of its timers.
+        // Long enough to count as a stall.
         std::thread::sleep(Duration::from_secs(3));
         let before = rig.fleet.front(2).log_lines().len();
         rig.fleet.front(2).resume();
@@ -218,7 +218,7 @@
         if step > 0 {
             rig.wait_for_log(2, "neighbours: stalled for ");
         }
-        wait_until("it has fetched again", || {
+        wait_until("the front has fetched again", || {
             let lines = rig.fleet.fronts[2].as_ref().unwrap().log_lines();
             lines[before..].iter().any(|l| l.contains("recall: from neighbours, 1 pages: "))
         });
@@ -246,7 +246,7 @@
     rig.access(2);
     // The fetch ends though a neighbour does not respond.
     rig.wait_for_log(2, "recall: from neighbours, ");
-    // Longer than any of its timers.
+    // Long enough to count as a stall.
     std::thread::sleep(Duration::from_secs(1));
     rig.fleet.front(0).resume();
     rig.wait_for_log(0, "neighbours: stalled for ");
@@ -290,8 +290,8 @@
     records.write(&[("memory", postcard::to_stdvec(&snapshot).unwrap())], &[]).unwrap();
 }
 
-/// A neighbour reports a young copy as old, and an old one as young. The effect is one refresh request that the cache ignores,
-/// or one that comes an access late; the first response corrects the age.
+/// A neighbour reports a young copy as old, and an old one as young. The effect is one refresh request that the cache
+/// ignores, or one that comes an access late; the first response corrects the age.
 #[test]
 fn a_neighbour_with_wrong_ages_affects_one_access_at_most() {
     for (actual, reported, first, second) in [(1, 17, 1, 0), (17, 1, 0, 1)] {
@@ -302,7 +302,8 @@
         change_snapshot(&rig, 0, |snapshot| {
             assert_eq!(snapshot.fills.len(), 1);
             snapshot.fills[0].made_at = (unix_ms() - FRESH_MS * reported / 20) * 10;
-            // Also a purge in the future, and one of another object that never happened: at worst an access asks for a maximum age.
+            // Also a purge in the future, and one of another object that never happened: at worst, an access asks the
+            // cache for a maximum age.
             let at = unix_ms() * 10;
             snapshot.purges.push(Purge { object: None, group: 17, at: at + 36_000_000 });
             snapshot.purges.push(Purge { object: Some(7), group: 0, at });
@@ -325,7 +326,7 @@
             "the second access knows the actual age"
         );
         if actual == 1 {
-            assert_eq!(rig.archive.requests(), fills, "a young copy is not refreshed, whoever asks");
+            assert_eq!(rig.archive.requests(), fills, "a young copy is not refreshed, whichever front asks");
         }
         assert_eq!(rig.cache.counts().too_old.load(SeqCst), 0);
     }
--- a/crates/cli/tests/soak/cache.rs
+++ b/crates/cli/tests/soak/cache.rs
@@ -29,14 +29,14 @@
 pub type Record = Arc<Mutex<Vec<Received>>>;
 
 pub struct Cache {
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     stop: Arc<AtomicBool>,
 }
 
 impl Drop for Cache {
     fn drop(&mut self) {
         self.stop.store(true, Ordering::SeqCst);
-        let _ = TcpStream::connect(self.at);
+        let _ = TcpStream::connect(self.address);
     }
 }
 
@@ -50,7 +50,7 @@
     /// `fault_percent` of its responses are faulty.
     pub fn start(id: &str, fault_percent: u8, seed: u64, record: &Record) -> io::Result<Cache> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
-        let at = listener.local_addr()?;
+        let address = listener.local_addr()?;
         let stop = Arc::new(AtomicBool::new(false));
         let (stopped, record, name) = (stop.clone(), record.clone(), id.to_owned());
         std::thread::spawn(move || {
@@ -65,7 +65,7 @@
                 std::thread::spawn(move || connection.serve(&stream));
             }
         });
-        Ok(Cache { at, stop })
+        Ok(Cache { address, stop })
     }
 }
 
--- a/crates/cli/tests/soak/client.rs
+++ b/crates/cli/tests/soak/client.rs
@@ -9,8 +9,8 @@
 
 use fastrand::Rng;
 
-/// By the acceptance rules, a client resends a request, once, that it sent at most this long before it saw its idle connection
-/// closed.
+/// By the acceptance rules, a client resends a request, once, if it sent it at most this long before it saw its idle
+/// connection closed.
 const CLOSE_RACE: Duration = Duration::from_millis(50);
 const TICK: Duration = Duration::from_micros(500);
 /// Number of objects that are requested.
@@ -41,10 +41,10 @@
     pub written: Instant,
     pub timeout: Duration,
     /// It was among the first requests on its connection.
-    pub fresh: bool,
+    pub first_on_connection: bool,
     pub end: End,
-    /// A second response came.
-    pub twice: bool,
+    /// A second response arrived.
+    pub second_response: bool,
 }
 
 /// A client's usage pattern of a connection.
@@ -78,9 +78,9 @@
     pub front: SocketAddr,
     pub rng: Rng,
     pub deadline: Duration,
-    /// Clients make no new connections any more, and keep those that they have.
+    /// Set when clients make no new connections any more, and keep those that they have.
     pub no_new_connections: &'a AtomicBool,
-    /// The front was killed.
+    /// Set when the front has been killed.
     pub over: &'a AtomicBool,
     pub done: Vec<Request>,
 }
@@ -93,11 +93,11 @@
     open: BTreeMap<u16, Request>,
     /// Ids are not reused: a response that crosses an abort would pass for the response to another request.
     id: u16,
-    /// When to send again.
+    /// When to send next.
     next_write: Instant,
-    /// When to read again.
+    /// When to read next.
     next_read: Instant,
-    /// When to leave.
+    /// When to close or abort early.
     leave_at: Option<Instant>,
     /// After this time it is closed once no request is open on it.
     close_after: Instant,
@@ -106,14 +106,14 @@
 impl Client<'_> {
     /// Sends requests until the front is killed.
     pub fn run(mut self) -> Vec<Request> {
-        let mut again = None;
+        let mut resend = None;
         while !self.over.load(Ordering::SeqCst) {
             if self.no_new_connections.load(Ordering::SeqCst) {
                 std::thread::sleep(Duration::from_millis(5));
                 continue;
             }
             match self.connect() {
-                Ok(connection) => again = self.use_connection(connection, again),
+                Ok(connection) => resend = self.use_connection(connection, resend),
                 Err(_) => std::thread::sleep(Duration::from_millis(20)),
             }
         }
@@ -143,9 +143,9 @@
     fn use_connection(
         &mut self,
         mut c: Connection,
-        again: Option<(&'static str, String)>,
+        resend: Option<(&'static str, String)>,
     ) -> Option<(&'static str, String)> {
-        let mut first = again;
+        let mut pending_resend = resend;
         loop {
             if self.over.load(Ordering::SeqCst) {
                 self.read(&mut c);
@@ -170,7 +170,7 @@
             if !kept_open && c.open.is_empty() && c.close_after <= Instant::now() {
                 return None;
             }
-            if c.next_write <= Instant::now() && self.send(&mut c, first.take()).is_err() {
+            if c.next_write <= Instant::now() && self.send(&mut c, pending_resend.take()).is_err() {
                 // The close is read next.
                 c.next_write = Instant::now() + Duration::from_secs(60);
             }
@@ -202,15 +202,16 @@
         closes
     }
 
-    fn send(&mut self, c: &mut Connection, again: Option<(&'static str, String)>) -> std::io::Result<()> {
+    fn send(&mut self, c: &mut Connection, resend: Option<(&'static str, String)>) -> std::io::Result<()> {
         let max = if c.manner == Manner::Pipelines { 8 } else { 1 };
         let count = self.rng.usize(1..=max).saturating_sub(c.open.len());
         let mut bytes = Vec::new();
         let mut sent = Vec::new();
         for _ in 0..count {
             c.id += 1;
-            let (class, key) = again.clone().unwrap_or_else(|| self.random_access());
-            let request = Request { fresh: usize::from(c.id) <= count, ..self.request(class, key) };
+            let (class, key) = resend.clone().unwrap_or_else(|| self.random_access());
+            let request =
+                Request { first_on_connection: usize::from(c.id) <= count, ..self.request(class, key) };
             bytes.extend(records(c.id, &request));
             sent.push((c.id, request));
         }
@@ -241,8 +242,8 @@
         let request_id = format!("{:016x}", REQUESTS.fetch_add(1, Ordering::SeqCst) | 0xa11 << 40);
         let half = self.deadline.as_millis() as u64 / 2;
         let timeout = Duration::from_millis(self.rng.u64(half..=2 * half));
-        let (written, end, fresh, twice) = (Instant::now(), End::Open, false, false);
-        Request { request_id, class, key, written, timeout, fresh, end, twice }
+        let (written, end, first_on_connection, second_response) = (Instant::now(), End::Open, false, false);
+        Request { request_id, class, key, written, timeout, first_on_connection, end, second_response }
     }
 
     fn write(&mut self, c: &mut Connection, mut bytes: &[u8]) -> std::io::Result<()> {
@@ -310,7 +311,7 @@
                     }
                     // An aborted request may still get its response; any other such response is a second one.
                     None if c.manner != Manner::Leaves => {
-                        self.done.last_mut().into_iter().for_each(|r| r.twice = true);
+                        self.done.last_mut().into_iter().for_each(|r| r.second_response = true);
                     }
                     None => {}
                 }
--- a/crates/cli/tests/soak/judge.rs
+++ b/crates/cli/tests/soak/judge.rs
@@ -79,17 +79,17 @@
 fn check_response(run: &Run<'_>, request: &Request, own: &[&Received], verdict: &mut Verdict) {
     let mut violation =
         |what: &str| verdict.violations.push(format!("lost, {what}: {request:?}, attempts {own:?}"));
-    let until = request.written + request.timeout + SOCKET_TIME;
-    if request.twice {
+    let deadline = request.written + request.timeout + SOCKET_TIME;
+    if request.second_response {
         violation("a second response");
     }
     match request.end {
         End::Response { at, status, correct } => {
             if !correct {
                 violation("its response is not complete");
-            } else if at > until + MAX_LATENESS {
+            } else if at > deadline + MAX_LATENESS {
                 violation("its response came too late");
-            } else if at > until {
+            } else if at > deadline {
                 verdict.late += 1;
             }
             verdict.answered += 1;
@@ -97,7 +97,7 @@
         }
         End::Closed { at, .. } if at >= run.killed_at => violation("no response when the front was killed"),
         End::Closed { idle, .. } => {
-            let excused = !request.fresh || run.descriptors_exhausted;
+            let excused = !request.first_on_connection || run.descriptors_exhausted;
             match excused && idle && own.is_empty() {
                 true => verdict.crossed += 1,
                 false => violation("its connection was closed"),
@@ -139,7 +139,7 @@
         }
         let left = (request.written + request.timeout).saturating_duration_since(attempt.at);
         if attempt.timeout > left + MAX_EXCESS_TIME + run.scheduling_delay {
-            violation(format!("told {:?} with {left:?} left", attempt.timeout));
+            violation(format!("tells {:?} with {left:?} left", attempt.timeout));
         }
     }
 }
--- a/crates/cli/tests/soak/main.rs
+++ b/crates/cli/tests/soak/main.rs
@@ -1,7 +1,7 @@
 //! Runs a real front from start to exit under seeded faults: caches respond wrongly, clients use connections in every
-//! legal way, system calls fail, threads stall, the wall clock is stepped, discovery goes down and comes back, signals come
-//! in bursts. Then the front gets SIGTERM, and SIGKILL at the earliest time that the acceptance rules allow, while clients keep
-//! sending. The outcome of each request is checked against what clients and caches observed.
+//! legal way, system calls fail, threads stall, the wall clock is stepped, discovery goes down and comes back, signals
+//! come in bursts. Then the front gets SIGTERM, and SIGKILL at the earliest time that the acceptance rules allow, while
+//! clients keep sending. The outcome of each request is checked against what clients and caches observed.
 //!
 //! `DOORGRADE_SOAK=FROM..TO` runs other seeds than `SEEDS`, and prints one line for each.
 
@@ -32,7 +32,7 @@
 use judge::{FeedEvent, FeedMessage, Run, Verdict};
 use plan::Plan;
 
-/// By the acceptance rules, SIGKILL may come this long after SIGTERM and the longest time of a request.
+/// By the acceptance rules, SIGKILL may follow SIGTERM by the longest time of a request plus this.
 const KILL_DELAY: Duration = Duration::from_millis(700);
 /// Clients keep opening new connections for this long after SIGTERM.
 const CONNECTING_AFTER_STOP: Duration = Duration::from_millis(400);
@@ -75,8 +75,10 @@
             ("\"connIdle\": 15000.0", "\"connIdle\": 2000.0"),
             ("\"log\": \"info\"", "\"log\": \"debug\""),
         ];
-        let config =
-            example_config([&caches[0].at, &caches[1].at, &caches[2].at, &feeds[0].address], &changes);
+        let config = example_config(
+            [&caches[0].address, &caches[1].address, &caches[2].address, &feeds[0].address],
+            &changes,
+        );
         let front = Launch { environment: shim.environment().unwrap(), ..Launch::default() }.start(&config);
         wait_until("the front subscribes to the feed", || !feeds[0].resume_numbers().is_empty());
         Rig {
@@ -135,7 +137,7 @@
                 if *name == "-HUP" && self.plan.switches_feed {
                     self.switch_feed();
                 }
-                signal_if_there(&self.front, name);
+                signal_if_running(&self.front, name);
             }
             Action::Step(ms) => {
                 self.shim.set(Fault::ClockOffsetNs, (ms * 1_000_000).clamp(-hour_ns, hour_ns)).unwrap()
@@ -156,7 +158,7 @@
             let at = Instant::now();
             let event = if !drained && at > drain_at {
                 drained = true;
-                let draining = member_record("s-00000002", self.caches[1].at, 1, 0, 0, 0);
+                let draining = member_record("s-00000002", self.caches[1].address, 1, 0, 0, 0);
                 self.feeds
                     .iter()
                     .for_each(|feed| feed.publish_members(number, std::slice::from_ref(&draining)));
@@ -186,7 +188,8 @@
         self.feed_switches.lock().unwrap().push(Instant::now());
     }
 
-    /// The messages that were sent. The front may have received one only after it had switched to the other feed.
+    /// The messages that were sent, with `received_by` extended where the front may have received one only after it had
+    /// switched to the other feed.
     fn all_messages(&self) -> Vec<FeedMessage> {
         let switches = self.feed_switches.lock().unwrap();
         let mut messages = self.messages.lock().unwrap().clone();
@@ -216,7 +219,7 @@
     NoMoreConnections,
 }
 
-fn signal_if_there(front: &Front, name: &str) {
+fn signal_if_running(front: &Front, name: &str) {
     let id = front.process.id();
     let alive = std::fs::read_to_string(format!("/proc/{id}/stat")).is_ok_and(|stat| !stat.contains(") Z "));
     if alive {
@@ -257,7 +260,7 @@
     let (no_new_connections, over) = (AtomicBool::new(false), AtomicBool::new(false));
     rig.inject_faults();
     let started_at = Instant::now();
-    let (requests, killed_at, late) = std::thread::scope(|scope| {
+    let (requests, killed_at, scheduling_delay) = std::thread::scope(|scope| {
         let (rig, no_new_connections, over) = (&rig, &no_new_connections, &over);
         let clients: Vec<_> = (0..plan.clients)
             .map(|n| {
@@ -274,7 +277,7 @@
         let kill_at = stopped_at + plan.deadline + KILL_DELAY;
         std::thread::sleep(kill_at.saturating_duration_since(Instant::now()));
         let killed_at = Instant::now();
-        signal_if_there(&rig.front, "-KILL");
+        signal_if_running(&rig.front, "-KILL");
         over.store(true, Ordering::SeqCst);
         let requests: Vec<Request> = clients.into_iter().flat_map(|c| c.join().unwrap()).collect();
         (requests, killed_at, late.join().unwrap())
@@ -288,7 +291,7 @@
         messages: &messages,
         killed_at,
         descriptors_exhausted: plan.idle_connections > 0,
-        scheduling_delay: late,
+        scheduling_delay,
     };
     let mut verdict = judge::judge(&run);
     let killed = status.signal() == Some(9);
@@ -298,9 +301,9 @@
     let count = |counter| rig.shim.read(counter).unwrap();
     let faults = [Counter::Failed, Counter::Interrupted, Counter::Shortened, Counter::Lost, Counter::Stalled]
         .map(count);
-    let line = format!(
-        "seed {seed}: {} idle connections; {} requests, {} with a response ({} served, {} late), {} left by clients, {} crossed a \
-         close; {} attempts; faults {faults:?}; test late by {late:?}; exited {}; violations: {}",
+    let summary = format!(
+        "seed {seed}: {} idle connections; {} requests, {} with a response ({} served, {} late), {} left by clients, {} crossed \
+         a close; {} attempts; faults {faults:?}; test late by {scheduling_delay:?}; exited {}; violations: {}",
         plan.idle_connections,
         requests.len(),
         verdict.answered,
@@ -316,7 +319,7 @@
         let path = std::env::temp_dir().join(format!("doorgrade-soak-{seed}.log"));
         std::fs::write(&path, rig.front.log().join("\n")).unwrap();
     }
-    (plan, verdict, line)
+    (plan, verdict, summary)
 }
 
 fn seeds() -> std::ops::Range<u64> {
--- a/crates/cli/tests/stamps.rs
+++ b/crates/cli/tests/stamps.rs
@@ -37,8 +37,8 @@
     rig.feed.publish_purge(2, u64::from_str_radix(KEY, 16).unwrap(), purged);
     // Longer than the grace of 300 ms.
     std::thread::sleep(Duration::from_millis(600));
-    let begun = Instant::now();
-    while begun.elapsed() < Duration::from_millis(500) {
+    let started_at = Instant::now();
+    while started_at.elapsed() < Duration::from_millis(500) {
         let mut client = Client::connect(rig.front.address).unwrap();
         let (head, body) = client.request("images", KEY, 2_000).unwrap();
         if head.starts_with("Status: 200") {
--- a/crates/cli/tests/standing.rs
+++ b/crates/cli/tests/standing.rs
@@ -62,9 +62,9 @@
 /// Violations of the limits on processor time and system calls of an idle process.
 fn idle_violations(traced: &Traced) -> Vec<String> {
     let (ticks, calls) = traced.usage();
-    let begun = Instant::now();
+    let started_at = Instant::now();
     std::thread::sleep(IDLE_PERIOD);
-    let seconds = begun.elapsed().as_secs_f64();
+    let seconds = started_at.elapsed().as_secs_f64();
     let (ticks, calls) = (traced.usage().0 - ticks, traced.usage().1 - calls);
     let mut violations = Vec::new();
     if ticks as f64 > MAX_IDLE_HUNDREDTHS as f64 * seconds {
@@ -175,14 +175,14 @@
             idle();
         }
         "spin" => {
-            let begun = Instant::now();
-            while begun.elapsed() < Duration::from_secs(4) {
+            let started_at = Instant::now();
+            while started_at.elapsed() < Duration::from_secs(4) {
                 std::hint::spin_loop();
             }
         }
         "ask" => {
-            let begun = Instant::now();
-            while begun.elapsed() < Duration::from_secs(4) {
+            let started_at = Instant::now();
+            while started_at.elapsed() < Duration::from_secs(4) {
                 std::thread::yield_now();
             }
         }
@@ -201,7 +201,7 @@
     });
     let mut violations = match fault {
         "spin" | "ask" | "nothing" | "threads" => {
-            wait_until("it runs", || traced.usage().1 > 20);
+            wait_until("the process runs", || traced.usage().1 > 20);
             // By then its start is over, and it waits or spins.
             std::thread::sleep(Duration::from_millis(300));
             let mut violations = idle_violations(&traced);
--- a/crates/cli/tests/tiers.rs
+++ b/crates/cli/tests/tiers.rs
@@ -84,7 +84,7 @@
     feed.publish_members(2, &[member_record(TRUNKS[2], trunks[2].address, 0, 1, 1, unix_ms())]);
     let logged = |text: &str| front.log().iter().any(|line| line.contains(text));
     wait_until("the new member list is received", || logged("33.3% of the objects move"));
-    wait_until("the newcomer has taken objects over", || {
+    wait_until("the new parent has taken over objects", || {
         (1..=60).for_each(&mut ask);
         trunks[2].counts().fills.load(SeqCst) >= 10
     });
@@ -148,7 +148,7 @@
     let config = config(&feed, &cache, &trunks, &archive);
     let mut front = start(&config, Some(&settings));
     let logged = |front: &helper::Front, text: &str| front.log().iter().any(|line| line.contains(text));
-    wait_until("one parent", || logged(&front, "shape: 2 members"));
+    wait_until("the shape with one parent is loaded", || logged(&front, "shape: 2 members"));
     shape(&(one + &member(TRUNKS[1], 1, 1, &[ARCHIVE])));
     front.signal("-HUP");
     wait_until("the hand-over begins", || logged(&front, "50.0% of the objects move"));
--- a/crates/cli/tests/versions.rs
+++ b/crates/cli/tests/versions.rs
@@ -236,7 +236,7 @@
     // After a later reload the version still takes precedence over the file.
     let before = front.log().len();
     front.signal("-HUP");
-    wait_until("it has reloaded", || {
+    wait_until("the front has reloaded", || {
         front.log()[before..].iter().any(|l| l.contains(&format!("feed at {}", new_feed.address)))
     });
     // SIGTERM while one more version arrives: each access gets one response, and the front exits by itself.
--- a/crates/cli/tests/watch/mod.rs
+++ b/crates/cli/tests/watch/mod.rs
@@ -39,6 +39,7 @@
     fn call(&mut self, pid: Pid, number: u64, args: [u64; 3]) {
         *self.calls.entry(number).or_default() += 1;
         match number {
+            // clone, clone3
             56 | 435 => {
                 let flags = match number {
                     56 => args[0],
@@ -50,7 +51,9 @@
                     _ => self.threads += 1,
                 }
             }
+            // fork, vfork
             57 | 58 => self.violation("it starts another process".into()),
+            // execve, execveat
             59 | 322 => {
                 // Only the one `exec` of the shell is allowed.
                 self.programs += 1;
@@ -61,9 +64,11 @@
             425..=427 => self.violation("it uses io_uring".into()),
             275 | 276 | 278 => self.violation("it uses splice".into()),
             40 => self.violation("it uses sendfile".into()),
+            // socket, socketpair
             41 | 53 if args[0] == 1 => self.violation("it opens a Unix socket".into()),
             41 | 53 if args[0] != 2 => self.violation(format!("it opens a socket of family {}", args[0])),
             41 if args[1] & 0xf == SOCK_DGRAM => self.violation("it opens a datagram socket".into()),
+            // listen
             50 => {
                 self.listens += 1;
                 if self.listens > 1 {
