--- a/crates/agent/src/core.rs
+++ b/crates/agent/src/core.rs
@@ -91,7 +91,8 @@
                     Some(event) => self.on_event(event, &mut effects),
                 },
                 _ = exit_poll.tick(), if !self.adopted.is_empty() => {
-                    let exited: Vec<Process> = self.adopted.keys().copied().filter(|p| !process::is_alive(*p)).collect();
+                    let exited: Vec<Process> =
+                        self.adopted.keys().copied().filter(|p| !process::is_alive(*p)).collect();
                     for process in exited {
                         if let Some(name) = self.adopted.remove(&process) {
                             self.fleet.on_exited(now(), &name, process, Exit::Unobserved, &mut effects);
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -1,6 +1,6 @@
-//! The agent runs many instances of the program on one machine, as its child processes. What to do next is decided by the
-//! state machine in `doorgrade-fleet`; this package starts, finds, signals and probes processes, persists state, and
-//! serves commands.
+//! The agent runs many instances of the program on one machine, as its child processes. What to do next is decided by
+//! the state machine in `doorgrade-fleet`; this package starts, finds, signals and probes processes, persists state,
+//! and serves commands.
 //!
 //! - [`process`]: an instance as a process: started with a mark in its environment, found by that mark, and signalled
 //!   without the risk of hitting another process that has got its id.
--- a/crates/control-client/src/configuration.rs
+++ b/crates/control-client/src/configuration.rs
@@ -41,8 +41,8 @@
 pub trait Instance {
     /// The keys of a version that take effect only after a restart; empty if it can be applied now.
     fn needs_restart(&self, version: &Version) -> Vec<String>;
-    /// Applies a version, either whole or not at all; an error says why it was not. Does not resolve in an instance that
-    /// is shutting down.
+    /// Applies a version, either whole or not at all; an error says why it was not. Does not resolve in an instance
+    /// that is shutting down.
     fn apply(&mut self, id: &VersionId, version: &Arc<Version>) -> impl Future<Output = Result<(), String>>;
     fn served(&self) -> Served;
 }
@@ -116,8 +116,15 @@
     /// Without a store: an instance, as in experiments, that starts with nothing and forgets everything at its end.
     pub fn without_store(settings: Versions, settings_path: &Path, seed: u64) -> StoredVersion {
         let (stored, usable) = (StoredState::default(), Ok(()));
-        let settings_path = settings_path.into();
-        StoredVersion { settings, settings_path, store: None, stored, usable, version: None, seed }
+        StoredVersion {
+            settings,
+            settings_path: settings_path.into(),
+            store: None,
+            stored,
+            usable,
+            version: None,
+            seed,
+        }
     }
 
     /// Reads keys and certificates. The returned follower registers with the service under `name`.
--- a/crates/control-client/src/memory.rs
+++ b/crates/control-client/src/memory.rs
@@ -1,5 +1,5 @@
-//! What an instance remembers, on disk and for neighbours: [`PersistentMemory`] does the reading and writing, and leaves
-//! all decisions to [`Memory`], [`PageFetcher`] and [`PageServer`]. Off unless the operators' settings enable it.
+//! What an instance remembers, on disk and for neighbours: [`PersistentMemory`] does the reading and writing, and
+//! leaves all decisions to [`Memory`], [`PageFetcher`] and [`PageServer`]. Off unless the operators' settings enable it.
 
 use std::net::SocketAddrV4;
 use std::path::Path;
@@ -88,8 +88,8 @@
 }
 
 impl PersistentMemory {
-    /// Opens the store and loads the snapshot. No fault of the store prevents a start: the front then remembers nothing,
-    /// and logs that.
+    /// Opens the store and loads the snapshot. No fault of the store prevents a start: the front then remembers
+    /// nothing, and logs that.
     pub fn open(recall: Recall, settings: &Path, name: &str, rules: Rules) -> PersistentMemory {
         let now = clock::now();
         let path = files::resolve(settings, &recall.store);
--- a/crates/control-client/src/neighbours/exchange.rs
+++ b/crates/control-client/src/neighbours/exchange.rs
@@ -109,7 +109,7 @@
                 _ = rebind.tick(), if self.unbound.is_some() => self.retry_bind(),
                 _ = reload.tick() => self.peers.iter_mut().for_each(Peers::reload_keys),
                 _ = &mut stop_signal => {
-                    // The next start benefits most from the latest state.
+                    // So that the next start has the latest state.
                     return self.memory.iter_mut().for_each(|m| m.write(clock::now(), self.incarnation));
                 }
             }
--- a/crates/control-client/src/neighbours/message.rs
+++ b/crates/control-client/src/neighbours/message.rs
@@ -101,8 +101,12 @@
             Liveness::Suspect => MemberState::Suspect,
             Liveness::Down => MemberState::Down,
         };
-        let last_datagram_ms = member.last_datagram_at.map(ms_since);
-        NeighbourStatus { id: member.id, state, since_ms: ms_since(member.since), last_datagram_ms }
+        NeighbourStatus {
+            id: member.id,
+            state,
+            since_ms: ms_since(member.since),
+            last_datagram_ms: member.last_datagram_at.map(ms_since),
+        }
     }
 }
 
--- a/crates/control-client/src/neighbours/mod.rs
+++ b/crates/control-client/src/neighbours/mod.rs
@@ -1,9 +1,9 @@
 //! What an instance exchanges with other fronts: membership, and recall (remembered entries fetched from them). Off
 //! unless the operators' settings enable it; nothing of this is started then.
 //!
-//! [`Exchange`] drives the state machines of `doorgrade_members` and passes what is remembered between the instance, its
-//! store and its neighbours ([`PersistentMemory`]); it takes no decisions itself. Whoever has the operators' keys may
-//! request its [`status()`], as `doorgrade neighbours` does.
+//! [`Exchange`] drives the state machine of `doorgrade_members` and passes what is remembered between the instance,
+//! its store and its neighbours ([`PersistentMemory`]); it takes no decisions itself. A client with the operators' keys
+//! can request its [`status()`], as `doorgrade neighbours` does.
 
 mod exchange;
 mod message;
@@ -75,7 +75,7 @@
 }
 
 impl Membership {
-    /// Reads the keys. Without them the instance could not talk to its neighbours, and does not start as if it had none.
+    /// Reads the keys. An error prevents the start: without keys the instance would run as if it had no neighbours.
     fn read(settings: Neighbours, front: &FrontInfo<'_>) -> Result<Membership, SetupError> {
         let seal_keys = files::resolve(front.settings, &settings.seal_keys);
         let secrets = read_keys(&seal_keys).map_err(setup_error)?;
--- a/crates/control-client/src/seal_keys.rs
+++ b/crates/control-client/src/seal_keys.rs
@@ -1,4 +1,5 @@
-//! The operators' keys that authenticate ("seal") versions and datagrams: read from their file, and again when it changes.
+//! The operators' keys that authenticate ("seal") versions and datagrams: read from their file, and reloaded when it
+//! changes.
 
 use std::path::Path;
 use std::time::Duration;
--- a/crates/operator/src/document.rs
+++ b/crates/operator/src/document.rs
@@ -121,8 +121,14 @@
 
 impl<'a> Block<'a> {
     fn new(document: &'a Document, body: &'a Body, path: String, offset: usize) -> Self {
-        let (known_keys, known_blocks) = (RefCell::default(), RefCell::default());
-        Block { document, body, path, offset, known_keys, known_blocks }
+        Block {
+            document,
+            body,
+            path,
+            offset,
+            known_keys: RefCell::default(),
+            known_blocks: RefCell::default(),
+        }
     }
 
     /// The key with the path of this block.
--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -1,6 +1,6 @@
-//! The operators' own files, in HCL: read, checked and given defaults here and nowhere else. Each error names file, line,
-//! column, key and what was expected. A file is checked to its end, so that all errors are reported at once. An unknown
-//! key is an error that suggests the most similar known one.
+//! The operators' own files, in HCL: read, checked and given defaults here and nowhere else. Each error names file,
+//! line, column, key and what was expected. A file is checked to its end, so that all errors are reported at once. An
+//! unknown key is an error; its message suggests the most similar known one.
 //!
 //! HCL is parsed by `hcl-edit`, which knows the position of each value; `strsim` finds the most similar key.
 #![forbid(unsafe_code)]
--- a/crates/operator/src/settings.rs
+++ b/crates/operator/src/settings.rs
@@ -1,5 +1,5 @@
-//! The operators' settings, `deploy/doorgrade.hcl`: what is not part of the platform's own configuration. Where the file
-//! or a key is missing, a feature is off, and everything else has its default.
+//! The operators' settings, `deploy/doorgrade.hcl`: what is not part of the platform's own configuration. Where the
+//! file or a key is missing, optional features are off, and everything else has its default.
 
 use std::net::SocketAddr;
 
