--- a/crates/agent/src/journal.rs
+++ b/crates/agent/src/journal.rs
@@ -1,40 +1,41 @@
-//! What is kept of instances, before anything is done about them; and which agent's turn it is.
+//! The journal: the persisted state of instances, written before it is acted upon, and the term of the agent.
 
 use std::collections::BTreeMap;
 use std::path::Path;
 
 use doorgrade_fleet::instance::PersistedState;
-use doorgrade_store::{Records, Trouble};
+use doorgrade_store::{Records, StoreError};
 
+/// The open journal. Its store is locked, so that one agent uses it at a time.
 pub struct Journal {
     records: Records,
-    /// Grows with each agent that takes this journal.
+    /// Counts the agents that have opened this journal.
     pub term: u64,
 }
 
-/// What an earlier agent left of its instances, by name.
-pub type Found = BTreeMap<Box<str>, PersistedState>;
+/// The persisted state of instances by name, as an earlier agent left it.
+pub type PersistedStates = BTreeMap<Box<str>, PersistedState>;
 
 fn key(name: &str) -> String {
     format!("instance/{name}")
 }
 
 impl Journal {
-    /// One agent holds it at a time: the store's file is locked. What can't be read is told and left out; what runs is found
-    /// by its marks all the same.
-    pub fn open(path: &Path) -> Result<(Journal, Found, Vec<Trouble>), Trouble> {
+    /// Opens the journal for a new term. Entries that can't be read are skipped and reported; instances that run are
+    /// found by their marks in any case.
+    pub fn open(path: &Path) -> Result<(Journal, PersistedStates, Vec<StoreError>), StoreError> {
         let (records, trouble) = Records::open(path)?;
-        let mut troubles: Vec<Trouble> = trouble.into_iter().collect();
-        let mut kept = BTreeMap::new();
+        let mut troubles: Vec<StoreError> = trouble.into_iter().collect();
+        let mut states = BTreeMap::new();
         for key in records.keys("instance/")? {
             let name = key.trim_start_matches("instance/");
             match records
                 .read(&key)
                 .map(|payload| payload.map(|p| postcard::from_bytes::<PersistedState>(&p)))
             {
-                Ok(Some(Ok(of))) => drop(kept.insert(name.into(), of)),
+                Ok(Some(Ok(state))) => drop(states.insert(name.into(), state)),
                 Ok(None) => {}
-                Ok(Some(Err(_))) => troubles.push(Trouble::Damaged(key.into())),
+                Ok(Some(Err(_))) => troubles.push(StoreError::Damaged(key.into())),
                 Err(trouble) => troubles.push(trouble),
             }
         }
@@ -44,20 +45,20 @@
         if let Err(trouble) = journal.put("term", &term) {
             troubles.push(trouble);
         }
-        Ok((journal, kept, troubles))
+        Ok((journal, states, troubles))
     }
 
-    fn put(&self, key: &str, value: &impl serde::Serialize) -> Result<(), Trouble> {
-        let payload = postcard::to_stdvec(value).map_err(|e| Trouble::Failed(e.to_string().into()))?;
+    fn put(&self, key: &str, value: &impl serde::Serialize) -> Result<(), StoreError> {
+        let payload = postcard::to_stdvec(value).map_err(|e| StoreError::Failed(e.to_string().into()))?;
         self.records.write(&[(key, payload)], &[])
     }
 
-    /// Whether it can be written now.
-    pub fn check(&self) -> Result<(), Trouble> {
+    /// Checks that the journal can be written to.
+    pub fn check(&self) -> Result<(), StoreError> {
         self.put("term", &self.term)
     }
 
-    pub fn keep(&self, name: &str, kept: &PersistedState) -> Result<(), Trouble> {
-        self.put(&key(name), kept)
+    pub fn write(&self, name: &str, state: &PersistedState) -> Result<(), StoreError> {
+        self.put(&key(name), state)
     }
 }
--- a/crates/front/src/active_config.rs
+++ b/crates/front/src/active_config.rs
@@ -142,7 +142,7 @@
         // `answered` first: in the other order, an access that ends in between would count as answered but
         // not as ended.
         let answered = load(&self.served.answered);
-        let accesses = AccessCounts { asked: load(&self.served.ended).max(answered), answered };
+        let accesses = AccessCounts { accesses: load(&self.served.ended).max(answered), answered };
         configuration::Served {
             asked: load(&self.served.requested_benefit),
             in_time: load(&self.served.earned_benefit),
--- a/crates/front/src/clock.rs
+++ b/crates/front/src/clock.rs
@@ -5,7 +5,7 @@
 
 use doorgrade::Ticks;
 
-pub use doorgrade_control_client::clock::{heed_tests, now, unix};
+pub use doorgrade_control_client::clock::{load_test_offset, now, unix};
 
 /// A queue of timers, ordered by time, then by when they were set.
 pub struct Timers<T> {
--- a/crates/front/src/reducer.rs
+++ b/crates/front/src/reducer.rs
@@ -31,7 +31,7 @@
 use crate::remote_times::{Arrival, RemoteTimes};
 use admission::{HalfCloseState, Shortage};
 use clients::Client;
-pub use doorgrade_control_client::Learned;
+pub use doorgrade_control_client::Observation;
 use hierarchy::Hierarchy;
 use types::{
     CLIENT_IDLE_TIMEOUT, COUNTS_LOG_INTERVAL, HALF_CLOSE_TIMEOUT, Listener, OpenAccess, REQUEST_TIMEOUT,
@@ -112,7 +112,7 @@
         self.state.effects.drain(..)
     }
 
-    pub fn learned(&mut self) -> Vec<Learned> {
+    pub fn learned(&mut self) -> Vec<Observation> {
         self.state.learned.as_mut().map(std::mem::take).unwrap_or_default()
     }
 
@@ -253,7 +253,7 @@
                 && self.state.learned.is_some()
             {
                 let fill = fill(&self.state.offering_names, &open_access.request, ms, now);
-                self.state.learned.iter_mut().for_each(|learned| learned.push(Learned::Fill(fill)));
+                self.state.learned.iter_mut().for_each(|learned| learned.push(Observation::Fill(fill)));
             }
             if outcome == Outcome::Handled && open_access.is_some_and(|t| !t.done) {
                 let (tag, not_modified) = (push_end.tag.as_deref(), push_end.status == 304);
--- a/crates/front/src/reducer/control_feed.rs
+++ b/crates/front/src/reducer/control_feed.rs
@@ -4,7 +4,7 @@
 use doorgrade_recall::{Fill, Purge};
 use rustc_hash::FxHashSet;
 
-use super::{ConnectResult, Effect, Learned, Reducer, State, Timer};
+use super::{ConnectResult, Effect, Observation, Reducer, State, Timer};
 use crate::bounds::{self, Bounds};
 use crate::config::ReloadedConfig;
 use crate::conn::ConnId;
@@ -40,7 +40,7 @@
             }
             feed::Event::Purge { object, group, at } => {
                 if let Some(learned) = &mut self.state.learned {
-                    learned.push(Learned::Purge(Purge { object, group: group as u16, at }));
+                    learned.push(Observation::Purge(Purge { object, group: group as u16, at }));
                 }
                 self.apply_purge(object, group, self.state.remote_times.purged_at(now, at, arrival));
             }
--- a/crates/front/src/reducer/hierarchy.rs
+++ b/crates/front/src/reducer/hierarchy.rs
@@ -5,7 +5,7 @@
 use doorgrade_hierarchy::reconcile::reconcile;
 use doorgrade_hierarchy::{ApplyOutcome, Change, FillRouter, RouterConfig, Shape, cdn_loop};
 
-use super::{Learned, State};
+use super::{Observation, State};
 use crate::config::Config;
 
 /// Every fill on that route meets the cycle; it is logged once a second.
@@ -102,7 +102,7 @@
         else {
             return;
         };
-        learned.push(Learned::Homes(hierarchy.router.save_homes()));
+        learned.push(Observation::Homes(hierarchy.router.save_homes()));
     }
 
     /// Restores the homes saved before the start. The member list has been applied before.
--- a/crates/front/src/reducer/types.rs
+++ b/crates/front/src/reducer/types.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use doorgrade::{AccessId, Offering, Ticks};
-use doorgrade_control_client::Learned;
+use doorgrade_control_client::Observation;
 use doorgrade_hierarchy::homes::SavedList;
 use doorgrade_recall::{Fill, Purge};
 use rustc_hash::FxHashMap;
@@ -218,5 +218,5 @@
     pub(super) hierarchy: Option<Hierarchy>,
     /// What was learned since the last call of [`Reducer::learned`](super::Reducer::learned); none if nobody
     /// stores it.
-    pub(super) learned: Option<Vec<Learned>>,
+    pub(super) learned: Option<Vec<Observation>>,
 }
--- a/crates/front/src/serve.rs
+++ b/crates/front/src/serve.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use doorgrade_control_client::configuration::StoredVersion;
-use doorgrade_control_client::neighbours::{Learning, Neighbourhood, Own};
+use doorgrade_control_client::neighbours::{ExchangeSetup, FrontInfo, ObservationSender};
 use doorgrade_control_client::worker::Worker;
 use doorgrade_log::{Format, LevelFilter};
 use doorgrade_operator::files;
@@ -31,7 +31,7 @@
 /// Serves until it is told to stop.
 pub fn serve(sources: ConfigSources) -> Result<(), String> {
     let config = sources.read().inspect_err(|_| doorgrade_log::start(LevelFilter::INFO, Format::Human))?;
-    let settings = sources.settings.clone().unwrap_or_else(|| files::USUAL.into());
+    let settings = sources.settings.clone().unwrap_or_else(|| files::DEFAULT_PATH.into());
     doorgrade_log::start(
         config.log,
         match config.files.settings.log.format {
@@ -40,7 +40,7 @@
         },
     );
     let _entered = tracing::info_span!("serve", front = config.name).entered();
-    clock::heed_tests();
+    clock::load_test_offset();
     // The front is given one core, so one worker. Coroutines read and write through buffers on the heap, so
     // small stacks do.
     may::config().set_workers(1).set_stack_size(0x1000);
@@ -64,8 +64,8 @@
         Arc::new(Mutex::new(ActiveConfig { sources, startup, version, events: events.clone() }));
     let stop = handle_signals(active_config.clone(), events.clone()).map_err(|e| format!("signals: {e}"))?;
     let (listen, name) = (config.listen, config.name.clone());
-    let recalled = neighbourhood.as_ref().map(Neighbourhood::known);
-    let homes = neighbourhood.as_ref().and_then(Neighbourhood::homes);
+    let recalled = neighbourhood.as_ref().map(ExchangeSetup::remembered);
+    let homes = neighbourhood.as_ref().and_then(ExchangeSetup::homes);
     let connect_timeout = Duration::from_micros(config.platform.connect_timeout * 100);
     let served = Arc::new(ServedTotals::default());
     let mut driver = Driver {
@@ -113,12 +113,12 @@
 }
 
 /// The exchange with other fronts; none if all of it is disabled.
-fn neighbourhood(config: &Config, settings: &Path) -> Result<Option<Neighbourhood>, String> {
+fn neighbourhood(config: &Config, settings: &Path) -> Result<Option<ExchangeSetup>, String> {
     let Settings { neighbours, recall, .. } = config.files.settings.clone();
     let platform = &config.platform.settings;
     let (name, seed, purge_done) = (&config.name, config.seed, platform.purge_propagation);
-    let own = Own { name, seed, settings, offerings: &platform.offerings, purge_done };
-    Ok(Neighbourhood::read(neighbours, recall, &own)?)
+    let own = FrontInfo { name, seed, settings, offerings: &platform.offerings, purge_done };
+    Ok(ExchangeSetup::read(neighbours, recall, &own)?)
 }
 
 /// Starts a thread that handles signals and reads files, so that neither delays the reducer. It waits on a
@@ -152,7 +152,7 @@
                     }
                     // Last, because reading the files may take long, or never return.
                     if reload.swap(false, Ordering::SeqCst) {
-                        clock::heed_tests();
+                        clock::load_test_offset();
                         lock(&active_config).reload();
                     }
                 }
@@ -211,7 +211,7 @@
     /// Where to store the totals, if they are reported.
     served: Option<Arc<ServedTotals>>,
     /// Where to send what was learned, if it is stored, and when it was last sent.
-    learned: Option<Learning>,
+    learned: Option<ObservationSender>,
     learned_sent_at: Ticks,
 }
 
--- a/crates/lab/src/scale/rollouts.rs
+++ b/crates/lab/src/scale/rollouts.rs
@@ -41,7 +41,7 @@
     full_sizes: &[50, 150, 400, 1_000],
     quick_sizes: &[30, 60, 120, 300],
     // Twenty fronts of some 30 MB, the service, and half a megabyte a follower.
-    needs: |hollow, _| Needs { processes: REAL + 1, resident: 1_000_000_000 + hollow as u64 * 500_000 },
+    needs: |hollow, _| Needs { processes: REAL + 1, resident_bytes: 1_000_000_000 + hollow as u64 * 500_000 },
     run,
 };
 
@@ -65,7 +65,7 @@
         crate::rig::program(context.options.front.clone()).map_err(|e| context.fault(e))?;
     let hollow = context.sizes().into_iter().max().unwrap_or(0);
     let plan = Plan::new(context.options.seed, context.options.quick, context.options.change_each_s);
-    context.budget.may_start("rollouts", Needs { processes: REAL + 1, resident: 1_000_000_000 })?;
+    context.budget.check_start("rollouts", Needs { processes: REAL + 1, resident_bytes: 1_000_000_000 })?;
     let rig = start(context, "evidence", &program, "  rollout = \"evidence\"", hollow)?;
     let mb_before = memory_mb(std::process::id()).map_err(|e| context.fault(e))?;
     let outcome = play_changes(context, &rig, &plan).map_err(|e| context.fault(e))?;
@@ -116,13 +116,13 @@
     let mut asker = rig.asker()?;
     let lines = Arc::new(Mutex::new(Vec::new()));
     let mut watcher = rig.asker()?;
-    match rig.runtime.block_on(watcher.ask(&Request::Watch))? {
+    match rig.runtime.block_on(watcher.request(&Request::Watch))? {
         Response::Watching => {}
         other => return Err(format!("{other:?}")),
     }
     let told = lines.clone();
     let watching = rig.runtime.spawn(async move {
-        while let Ok(line) = watcher.line().await {
+        while let Ok(line) = watcher.next_log_event().await {
             told.lock().unwrap_or_else(PoisonError::into_inner).push((now(), line));
         }
     });
--- a/crates/standins/src/versions.rs
+++ b/crates/standins/src/versions.rs
@@ -7,12 +7,12 @@
 use std::path::PathBuf;
 use std::sync::{Arc, Mutex};
 
-use doorgrade_keys::make::{self, Pair};
+use doorgrade_keys::generate::{self, CertificateAndKey};
 use doorgrade_keys::rustls::pki_types::ServerName;
-use doorgrade_keys::{Paths, client};
-use doorgrade_stream::FRONTS;
+use doorgrade_keys::{Paths, client_config};
+use doorgrade_stream::FRONT_PROTOCOL;
 use doorgrade_stream::clock::now;
-use doorgrade_stream::follow::{AccessCounts, Command, Follow, Host, To};
+use doorgrade_stream::front_client::{AccessCounts, Command, FrontClient, Host, ServiceEndpoint};
 use doorgrade_versions::front::{Content, Front, LogEvent, StoredState};
 use doorgrade_versions::seal::{Keys, Seal};
 use doorgrade_versions::{RejectionReason, Ticks, VersionId};
@@ -27,9 +27,9 @@
 pub struct Installation {
     pub folder: PathBuf,
     /// The certificate authority of the fronts.
-    pub fronts: Pair,
+    pub fronts: CertificateAndKey,
     /// The certificate authority of the operators.
-    pub operators: Pair,
+    pub operators: CertificateAndKey,
 }
 
 impl Drop for Installation {
@@ -54,9 +54,11 @@
         let folder = std::env::temp_dir().join(format!("doorgrade-{}-{name}", std::process::id()));
         let _ = std::fs::remove_dir_all(&folder);
         std::fs::create_dir_all(&folder)?;
-        let made = |pair: Result<Pair, doorgrade_keys::Trouble>| pair.map_err(std::io::Error::other);
+        let made = |pair: Result<CertificateAndKey, doorgrade_keys::KeyFileError>| {
+            pair.map_err(std::io::Error::other)
+        };
         let (fronts, operators) =
-            (made(make::authority("fronts", 30))?, made(make::authority("operators", 30))?);
+            (made(generate::authority("fronts", 30))?, made(generate::authority("operators", 30))?);
         let installation = Installation { folder, fronts, operators };
         installation.write("fronts-ca.pem", &installation.fronts.certificate)?;
         installation.write("operators-ca.pem", &installation.operators.certificate)?;
@@ -73,8 +75,14 @@
     }
 
     /// Issues a certificate for these names, and writes it and its key to files with this prefix.
-    pub fn issue(&self, prefix: &str, authority: &Pair, names: &[&str], days: i64) -> std::io::Result<()> {
-        let pair = make::issue(authority, names, days).map_err(std::io::Error::other)?;
+    pub fn issue(
+        &self,
+        prefix: &str,
+        authority: &CertificateAndKey,
+        names: &[&str],
+        days: i64,
+    ) -> std::io::Result<()> {
+        let pair = generate::issue(authority, names, days).map_err(std::io::Error::other)?;
         self.write(&format!("{prefix}.pem"), &pair.certificate)?;
         self.write(&format!("{prefix}.key"), &pair.key)
     }
@@ -166,29 +174,29 @@
         true
     }
 
-    fn keep(&mut self, _: VersionId, _: Seal, _: &Content) -> bool {
+    fn store(&mut self, _: VersionId, _: Seal, _: &Content) -> bool {
         true
     }
 
     fn unstage(&mut self) {}
 
-    fn tell(&mut self, line: LogEvent) {
+    fn log(&mut self, line: LogEvent) {
         if let LogEvent::Rejected(id, why) = line {
             lock(&self.record).turned_down.push((id, why));
         }
     }
 
-    fn serves(&mut self) -> Option<f32> {
+    fn service_level(&mut self) -> Option<f32> {
         lock(&self.record).serves
     }
 
-    fn counts(&mut self) -> AccessCounts {
+    fn access_counts(&mut self) -> AccessCounts {
         let mut record = lock(&self.record);
         record.counts_read += 1;
         record.counts
     }
 
-    fn lost(&mut self, _: SocketAddr, why: &str) {
+    fn connection_lost(&mut self, _: SocketAddr, why: &str) {
         lock(&self.record).lost.push(why.to_owned());
     }
 }
@@ -206,19 +214,19 @@
 impl StubFront {
     /// Starts on the current Tokio runtime.
     pub fn start(config: &StubConfig<'_>, verdict: Arc<Verdict>) -> Result<StubFront, String> {
-        let tls = client(config.identity, FRONTS).map_err(|t| t.to_string())?.made;
+        let tls = client_config(config.identity, FRONT_PROTOCOL).map_err(|t| t.to_string())?.config;
         let name = ServerName::try_from(SERVICE).map_err(|e| e.to_string())?;
         let record = Arc::new(Mutex::new(Record::default()));
         let host = StubHost { record: record.clone(), verdict, good: BTreeMap::new() };
-        let to = To { at: vec![config.service], name };
+        let to = ServiceEndpoint { addresses: vec![config.service], server_name: name };
         let (keys, names) = (Keys::new(config.keys.clone()), (config.name, config.station));
-        let (mut follow, first) = Follow::new(host, to, tls, |at, out| {
+        let (mut follow, first) = FrontClient::new(host, to, tls, |at, out| {
             Front::start(at, config.seed, names, keys, StoredState::default(), Ok(()), out)
         });
         let (commands, mut received) = mpsc::channel(4);
         let task = tokio::spawn(async move {
             follow.run(first, &mut received).await;
-            (follow.sent, follow.connections)
+            (follow.sent_bytes, follow.connections)
         });
         Ok(StubFront { record, commands, task })
     }
