--- a/crates/lab/tests/members_scale.rs
+++ b/crates/lab/tests/members_scale.rs
@@ -1,8 +1,8 @@
-//! Membership played in virtual time: the same seed is the same run, troubles cost what they cost, a run over its budget
-//! ends.
+//! The membership simulation: a seed determines the run, the members detect a partition and its end, and a run whose
+//! budget is stopped ends.
 
-use doorgrade_lab::scale::members::play::{Trouble, play};
-use doorgrade_lab::scale::members::world::{S, World, region};
+use doorgrade_lab::scale::members::phases::{Phase, run_phases};
+use doorgrade_lab::scale::members::simulation::{SECOND, Simulation, region};
 use doorgrade_lab::scale::{Budget, BudgetError};
 
 fn budget() -> Budget {
@@ -10,43 +10,52 @@
 }
 
 #[test]
-fn the_same_seed_is_the_same_run_and_all_know_in_the_end() {
-    let costs = |seed| play(seed, 24, &budget()).expect("played").costs;
-    let (one, again, other) = (costs(5), costs(5), costs(6));
-    assert_eq!(one.len(), Trouble::ALL.len());
-    for ((trouble, a), (_, b)) in one.iter().zip(&again) {
-        assert_eq!((a.sent, a.received, a.worst, a.know_s), (b.sent, b.received, b.worst, b.know_s));
-        assert!(a.sent > 0.0 && a.received > 0.0 && a.worst >= a.sent, "{trouble:?}: {a:?}");
-        assert!(a.know_s < 120.0, "{trouble:?}: not known by all: {a:?}");
-        // Datagrams are lost, never made.
-        assert!(a.received <= a.sent * 1.01, "{trouble:?}: {a:?}");
+fn a_seed_determines_the_run_and_all_members_know_each_other_after_each_phase() {
+    let costs = |seed| run_phases(seed, 24, &budget()).expect("the run ends").costs;
+    let (one, repeated, other) = (costs(5), costs(5), costs(6));
+    assert_eq!(one.len(), Phase::ALL.len());
+    for ((phase, a), (_, b)) in one.iter().zip(&repeated) {
+        assert_eq!(
+            (a.sent_per_s, a.received_per_s, a.max_per_s, a.known_after_s),
+            (b.sent_per_s, b.received_per_s, b.max_per_s, b.known_after_s)
+        );
+        assert!(
+            a.sent_per_s > 0.0 && a.received_per_s > 0.0 && a.max_per_s >= a.sent_per_s,
+            "{phase:?}: {a:?}"
+        );
+        assert!(a.known_after_s < 120.0, "{phase:?}: not known by all: {a:?}");
+        // Datagrams may be lost, but none are created on the way.
+        assert!(a.received_per_s <= a.sent_per_s * 1.01, "{phase:?}: {a:?}");
     }
-    assert!(one.iter().zip(&other).any(|(a, b)| a.1.sent != b.1.sent), "the seed makes no difference");
+    assert!(
+        one.iter().zip(&other).any(|(a, b)| a.1.sent_per_s != b.1.sent_per_s),
+        "the seed makes no difference"
+    );
 }
 
 #[test]
-fn a_region_that_is_cut_off_is_missed_and_met_again() {
-    let mut world = World::new(3, 36);
-    (0..36).for_each(|n| world.start(n));
-    world.pass(60 * S);
-    assert!(world.known() > 0.99, "{}", world.known());
-    world.cut = 1;
-    // Those across are still believed in.
-    let at_once = world.known();
-    world.pass(120 * S);
-    let later = world.known();
-    assert!(at_once < 0.9 && later > 0.99, "{at_once}, {later}");
-    world.cut = 0;
-    let across = (0..36).filter(|&n| region(n) < 1).count();
-    assert!((1..18).contains(&across), "{across}");
-    assert!(world.known() < 0.95);
-    world.pass(60 * S);
-    assert!(world.known() > 0.99, "{}", world.known());
+fn members_detect_a_partitioned_region_and_its_return() {
+    let mut simulation = Simulation::new(3, 36);
+    (0..36).for_each(|n| simulation.start(n));
+    simulation.advance(60 * SECOND);
+    assert!(simulation.known_share() > 0.99, "{}", simulation.known_share());
+    simulation.isolated_regions = 1;
+    // Members on the other side are still listed as alive.
+    let before_detection = simulation.known_share();
+    simulation.advance(120 * SECOND);
+    let after_detection = simulation.known_share();
+    assert!(before_detection < 0.9 && after_detection > 0.99, "{before_detection}, {after_detection}");
+    simulation.isolated_regions = 0;
+    let isolated = (0..36).filter(|&n| region(n) < 1).count();
+    assert!((1..18).contains(&isolated), "{isolated}");
+    assert!(simulation.known_share() < 0.95);
+    simulation.advance(60 * SECOND);
+    assert!(simulation.known_share() > 0.99, "{}", simulation.known_share());
 }
 
 #[test]
-fn a_run_that_is_refused_ends() {
+fn a_run_ends_when_its_budget_is_stopped() {
     let budget = budget();
     budget.stop(BudgetError::Interrupted);
-    assert_eq!(play(1, 24, &budget).err(), Some(BudgetError::Interrupted));
+    assert_eq!(run_phases(1, 24, &budget).err(), Some(BudgetError::Interrupted));
 }
