--- a/crates/lab/src/scale/control_rig.rs
+++ b/crates/lab/src/scale/control_rig.rs
@@ -1,4 +1,5 @@
-//! A configuration service as a process, with fronts of both kinds behind faulty links: the rig of what it costs.
+//! Test rig: a configuration service as a process, and links with delays and partitions between it and its fronts, real ones
+//! and control-only ones.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -14,27 +15,26 @@
 use serde_json::json;
 use tokio::runtime::Runtime;
 
-use super::hollow::Files;
+use super::control_only::FrontFiles;
 use crate::rig::Front;
 
 /// The service's name on the links.
 pub const CONTROL: &str = "control";
-/// Waves that wait for nothing but answers, so that a change each two seconds is not refused: what a change costs the
-/// service is measured here, not how carefully it is tried.
+/// Waves that wait only for the fronts' responses, so that a change every two seconds is not rejected because another one is
+/// under way: measured is what a change costs the service, not the caution of its rollout.
 const PUBLICATION: &str = "  soak_ms = 1\n  answer_within_ms = 60000\n  canaries = 2\n  shares = [1.0]\n  \
                            missing = 0.9\n  drop = 1.0\n  listen_ms = 1000";
-/// For what is to come to be; more on a busy machine.
-const WITHIN: Duration = Duration::from_secs(60);
-/// How soon it is looked again.
-const LOOK: Duration = Duration::from_millis(20);
+/// For everything that is waited for. An idle machine takes much less.
+const TIMEOUT: Duration = Duration::from_secs(60);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-type Fault = String;
+type RigError = String;
 
-fn fault(e: impl std::fmt::Display) -> Fault {
+fn to_error(e: impl std::fmt::Display) -> RigError {
     e.to_string()
 }
 
-/// A version's content: so many caches below an archive, those of `draining` on their way out.
+/// A version's content: a number of caches below an archive. Those selected by `draining` are draining.
 pub fn content(members: usize, draining: impl Fn(usize) -> bool) -> String {
     let mut text = "log { level = \"info\" }\nhierarchy { tier = 1 }\n".to_owned();
     text += "member \"s-000000ff\" {\n  incarnation = 1\n  number = 1\n  tier = 2\n  fills_from = []\n}\n";
@@ -48,10 +48,10 @@
     text
 }
 
-/// The platform's configuration of a front that nobody asks anything.
+/// The platform's configuration of a front without clients.
 fn config(name: &str, seed: u64, feed: SocketAddr) -> String {
-    let row = |id: &str, place: &str, flavor: &str| {
-        json!({"id": id, "host_port": "127.0.0.1:9", "locality": place, "flavor": flavor, "cell": 0,
+    let row = |id: &str, locality: &str, flavor: &str| {
+        json!({"id": id, "host_port": "127.0.0.1:9", "locality": locality, "flavor": flavor, "cell": 0,
             "phase": "in_service", "size": 1, "up_since_ms": 0})
     };
     let members = json!({"revision": 1, "complete": true,
@@ -72,207 +72,226 @@
     .to_string()
 }
 
-/// Writes the files of the `n`th front of a station, which follows `service` and hears `feed`; `more` of its settings.
-pub fn files(
-    place: &Installation,
+/// Writes the files of the `n`th front, at a station, which follows `service` and reads `feed`. `more_settings` is appended
+/// to its settings.
+pub fn write_front_files(
+    installation: &Installation,
     n: usize,
     station: &str,
     [service, feed]: [SocketAddr; 2],
-    more: &str,
-) -> Result<Files, Fault> {
+    more_settings: &str,
+) -> Result<FrontFiles, RigError> {
     let settings = format!(
         "hierarchy {{\n  enabled = true\n  shape = \"shape.hcl\"\n}}\nversions {{\n  enabled = true\n  \
          service = [\"{service}\"]\n  server_name = \"{SERVICE}\"\n  station = \"{station}\"\n  \
          certificate = \"{station}.pem\"\n  key = \"{station}.key\"\n  authority = \"fronts-ca.pem\"\n  \
-         seal_keys = \"seal-keys.hcl\"\n  store = \"front-{n}.redb\"\n}}\n{more}"
+         seal_keys = \"seal-keys.hcl\"\n  store = \"front-{n}.redb\"\n}}\n{more_settings}"
     );
     let name = format!("f{n}.{station}");
     let (settings_file, config_file) = (format!("front-{n}.hcl"), format!("front-{n}.json"));
-    place.write(&settings_file, &settings).map_err(fault)?;
-    place.write(&config_file, &config(&name, n as u64 + 1, feed)).map_err(fault)?;
-    Ok(Files { config: place.file(&config_file), settings: place.file(&settings_file) })
+    installation.write(&settings_file, &settings).map_err(to_error)?;
+    installation.write(&config_file, &config(&name, n as u64 + 1, feed)).map_err(to_error)?;
+    Ok(FrontFiles { config: installation.file(&config_file), settings: installation.file(&settings_file) })
 }
 
-/// A way there, whose way back takes as long.
-pub fn one_way(round_trip_ms: u64) -> LinkConditions {
+/// One direction of a link that has the same delay in both.
+pub fn one_way_conditions(round_trip_ms: u64) -> LinkConditions {
     LinkConditions { delay_ms: round_trip_ms / 2, ..LinkConditions::default() }
 }
 
-/// The service, and what stands between it and its fronts.
+/// The service and the links to its fronts.
 pub struct ControlRig {
-    pub place: Installation,
+    pub installation: Installation,
     pub links: Links,
     program: PathBuf,
-    /// Carries the streams; its threads are nobody's whose time is measured.
-    relays: Runtime,
+    /// Runs the proxies of the links, apart from the threads whose processor time is measured.
+    proxies: Runtime,
     service: Option<Process>,
-    at: SocketAddr,
-    operators: SocketAddr,
+    fronts_address: SocketAddr,
+    operators_address: SocketAddr,
+    /// Names, with the addresses at which their fronts reach the service.
     regions: Vec<(String, SocketAddr)>,
 }
 
 impl ControlRig {
-    /// Starts the service; `name` is of this rig's folder.
-    pub fn start(name: &str, program: &Path, seed: u64) -> Result<ControlRig, Fault> {
-        let place = Installation::new(name).map_err(fault)?;
-        place.write("shape.hcl", "").map_err(fault)?;
-        let relays = tokio::runtime::Builder::new_multi_thread()
+    /// Starts the service. `name` is that of the rig's folder.
+    pub fn start(name: &str, program: &Path, seed: u64) -> Result<ControlRig, RigError> {
+        let installation = Installation::new(name).map_err(to_error)?;
+        installation.write("shape.hcl", "").map_err(to_error)?;
+        let proxies = tokio::runtime::Builder::new_multi_thread()
             .worker_threads(1)
             .thread_name("relay")
             .enable_all()
             .build()
-            .map_err(fault)?;
+            .map_err(to_error)?;
         let none = SocketAddr::from(([127, 0, 0, 1], 0));
         let mut rig = ControlRig {
-            place,
+            installation,
             links: Links::new(seed),
             program: program.to_owned(),
-            relays,
+            proxies,
             service: None,
-            at: none,
-            operators: none,
+            fronts_address: none,
+            operators_address: none,
             regions: Vec::new(),
         };
         rig.restart()?;
         Ok(rig)
     }
 
-    /// Kills the service if it runs, and starts it at the same address, with what its store has.
-    pub fn restart(&mut self) -> Result<(), Fault> {
+    /// Kills the service if it runs, and starts it again with the same address and store.
+    pub fn restart(&mut self) -> Result<(), RigError> {
         drop(self.service.take());
         let file = self
-            .place
-            .write_control_settings(&self.at.to_string(), "127.0.0.1:0", PUBLICATION)
-            .map_err(fault)?;
+            .installation
+            .write_control_settings(&self.fronts_address.to_string(), "127.0.0.1:0", PUBLICATION)
+            .map_err(to_error)?;
         let process = Process::start(Command::new(&self.program).arg("control").arg("--file").arg(file));
-        let process = process.map_err(fault)?;
+        let process = process.map_err(to_error)?;
         let line = process
-            .wait_for_log("fronts at ", WITHIN)
-            .ok_or_else(|| format!("the service does not start: {:?}", process.log_lines()))?;
+            .wait_for_log("fronts at ", TIMEOUT)
+            .ok_or_else(|| format!("the service does not start; its log: {:?}", process.log_lines()))?;
         let address = |after: &str| {
             let rest = line.split_once(after).map_or("", |l| l.1);
             rest.split([',', ' ']).next().unwrap_or_default().parse::<SocketAddr>()
         };
-        self.at = address("fronts at ").map_err(fault)?;
-        self.operators = address("operators at ").map_err(fault)?;
+        self.fronts_address = address("fronts at ").map_err(to_error)?;
+        self.operators_address = address("operators at ").map_err(to_error)?;
         self.service = Some(process);
         Ok(())
     }
 
-    /// The service's process.
-    pub fn process(&self) -> u32 {
+    /// The id of the service's process.
+    pub fn process_id(&self) -> u32 {
         self.service.as_ref().map_or(0, Process::id)
     }
 
-    /// A region, with its station's certificate, from which fronts reach the service in this round trip.
-    pub fn region(&mut self, name: &str, round_trip_ms: u64) -> Result<(), Fault> {
-        self.place.issue(name, &self.place.fronts, &[&format!("*.{name}")], 30).map_err(fault)?;
-        let at = self.links.tcp_proxy_on(self.relays.handle(), name, CONTROL, self.at).map_err(fault)?;
+    /// Adds a region: a station with its certificate, and a link to the service with this round trip.
+    pub fn add_region(&mut self, name: &str, round_trip_ms: u64) -> Result<(), RigError> {
+        self.installation
+            .issue(name, &self.installation.fronts, &[&format!("*.{name}")], 30)
+            .map_err(to_error)?;
+        let address = self
+            .links
+            .tcp_proxy_on(self.proxies.handle(), name, CONTROL, self.fronts_address)
+            .map_err(to_error)?;
         self.heal(name, round_trip_ms);
-        self.regions.push((name.to_owned(), at));
+        self.regions.push((name.to_owned(), address));
         Ok(())
     }
 
-    /// Nothing passes between a region and the service.
-    pub fn cut(&self, region: &str) {
+    /// Drops everything between a region and the service.
+    pub fn partition(&self, region: &str) {
         self.links.partition(&[region], &[CONTROL]);
     }
 
+    /// Sets the link of a region to this round trip, without a partition.
     pub fn heal(&self, region: &str, round_trip_ms: u64) {
-        self.links.set(region, CONTROL, one_way(round_trip_ms));
-        self.links.set(CONTROL, region, one_way(round_trip_ms));
+        self.links.set(region, CONTROL, one_way_conditions(round_trip_ms));
+        self.links.set(CONTROL, region, one_way_conditions(round_trip_ms));
     }
 
-    /// Bytes between a region and the service, both ways, as the links counted them.
-    pub fn bytes(&self, region: &str) -> usize {
+    /// Bytes between a region and the service in both directions, as counted by the links.
+    pub fn region_bytes(&self, region: &str) -> usize {
         self.links.traffic(region, CONTROL).bytes + self.links.traffic(CONTROL, region).bytes
     }
 
-    /// Of all regions.
-    pub fn all_bytes(&self) -> usize {
-        self.regions.iter().map(|(name, _)| self.bytes(name)).sum()
+    /// Bytes between all regions and the service.
+    pub fn total_bytes(&self) -> usize {
+        self.regions.iter().map(|(name, _)| self.region_bytes(name)).sum()
     }
 
-    /// The files of the `n`th front, in a region; `more` of its settings.
-    pub fn files(&self, n: usize, region: &str, feed: SocketAddr, more: &str) -> Result<Files, Fault> {
-        let known = self.regions.iter().find(|r| r.0 == region);
-        let service = known.ok_or_else(|| format!("no region {region}"))?.1;
-        files(&self.place, n, region, [service, feed], more)
+    /// Writes the files of the `n`th front, in a region. `more_settings` is appended to its settings.
+    pub fn write_front_files(
+        &self,
+        n: usize,
+        region: &str,
+        feed: SocketAddr,
+        more_settings: &str,
+    ) -> Result<FrontFiles, RigError> {
+        let entry = self.regions.iter().find(|r| r.0 == region);
+        let service = entry.ok_or_else(|| format!("region {region} is not in the rig"))?.1;
+        write_front_files(&self.installation, n, region, [service, feed], more_settings)
     }
 
-    /// A real front with these files.
-    pub fn front(&self, files: &Files) -> Result<Front, Fault> {
+    /// Starts a real front with these files.
+    pub fn start_front(&self, files: &FrontFiles) -> Result<Front, RigError> {
         Front::start(&self.program, &files.config, Some(&files.settings))
     }
 
-    /// Asks the service as an operator.
-    pub fn operator(&self) -> Result<Operator, Fault> {
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(fault)?;
-        let asker = runtime.block_on(Asker::at(self.operators, SERVICE, &self.place.identity("person")))?;
-        Ok(Operator { runtime, asker })
+    /// Connects to the service as an operator.
+    pub fn connect_operator(&self) -> Result<Operator, RigError> {
+        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(to_error)?;
+        let client = runtime.block_on(Asker::at(
+            self.operators_address,
+            SERVICE,
+            &self.installation.identity("person"),
+        ))?;
+        Ok(Operator { runtime, client })
     }
 }
 
 /// An operator's connection.
 pub struct Operator {
     runtime: Runtime,
-    asker: Asker,
+    client: Asker,
 }
 
 impl Operator {
-    pub fn totals(&mut self) -> Result<Totals, Fault> {
-        match self.runtime.block_on(self.asker.ask(&Request::Status))? {
+    pub fn totals(&mut self) -> Result<Totals, RigError> {
+        match self.runtime.block_on(self.client.ask(&Request::Status))? {
             Response::Status(totals) => Ok(*totals),
-            other => Err(format!("{other:?}")),
+            other => Err(format!("the service: unexpected response to a status request: {other:?}")),
         }
     }
 
-    /// Publishes as soon as the service takes it; how often it refused, since another was under way.
-    pub fn publish(&mut self, content: &str) -> Result<(VersionId, usize), Fault> {
-        let (begun, mut refused) = (Instant::now(), 0);
+    /// Publishes, and tries again while the service rejects it because another publication is under way. Returns the number of
+    /// rejections, too.
+    pub fn publish(&mut self, content: &str) -> Result<(VersionId, usize), RigError> {
+        let (begun, mut rejected) = (Instant::now(), 0);
         loop {
-            let expects = self.totals()?.last;
-            let ask = Request::Publish {
-                content: content.as_bytes().into(),
-                note: "".into(),
-                expected_last: expects,
-            };
-            match self.runtime.block_on(self.asker.ask(&ask))? {
-                Response::Published(id) => return Ok((id, refused)),
-                Response::NotPublished(_) if begun.elapsed() < WITHIN => refused += 1,
+            let expected_last = self.totals()?.last;
+            let request =
+                Request::Publish { content: content.as_bytes().into(), note: "".into(), expected_last };
+            match self.runtime.block_on(self.client.ask(&request))? {
+                Response::Published(id) => return Ok((id, rejected)),
+                Response::NotPublished(_) if begun.elapsed() < TIMEOUT => rejected += 1,
                 other => return Err(format!("not published: {other:?}")),
             }
-            std::thread::sleep(LOOK);
+            std::thread::sleep(POLL_INTERVAL);
         }
     }
 
-    /// Waits until the service says so; how long that took.
-    pub fn until(
+    /// Waits until the service's status fulfils a condition, and returns how long that took.
+    pub fn wait_until(
         &mut self,
         what: &str,
-        within: Duration,
+        timeout: Duration,
         holds: impl Fn(&Totals) -> bool,
-    ) -> Result<Duration, Fault> {
+    ) -> Result<Duration, RigError> {
         let begun = Instant::now();
         loop {
             let totals = self.totals()?;
             if holds(&totals) {
                 return Ok(begun.elapsed());
             }
-            if begun.elapsed() > within {
-                return Err(format!("{what} has not come in {} s: {totals:?}", within.as_secs()));
+            if begun.elapsed() > timeout {
+                return Err(format!(
+                    "timeout of {} s while waiting for {what}: {totals:?}",
+                    timeout.as_secs()
+                ));
             }
-            std::thread::sleep(LOOK);
+            std::thread::sleep(POLL_INTERVAL);
         }
     }
 }
 
-/// Processor time of all threads that a process has now, in milliseconds, to the microsecond.
+/// Processor time of the current threads of a process, in milliseconds with fractions.
 pub fn cpu_ms(process: u32) -> f64 {
     let tasks = std::fs::read_dir(format!("/proc/{process}/task")).into_iter().flatten().flatten();
-    let of = |task: std::fs::DirEntry| {
+    let thread_ns = |task: std::fs::DirEntry| {
         let text = std::fs::read_to_string(task.path().join("schedstat")).ok()?;
         text.split(' ').next()?.parse::<f64>().ok()
     };
-    tasks.filter_map(of).sum::<f64>() / 1e6
+    tasks.filter_map(thread_ns).sum::<f64>() / 1e6
 }
--- a/crates/lab/src/scale/front_state.rs
+++ b/crates/lab/src/scale/front_state.rs
@@ -42,7 +42,7 @@
             context.check()?;
             let members = MemberCounts { own_zone: size, other_zones: 0, parents: PARENTS };
             let value = cost::access_us(members, max_rate, seed, accesses)
-                .ok_or_else(|| context.fault("there are no objects to access"))?;
+                .ok_or_else(|| context.part_error("there are no objects to access"))?;
             points.push(Point { size, seed, value });
         }
     }
@@ -52,17 +52,17 @@
         what: "processor time of one access in the module alone, by caches of the front's own zone",
         unit: "us",
     };
-    let fit = context.slope(&quantity, &points)?;
-    context.ratio("module_us_per_access_per_cache", fit.slope);
+    let fit = context.fit_slope(&quantity, &points)?;
+    context.put_rounded("module_us_per_access_per_cache", fit.slope);
     for rate in rates {
         let values: Option<Vec<f64>> =
             context.seeds().into_iter().map(|seed| cost::access_us(SITE, rate, seed, accesses)).collect();
-        let values = values.ok_or_else(|| context.fault("there are no objects to access"))?;
+        let values = values.ok_or_else(|| context.part_error("there are no objects to access"))?;
         let mean = values.iter().sum::<f64>() / values.len() as f64;
-        context.ratio(&format!("module_us_per_access_{rate}"), mean);
-        context.ratio(&format!("module_core_share_{rate}"), mean * rate / 1e6);
+        context.put_rounded(&format!("module_us_per_access_{rate}"), mean);
+        context.put_rounded(&format!("module_core_share_{rate}"), mean * rate / 1e6);
     }
-    context.ratio("module_us_per_purge", cost::purge_us(18.0, 1, 100_000));
+    context.put_rounded("module_us_per_purge", cost::purge_us(18.0, 1, 100_000));
     Ok(())
 }
 
@@ -80,16 +80,16 @@
             for &seed in seeds {
                 context.check()?;
                 let run = site::run(&short_case(rate, exponent, seed));
-                runs.push(run.ok_or_else(|| context.fault("there are no objects to access"))?);
+                runs.push(run.ok_or_else(|| context.part_error("there are no objects to access"))?);
             }
             let mean =
                 |value: fn(&site::SiteStats) -> f64| runs.iter().map(value).sum::<f64>() / runs.len() as f64;
             let case =
                 if exponent == EXPONENT { format!("{rate}") } else { format!("{rate}_zipf_{exponent}") };
-            context.ratio(&format!("fills_reach_s_{case}"), mean(|r| r.stay_s));
-            context.ratio(&format!("fills_known_share_{case}"), mean(|r| r.known));
-            context.ratio(&format!("fills_shared_known_share_{case}"), mean(|r| r.shared_known));
-            context.ratio(&format!("fills_wrongly_lacking_share_{case}"), mean(|r| r.wrongly_lacking));
+            context.put_rounded(&format!("fills_reach_s_{case}"), mean(|r| r.stay_s));
+            context.put_rounded(&format!("fills_known_share_{case}"), mean(|r| r.known));
+            context.put_rounded(&format!("fills_shared_known_share_{case}"), mean(|r| r.shared_known));
+            context.put_rounded(&format!("fills_wrongly_lacking_share_{case}"), mean(|r| r.wrongly_lacking));
         }
     }
     Ok(())
@@ -98,11 +98,11 @@
 /// A real front under load, with purges and without, and with its feed cut.
 fn real_front(context: &mut Context) -> Result<(), ScaleError> {
     let quick = context.options.quick;
-    let program = rig::program(context.options.front.clone()).map_err(|e| context.fault(e))?;
+    let program = rig::program(context.options.front.clone()).map_err(|e| context.part_error(e))?;
     let needs = Needs { processes: 1, resident_bytes: 100_000_000 };
     context.budget.check_start("a front", needs)?;
     let seed = context.options.seed;
-    let mut front = FrontRig::start(&program, seed).map_err(|e| context.fault(e))?;
+    let mut front = FrontRig::start(&program, seed).map_err(|e| context.part_error(e))?;
     let seconds = if quick { 2.0 } else { 20.0 };
     context.put("real_bounds", front.logged_bounds());
     let runs: &[(&str, f64, f64)] = match quick {
@@ -118,13 +118,13 @@
     };
     for &(name, rate, purges) in runs {
         context.check()?;
-        let load = front.load(rate, purges, seconds, seed).map_err(|e| context.fault(e))?;
+        let load = front.load(rate, purges, seconds, seed).map_err(|e| context.part_error(e))?;
         put_load(context, name, &load);
     }
     let cuts: &[f64] = if quick { &[1.0] } else { &[0.0, 3.0, 10.0, 120.0] };
     for (n, &cut) in cuts.iter().enumerate() {
         context.check()?;
-        let result = front.cut(cut, 1_000_000 + n as u64).map_err(|e| context.fault(e))?;
+        let result = front.cut(cut, 1_000_000 + n as u64).map_err(|e| context.part_error(e))?;
         let none = serde_json::Value::Null;
         let seconds = |time: Option<f64>| time.map_or(none.clone(), |s| ((s * 1e3).round() / 1e3).into());
         context.put(&format!("cut_{cut}_noticed_s"), seconds(result.noticed_s));
@@ -138,11 +138,11 @@
 fn put_load(context: &mut Context, name: &str, load: &LoadResult) {
     context.put(&format!("real_{name}_asked"), load.accesses);
     context.put(&format!("real_{name}_handled"), load.handled);
-    context.ratio(&format!("real_{name}_core_share"), load.core_share);
-    context.ratio(&format!("real_{name}_memory_mb"), load.memory_mb);
-    context.ratio(&format!("real_{name}_feed_bytes_per_s"), load.feed_bytes_per_s);
+    context.put_rounded(&format!("real_{name}_core_share"), load.core_share);
+    context.put_rounded(&format!("real_{name}_memory_mb"), load.memory_mb);
+    context.put_rounded(&format!("real_{name}_feed_bytes_per_s"), load.feed_bytes_per_s);
     if load.accesses > 0 {
         let us = load.core_share * load.seconds * 1e6 / load.accesses as f64;
-        context.ratio(&format!("real_{name}_us_per_access"), us);
+        context.put_rounded(&format!("real_{name}_us_per_access"), us);
     }
 }
--- a/crates/lab/src/scale/members/mod.rs
+++ b/crates/lab/src/scale/members/mod.rs
@@ -47,7 +47,7 @@
 
 fn run_simulations(context: &mut Context) -> Result<Vec<Run>, ScaleError> {
     let pool = rayon::ThreadPoolBuilder::new().num_threads(MAX_PARALLEL_RUNS).build();
-    let pool = pool.map_err(|e| context.fault(e))?;
+    let pool = pool.map_err(|e| context.part_error(e))?;
     let (seeds, budget) = (context.seeds(), context.budget.clone());
     let mut runs = Vec::new();
     for size in context.sizes() {
@@ -94,7 +94,7 @@
             let id = format!("members_{}_{name}", phase.name());
             let what = format!("{what}; {}", phase.description());
             let quantity = Quantity { id: &id, role: ROLE, what: &what, unit };
-            let fit = context.slope(&quantity, &points(runs, phase, value))?;
+            let fit = context.fit_slope(&quantity, &points(runs, phase, value))?;
             context.put(&format!("{id}_shape"), super::growth_name(fit.growth));
         }
     }
@@ -102,7 +102,7 @@
         runs.iter().map(|r| Point { size: r.size, seed: r.seed, value: r.member_bytes }).collect();
     let what = "kept by a member after all troubles";
     let quantity = Quantity { id: "members_memory_bytes", role: ROLE, what, unit: "bytes" };
-    context.slope(&quantity, &memory)?;
+    context.fit_slope(&quantity, &memory)?;
     Ok(())
 }
 
@@ -120,11 +120,11 @@
             largest().flat_map(|r| &r.costs).filter(move |c| c.0 == phase).map(move |c| value(&c.1))
         };
         let name = |figure: &str| format!("members_{}_{figure}_{size}", phase.name());
-        context.ratio(&name("bytes_per_s"), mean(values(|c| c.sent_per_s)));
-        context.ratio(&name("received_bytes_per_s"), mean(values(|c| c.received_per_s)));
-        context.ratio(&name("worst_bytes_per_s"), values(|c| c.max_per_s).fold(0.0, f64::max));
-        context.ratio(&name("core_share"), mean(values(|c| c.core_share)));
-        context.ratio(&name("know_s"), mean(values(|c| c.known_after_s)));
+        context.put_rounded(&name("bytes_per_s"), mean(values(|c| c.sent_per_s)));
+        context.put_rounded(&name("received_bytes_per_s"), mean(values(|c| c.received_per_s)));
+        context.put_rounded(&name("worst_bytes_per_s"), values(|c| c.max_per_s).fold(0.0, f64::max));
+        context.put_rounded(&name("core_share"), mean(values(|c| c.core_share)));
+        context.put_rounded(&name("know_s"), mean(values(|c| c.known_after_s)));
     }
     context.put(&format!("members_memory_bytes_{size}"), mean(largest().map(|r| r.member_bytes)).round());
 }
--- a/crates/lab/src/scale/mod.rs
+++ b/crates/lab/src/scale/mod.rs
@@ -1,13 +1,14 @@
-//! `doorgrade-lab scale`: what each role costs as the fleet grows, part by part, within a budget of the machine.
+//! `doorgrade-lab scale`: the cost of each role as the fleet grows. Each part measures one role at several fleet sizes with
+//! several seeds, and fits the growth of its figures over the size. A run stays within a budget of processes and memory.
 
 mod agent;
 pub mod budget;
 mod commands;
+pub mod comparison;
+pub mod control_only;
 pub mod control_rig;
 pub mod fit;
 mod front_state;
-pub mod hollow;
-pub mod hollow_to_real;
 pub mod members;
 pub mod options;
 mod rollouts;
@@ -28,12 +29,12 @@
 use crate::capacity::run::{Basis, Entry, FORMAT, Growth, MeasuredFigure, Measurement, Run};
 use crate::{Figures, RunArgs};
 
-/// One part of the run.
+/// A part of the run, which measures one role.
 pub struct Part {
     pub name: &'static str,
     pub full_sizes: &'static [usize],
     pub quick_sizes: &'static [usize],
-    /// Beside this process, at the largest size; the second is whether it is a quick run.
+    /// What the part needs beside this process at a size; the second argument says whether it is a quick run.
     pub needs: fn(usize, bool) -> Needs,
     pub run: fn(&mut Context) -> Result<(), ScaleError>,
 }
@@ -45,38 +46,38 @@
 pub enum ScaleError {
     #[error(transparent)]
     Option(#[from] OptionError),
-    #[error("refused to go on: {0}")]
+    #[error("can't continue: {0}")]
     Budget(#[from] BudgetError),
-    #[error("slope of {id}: {why}")]
-    Fit { id: String, why: FitError },
-    #[error("{path}: {why}: is the folder there, and may it be written?", path = path.display())]
-    Data { path: PathBuf, why: std::io::Error },
-    #[error("the watchdog thread of the run does not start: {0}: are there threads left for this user?")]
+    #[error("slope of {id}: {reason}")]
+    Fit { id: String, reason: FitError },
+    #[error("{path}: {reason}: check that the folder exists and is writable", path = path.display())]
+    Data { path: PathBuf, reason: std::io::Error },
+    #[error("the watchdog thread of the run does not start: {0}: check this user's limit of threads")]
     Watchdog(std::io::Error),
-    /// What a part's own rig says: what, where, and what is to be done.
-    #[error("part {part}: {why}")]
-    Part { part: &'static str, why: String },
+    /// An error of the part's own rig.
+    #[error("part {part}: {reason}")]
+    Part { part: &'static str, reason: String },
 }
 
-/// What of a quantity is fixed before it is measured.
+/// The description of a measured quantity.
 #[derive(Clone, Copy)]
 pub struct Quantity<'a> {
     /// Unique in `docs/capacity.json`.
     pub id: &'a str,
     pub role: &'a str,
-    /// What is counted, with its condition.
+    /// What is measured, and under which condition.
     pub what: &'a str,
     pub unit: &'a str,
 }
 
-/// What a part is given, and where its figures go.
+/// The input of a part, and what collects its figures.
 pub struct Context {
     pub options: Options,
     pub budget: Arc<Budget>,
     pub figures: Figures,
-    /// As they were fitted.
+    /// The fitted slopes.
     pub slopes: Vec<Entry>,
-    /// What the slopes were fitted on.
+    /// The measurements that the slopes were fitted on.
     points: Vec<MeasuredFigure>,
     part: &'static Part,
     commit: String,
@@ -89,38 +90,40 @@
         Context { options, budget, figures, slopes, points, part: &PARTS[0], commit: commit() }
     }
 
-    /// How many instances, one run for each.
+    /// The fleet sizes to measure.
     pub fn sizes(&self) -> Vec<usize> {
         self.options.sizes_of(self.part)
     }
 
-    /// For the chance of each run of a size; three or more.
+    /// The seeds to run each size with; three or more.
     pub fn seeds(&self) -> Vec<u64> {
         (0..self.options.seeds).map(|n| self.options.seed.wrapping_mul(1_000).wrapping_add(n)).collect()
     }
 
-    /// In every long loop, so that an interrupted run ends in order.
+    /// Whether the run may go on. Called in every long loop, so that an interrupted run ends in order.
     pub fn check(&self) -> Result<(), ScaleError> {
         Ok(self.budget.check()?)
     }
 
-    pub fn fault(&self, why: impl std::fmt::Display) -> ScaleError {
-        ScaleError::Part { part: self.part.name, why: why.to_string() }
+    /// An error of the current part.
+    pub fn part_error(&self, reason: impl std::fmt::Display) -> ScaleError {
+        ScaleError::Part { part: self.part.name, reason: reason.to_string() }
     }
 
+    /// Records a figure.
     pub fn put(&mut self, name: &str, value: impl Into<Value>) {
         self.figures.put(name, value);
     }
 
-    /// Rounded to what the measurement can tell.
-    pub fn ratio(&mut self, name: &str, value: f64) {
+    /// Records a figure rounded to its significant digits.
+    pub fn put_rounded(&mut self, name: &str, value: f64) {
         self.figures.put_rounded(name, value);
     }
 
-    /// Fits a slope on what was measured and notes it for `--data`.
-    pub fn slope(&mut self, quantity: &Quantity, points: &[Point]) -> Result<Fit, ScaleError> {
+    /// Fits a slope to the measurements and adds both to the data file (`--data`).
+    pub fn fit_slope(&mut self, quantity: &Quantity, points: &[Point]) -> Result<Fit, ScaleError> {
         let id = quantity.id;
-        let fit = fit(points).map_err(|why| ScaleError::Fit { id: id.to_owned(), why })?;
+        let fit = fit(points).map_err(|reason| ScaleError::Fit { id: id.to_owned(), reason })?;
         let distinct = |all: &mut dyn Iterator<Item = u64>| {
             all.collect::<std::collections::BTreeSet<_>>().into_iter().collect::<Vec<_>>()
         };
@@ -147,23 +150,24 @@
         Ok(fit)
     }
 
+    /// The command that repeats the current part.
     fn command(&self) -> String {
         let quick = if self.options.quick { " --quick" } else { "" };
         format!("doorgrade-lab scale --seed {}{quick} --only {}", self.options.seed, self.part.name)
     }
 }
 
-/// That the working tree stands on; unknown outside of one.
+/// The commit of the working tree, or `unknown` outside of one.
 fn commit() -> String {
     let git = std::process::Command::new("git").args(["rev-parse", "--short", "HEAD"]).output();
-    let said =
+    let hash =
         git.ok().filter(|o| o.status.success()).map(|o| String::from_utf8_lossy(&o.stdout).trim().into());
-    said.unwrap_or_else(|| "unknown".to_owned())
+    hash.unwrap_or_else(|| "unknown".to_owned())
 }
 
-/// All parts that are asked for, in order.
-pub fn run(how: &RunArgs, args: &ScaleArgs) -> Result<Figures, ScaleError> {
-    let options = Options::parse(how, args)?;
+/// Runs the selected parts in order.
+pub fn run(run_args: &RunArgs, args: &ScaleArgs) -> Result<Figures, ScaleError> {
+    let options = Options::parse(run_args, args)?;
     let mut context = Context::new(options);
     let watchdog = Watchdog::start(context.budget.clone()).map_err(ScaleError::Watchdog)?;
     for part in context.options.parts.clone() {
@@ -174,14 +178,14 @@
     context.budget.sample()?;
     drop(watchdog);
     let peak = context.budget.peak();
-    context.ratio("peak_rss_gb", peak.resident_bytes as f64 / GB);
+    context.put_rounded("peak_rss_gb", peak.resident_bytes as f64 / GB);
     context.put("processes", peak.processes);
     let Context { options, figures, slopes: entries, points, commit, .. } = context;
     if let Some(path) = &options.data {
         let command = std::env::args().skip(1).collect::<Vec<_>>().join(" ");
         let command = format!("doorgrade-lab {command}");
         let run = Run { format: FORMAT, commit, command, entries, figures: points };
-        write(path, &run).map_err(|why| ScaleError::Data { path: path.clone(), why })?;
+        write(path, &run).map_err(|reason| ScaleError::Data { path: path.clone(), reason })?;
     }
     Ok(figures)
 }
--- a/crates/lab/src/scale/rollouts/content.rs
+++ b/crates/lab/src/scale/rollouts/content.rs
@@ -1,25 +1,27 @@
-//! Contents of the size of the target's, what a change does to one, and what a hollow front makes of it.
+//! Configuration contents of the target's size, changes of them, and the harm that a simulated front suffers from a change.
+//! A change is marked by a comment in the content, which [`ContentSummary::parse`] reads.
 
 use std::collections::BTreeSet;
 
-/// Caches of the target, each a member of the shape.
+/// Caches of the target. Each is a member of the cache hierarchy.
 pub const MEMBERS: usize = 250;
 
-/// What a change does to whoever runs it.
+/// The harm that a change does to each front that runs it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Harm {
-    /// Of all accesses a share so much smaller is answered, at once.
+    /// The answered share of accesses falls by this much at once.
     Drop(f64),
-    /// As `Drop`, but only where the other change of this number is there, too.
+    /// As `Drop`, but only while the change with this number is present, too.
     Together { with: usize, drop: f64 },
-    /// As `Drop`, after having run for so many seconds.
+    /// As `Drop`, once the front has run the content for this many seconds.
     Late { after_s: f64, drop: f64 },
-    /// No front can use it.
+    /// Fronts reject the content.
     Unusable,
 }
 
 impl Harm {
-    fn word(self) -> String {
+    /// The text that marks the harm in a content.
+    fn marker(self) -> String {
         match self {
             Harm::Drop(drop) => format!(" drop {drop}"),
             Harm::Together { with, drop } => format!(" together {with} {drop}"),
@@ -28,7 +30,7 @@
         }
     }
 
-    fn read(words: &[&str]) -> Option<Harm> {
+    fn parse(words: &[&str]) -> Option<Harm> {
         match *words {
             ["drop", drop] => Some(Harm::Drop(drop.parse().ok()?)),
             ["together", with, drop] => {
@@ -43,8 +45,8 @@
     }
 }
 
-/// The first content, without any change.
-pub fn first() -> String {
+/// The initial content, without any change.
+pub fn initial() -> String {
     let mut text = String::from("log { level = \"info\" }\nhierarchy { tier = 1 }\n");
     text += "member \"s-000000ff\" {\n  incarnation = 1\n  number = 1\n  tier = 2\n  fills_from = []\n}\n";
     for n in 0..MEMBERS {
@@ -55,16 +57,16 @@
     text
 }
 
-/// A content with one line changed: that of the member whose number is the change's. Each member is changed once.
+/// The content with one line changed: that of the member with the number of the change. Each member is changed at most once.
 pub fn changed(content: &str, change: usize, harm: Option<Harm>) -> String {
     let member = format!("member \"s-0001{:04x}\" {{", change % MEMBERS);
-    let word = harm.map(Harm::word).unwrap_or_default();
-    let (mut own, mut text) = (false, String::with_capacity(content.len() + 40));
+    let marker = harm.map(Harm::marker).unwrap_or_default();
+    let (mut in_member, mut text) = (false, String::with_capacity(content.len() + 40));
     for line in content.lines() {
-        own |= line == member;
-        if own && line.starts_with("  number = ") {
-            own = false;
-            text += &format!("  number = 2 # change {change}{word}\n");
+        in_member |= line == member;
+        if in_member && line.starts_with("  number = ") {
+            in_member = false;
+            text += &format!("  number = 2 # change {change}{marker}\n");
         } else {
             text += line;
             text.push('\n');
@@ -73,38 +75,38 @@
     text
 }
 
-/// What stands in a content.
+/// The changes in a content and the harm of each harmful one.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Facts {
+pub struct ContentSummary {
     pub changes: BTreeSet<usize>,
     pub harms: Vec<(usize, Harm)>,
 }
 
-impl Facts {
-    pub fn read(content: &str) -> Facts {
-        let mut facts = Facts::default();
+impl ContentSummary {
+    pub fn parse(content: &str) -> ContentSummary {
+        let mut summary = ContentSummary::default();
         for line in content.lines() {
-            let Some((_, told)) = line.split_once("# change ") else { continue };
-            let words: Vec<&str> = told.split_whitespace().collect();
+            let Some((_, comment)) = line.split_once("# change ") else { continue };
+            let words: Vec<&str> = comment.split_whitespace().collect();
             let Some(change) = words.first().and_then(|w| w.parse().ok()) else { continue };
-            facts.changes.insert(change);
-            facts.harms.extend(Harm::read(&words[1..]).map(|harm| (change, harm)));
+            summary.changes.insert(change);
+            summary.harms.extend(Harm::parse(&words[1..]).map(|harm| (change, harm)));
         }
-        facts
+        summary
     }
 
-    pub fn usable(&self) -> bool {
+    pub fn is_usable(&self) -> bool {
         self.harms.iter().all(|h| h.1 != Harm::Unusable)
     }
 
-    /// By how much the answered share of a front falls that has run this for so long.
+    /// By how much the answered share is lower at a front that has run this content for some seconds.
     pub fn drop_after(&self, seconds: f64) -> f64 {
-        let of = |&(_, harm): &(usize, Harm)| match harm {
+        let drop_of = |&(_, harm): &(usize, Harm)| match harm {
             Harm::Drop(drop) => drop,
             Harm::Together { with, drop } if self.changes.contains(&with) => drop,
             Harm::Late { after_s, drop } if seconds >= after_s => drop,
             _ => 0.0,
         };
-        self.harms.iter().map(of).sum()
+        self.harms.iter().map(drop_of).sum()
     }
 }
--- a/crates/lab/src/scale/rollouts/records.rs
+++ b/crates/lab/src/scale/rollouts/records.rs
@@ -1,95 +1,98 @@
-//! What happened, by the fronts' own records: when a change was everywhere, how far a harmful one came, when it was gone.
+//! Evaluation of the fronts' records: the time until a change was in use at all fronts, the share of fronts that a harmful
+//! one reached, and the time until it was removed from all.
 
 use doorgrade_versions::Ticks;
 
-use super::hollow::Ran;
+use super::control_only::AppliedContents;
 
-/// One change as it was published.
+/// A published change.
 #[derive(Clone, Copy, Debug)]
 pub struct Published {
     pub change: usize,
+    /// The number of the version.
     pub number: u64,
     pub at: Ticks,
 }
 
-/// All fronts' records.
-pub struct Records(pub Vec<Ran>);
+/// The contents that each front has applied.
+pub struct Records(pub Vec<AppliedContents>);
 
-fn seconds(from: Ticks, to: Ticks) -> f64 {
+fn seconds_between(from: Ticks, to: Ticks) -> f64 {
     to.saturating_sub(from) as f64 / 1e4
 }
 
 impl Records {
     /// Whether a front has a change in use at a time.
-    fn has(ran: &Ran, change: usize, at: Ticks) -> bool {
-        ran.iter().rev().find(|r| r.0 <= at).is_some_and(|r| r.1.changes.contains(&change))
+    fn is_in_use(applied: &AppliedContents, change: usize, at: Ticks) -> bool {
+        applied.iter().rev().find(|r| r.0 <= at).is_some_and(|r| r.1.changes.contains(&change))
     }
 
-    /// How many fronts lack a change at a time.
-    pub fn lacking(&self, change: usize, at: Ticks) -> usize {
-        self.0.iter().filter(|ran| !Records::has(ran, change, at)).count()
+    /// The number of fronts without a change at a time.
+    pub fn count_without(&self, change: usize, at: Ticks) -> usize {
+        self.0.iter().filter(|applied| !Records::is_in_use(applied, change, at)).count()
     }
 
-    /// Each moment at which a front takes a change into use (+1) or out of use (-1), in order.
-    fn moves(&self, change: usize) -> Vec<(Ticks, i64)> {
-        let mut moves = Vec::new();
-        for ran in &self.0 {
-            let mut had = false;
-            for (at, facts) in ran {
-                let has = facts.changes.contains(&change);
-                if has != had {
-                    moves.push((*at, if has { 1 } else { -1 }));
+    /// The times at which a front starts (+1) or stops (-1) using a change, in order.
+    fn transitions(&self, change: usize) -> Vec<(Ticks, i64)> {
+        let mut transitions = Vec::new();
+        for applied in &self.0 {
+            let mut had_change = false;
+            for (at, summary) in applied {
+                let has_change = summary.changes.contains(&change);
+                if has_change != had_change {
+                    transitions.push((*at, if has_change { 1 } else { -1 }));
                 }
-                had = has;
+                had_change = has_change;
             }
         }
-        moves.sort_unstable();
-        moves
+        transitions.sort_unstable();
+        transitions
     }
 
-    /// Seconds from its publication until the last front had it, for the first time.
-    pub fn everywhere(&self, published: &Published) -> Option<f64> {
+    /// Seconds from its publication until all fronts had a change in use for the first time.
+    pub fn time_to_all(&self, published: &Published) -> Option<f64> {
         let mut count = 0;
-        for (at, change) in self.moves(published.change) {
+        for (at, change) in self.transitions(published.change) {
             count += change;
             if count == self.0.len() as i64 {
-                return Some(seconds(published.at, at));
+                return Some(seconds_between(published.at, at));
             }
         }
         None
     }
 
-    /// The largest share of fronts that had it at once; of two, that had both.
+    /// The largest share of fronts that had all of these changes in use at a time.
     pub fn reach(&self, changes: &[usize]) -> f64 {
         let mut all: Vec<(Ticks, i64)> = Vec::new();
-        for ran in &self.0 {
-            let mut had = false;
-            for (at, facts) in ran {
-                let has = changes.iter().all(|c| facts.changes.contains(c));
-                if has != had {
-                    all.push((*at, if has { 1 } else { -1 }));
+        for applied in &self.0 {
+            let mut had_change = false;
+            for (at, summary) in applied {
+                let has_change = changes.iter().all(|c| summary.changes.contains(c));
+                if has_change != had_change {
+                    all.push((*at, if has_change { 1 } else { -1 }));
                 }
-                had = has;
+                had_change = has_change;
             }
         }
         all.sort_unstable();
-        let (mut count, mut most) = (0, 0);
+        let (mut count, mut max_count) = (0, 0);
         for (_, change) in all {
             count += change;
-            most = most.max(count);
+            max_count = max_count.max(count);
         }
-        most as f64 / self.0.len().max(1) as f64
+        max_count as f64 / self.0.len().max(1) as f64
     }
 
-    /// Seconds from when it was found harmful until no front had it; none where one has it still.
-    pub fn undone(&self, change: usize, found: Ticks) -> Option<f64> {
-        let still = self.0.iter().any(|ran| ran.last().is_some_and(|r| r.1.changes.contains(&change)));
-        let last = self.moves(change).iter().filter(|m| m.1 < 0).map(|m| m.0).max();
-        (!still).then(|| last.map_or(0.0, |at| seconds(found, at)))
+    /// Seconds from when a change was found harmful until no front had it in use; none if one still has.
+    pub fn removed_after(&self, change: usize, found: Ticks) -> Option<f64> {
+        let still =
+            self.0.iter().any(|applied| applied.last().is_some_and(|r| r.1.changes.contains(&change)));
+        let last = self.transitions(change).iter().filter(|m| m.1 < 0).map(|m| m.0).max();
+        (!still).then(|| last.map_or(0.0, |at| seconds_between(found, at)))
     }
 }
 
-/// At a quantile, of numbers in any order.
+/// A quantile of values in any order.
 pub fn quantile(values: &[f64], q: f64) -> f64 {
     let mut sorted = values.to_vec();
     sorted.sort_by(f64::total_cmp);
--- a/crates/lab/src/scale/rollouts/rig.rs
+++ b/crates/lab/src/scale/rollouts/rig.rs
@@ -1,4 +1,5 @@
-//! The service as a process of its own, real fronts with load, hollow ones, and a relay for each region between them.
+//! Test rig of the rollout experiment: the configuration service as a process, real fronts with load, control-only fronts, and
+//! a relay with the round trip of each region between them and the service.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -8,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 use doorgrade_control::ask::Asker;
-use doorgrade_keys::client;
+use doorgrade_keys::client as client_tls;
 use doorgrade_standins::process::Process;
 use doorgrade_standins::versions::{Installation, SERVICE};
 use doorgrade_standins::{Directory, Feed, Member, MemberConfig, Role};
@@ -16,32 +17,33 @@
 use doorgrade_versions::service::{Request, Response, Totals};
 use serde_json::json;
 
-use super::content::Facts;
-use super::hollow::{Hollow, Ran, Shared, Who};
-use super::region::{Meters, REGIONS, one_way, relay};
+use super::content::ContentSummary;
+use super::control_only::{AppliedContents, ControlOnlyFront, FrontConfig, SharedState};
+use super::region::{ByteCounters, REGIONS, one_way_delay, relay};
 use crate::rig::{self, Class, Front};
 
-/// What clients ask of real fronts.
+/// The class of the accesses at real fronts.
 pub const CLASSES: [Class; 1] =
     [Class { name: "files", wait_ms: 1_500, soft_ms: 500.0, benefit: 1.0, write: false }];
 
-/// What stands behind the real fronts.
-struct Site {
+/// A cache, an archive and the control feed of the real fronts.
+struct Backends {
     cache: Member,
     archive: Member,
     feed: Feed,
 }
 
-impl Site {
-    fn start() -> Result<Site, String> {
+impl Backends {
+    fn start() -> Result<Backends, String> {
         let directory = Directory::default();
         let member = |id, role| {
             Member::start(MemberConfig::new(id, "127.0.0.1:0", role), &directory).map_err(|e| e.to_string())
         };
         let (cache, archive) = (member("s-00000001", Role::Cache)?, member("s-000000ff", Role::Archive)?);
-        Ok(Site { cache, archive, feed: Feed::start("127.0.0.1:0").map_err(|e| e.to_string())? })
+        Ok(Backends { cache, archive, feed: Feed::start("127.0.0.1:0").map_err(|e| e.to_string())? })
     }
 
+    /// The platform's configuration of a real front.
     fn config(&self, name: &str, seed: u64, fronts: usize) -> String {
         let listed =
             [rig::listed(&self.cache, "here", "cache"), rig::listed(&self.archive, "hub", "archive")];
@@ -63,20 +65,21 @@
     }
 }
 
+/// The service, the fronts and the relays.
 pub struct Rig {
     pub runtime: tokio::runtime::Runtime,
-    place: Installation,
+    installation: Installation,
     service: Process,
-    operators: SocketAddr,
-    site: Site,
-    /// Where each region finds the service.
+    operators_address: SocketAddr,
+    backends: Backends,
+    /// The addresses at which each region reaches the service: first for real fronts, then for control-only ones.
     relays: Vec<SocketAddr>,
-    /// Of the connections of real fronts, and of hollow ones.
-    pub real_meters: Meters,
-    pub hollow_meters: Meters,
-    pub shared: Arc<Shared>,
+    /// Bytes of the connections of real fronts and of control-only ones.
+    pub real_counters: ByteCounters,
+    pub control_only_counters: ByteCounters,
+    pub shared: Arc<SharedState>,
     pub fronts: Vec<Front>,
-    pub hollow: Vec<Hollow>,
+    pub control_only: Vec<ControlOnlyFront>,
     seed: u64,
 }
 
@@ -85,173 +88,189 @@
 }
 
 impl Rig {
-    /// `publication`: the service's settings of that block.
+    /// Starts the service and the relays. `publication` is the text of that block of the service's settings.
     pub fn start(name: &str, program: &Path, publication: &str, seed: u64) -> Result<Rig, String> {
         let io = |e: std::io::Error| e.to_string();
-        let place = Installation::new(&format!("scale-{name}")).map_err(io)?;
-        place.write("shape.hcl", "").map_err(io)?;
+        let installation = Installation::new(&format!("scale-{name}")).map_err(io)?;
+        installation.write("shape.hcl", "").map_err(io)?;
         for region in 0..REGIONS {
             let station = station(region);
-            place.issue(&station, &place.fronts, &[&format!("*.{station}")], 30).map_err(io)?;
+            installation.issue(&station, &installation.fronts, &[&format!("*.{station}")], 30).map_err(io)?;
         }
-        let file = place.write_control_settings("127.0.0.1:0", "127.0.0.1:0", publication).map_err(io)?;
+        let file =
+            installation.write_control_settings("127.0.0.1:0", "127.0.0.1:0", publication).map_err(io)?;
         let service = Process::start(Command::new(program).arg("control").arg("--file").arg(file));
         let service = service.map_err(io)?;
-        let line = service.wait_for_log("fronts at ", Duration::from_secs(20));
+        let log_line = service.wait_for_log("fronts at ", Duration::from_secs(20));
         let address = |after: &str| -> Option<SocketAddr> {
-            line.as_deref()?.split_once(after)?.1.split([',', ' ']).next()?.parse().ok()
+            log_line.as_deref()?.split_once(after)?.1.split([',', ' ']).next()?.parse().ok()
         };
-        let (Some(fronts_at), Some(operators)) = (address("fronts at "), address("operators at ")) else {
-            return Err(format!("the service does not start: {:?}", service.log_lines()));
+        let (Some(fronts_at), Some(operators_address)) = (address("fronts at "), address("operators at "))
+        else {
+            return Err(format!("the service does not start; its log: {:?}", service.log_lines()));
         };
         let threads = std::thread::available_parallelism().map_or(4, |n| n.get()).min(4);
         let runtime =
             tokio::runtime::Builder::new_multi_thread().worker_threads(threads).enable_all().build();
         let runtime = runtime.map_err(io)?;
-        let (real_meters, hollow_meters) = (Meters::default(), Meters::default());
+        let (real_counters, control_only_counters) = (ByteCounters::default(), ByteCounters::default());
         let mut relays = Vec::new();
-        for meters in [&real_meters, &hollow_meters] {
+        for counters in [&real_counters, &control_only_counters] {
             for region in 0..REGIONS {
-                let made = runtime.block_on(relay(fronts_at, one_way(region), meters.clone()));
-                relays.push(made.map_err(io)?);
+                let address = runtime.block_on(relay(fronts_at, one_way_delay(region), counters.clone()));
+                relays.push(address.map_err(io)?);
             }
         }
-        let (site, shared) = (Site::start()?, Arc::new(Shared::default()));
-        let (fronts, hollow) = (Vec::new(), Vec::new());
+        let (backends, shared) = (Backends::start()?, Arc::new(SharedState::default()));
+        let (fronts, control_only) = (Vec::new(), Vec::new());
         Ok(Rig {
             runtime,
-            place,
+            installation,
             service,
-            operators,
-            site,
+            operators_address,
+            backends,
             relays,
-            real_meters,
-            hollow_meters,
+            real_counters,
+            control_only_counters,
             shared,
             fronts,
-            hollow,
+            control_only,
             seed,
         })
     }
 
-    pub fn start_real(&mut self, program: &Path, of: usize) -> Result<(), String> {
+    /// Starts one more real front. `fleet_size` is the number of fronts that its configuration states.
+    pub fn start_real(&mut self, program: &Path, fleet_size: usize) -> Result<(), String> {
         let n = self.fronts.len();
         let (station, service) = (station(n), self.relays[n % REGIONS]);
         let name = format!("n{n}.{station}");
-        let config = self.site.config(&name, self.seed + n as u64, of);
+        let config = self.backends.config(&name, self.seed + n as u64, fleet_size);
         let text = format!(
             "hierarchy {{\n  enabled = true\n  shape = \"shape.hcl\"\n}}\nversions {{\n  enabled = true\n  \
              service = [\"{service}\"]\n  server_name = \"{SERVICE}\"\n  station = \"{station}\"\n  \
              certificate = \"{station}.pem\"\n  key = \"{station}.key\"\n  authority = \"fronts-ca.pem\"\n  \
              seal_keys = \"seal-keys.hcl\"\n  store = \"front-{n}.redb\"\n}}\n"
         );
-        let put = |name: &str, text: &str| -> Result<PathBuf, String> {
-            self.place.write(name, text).map_err(|e| e.to_string())?;
-            Ok(self.place.file(name))
+        let write = |name: &str, text: &str| -> Result<PathBuf, String> {
+            self.installation.write(name, text).map_err(|e| e.to_string())?;
+            Ok(self.installation.file(name))
         };
         let (config, settings) =
-            (put(&format!("front-{n}.json"), &config)?, put(&format!("front-{n}.hcl"), &text)?);
+            (write(&format!("front-{n}.json"), &config)?, write(&format!("front-{n}.hcl"), &text)?);
         self.fronts.push(Front::start(program, &config, Some(&settings))?);
         Ok(())
     }
 
-    pub fn start_hollow(&mut self, count: usize) -> Result<(), String> {
+    /// Starts this number of control-only fronts.
+    pub fn start_control_only(&mut self, count: usize) -> Result<(), String> {
         let mut tls = Vec::new();
         for region in 0..REGIONS {
-            let made = client(&self.place.identity(&station(region)), FRONTS).map_err(|t| t.to_string())?;
-            tls.push(made.made);
+            let credentials = client_tls(&self.installation.identity(&station(region)), FRONTS)
+                .map_err(|t| t.to_string())?;
+            tls.push(credentials.made);
         }
-        let _here = self.runtime.enter();
+        let _entered = self.runtime.enter();
         for n in 0..count {
             let (region, station) = (n % REGIONS, station(n));
             let (name, service) = (format!("h{n}.{station}"), self.relays[REGIONS + region]);
             let seed = self.seed.wrapping_mul(10_007).wrapping_add(n as u64);
-            let who = Who { name: &name, station: &station, service, seed };
-            self.hollow.push(Hollow::start(&who, tls[region].clone(), self.shared.clone())?);
+            let config = FrontConfig { name: &name, station: &station, service, seed };
+            self.control_only.push(ControlOnlyFront::start(
+                &config,
+                tls[region].clone(),
+                self.shared.clone(),
+            )?);
         }
         Ok(())
     }
 
-    pub fn asker(&self) -> Result<Asker, String> {
-        self.runtime.block_on(Asker::at(self.operators, SERVICE, &self.place.identity("person")))
+    /// Connects to the service as an operator.
+    pub fn client(&self) -> Result<Asker, String> {
+        self.runtime.block_on(Asker::at(
+            self.operators_address,
+            SERVICE,
+            &self.installation.identity("person"),
+        ))
     }
 
-    pub fn totals(&self, asker: &mut Asker) -> Result<Totals, String> {
-        match self.runtime.block_on(asker.ask(&Request::Status))? {
+    pub fn totals(&self, client: &mut Asker) -> Result<Totals, String> {
+        match self.runtime.block_on(client.ask(&Request::Status))? {
             Response::Status(totals) => Ok(*totals),
-            other => Err(format!("{other:?}")),
+            other => Err(format!("the service: unexpected response to a status request: {other:?}")),
         }
     }
 
-    /// The content that changes are made to, and its number.
-    pub fn head(&self, asker: &mut Asker) -> Result<(u64, String), String> {
-        let number = self.totals(asker)?.last;
-        match self.runtime.block_on(asker.ask(&Request::Content { number }))? {
+    /// The latest published content, which changes are applied to, and its number.
+    pub fn latest_content(&self, client: &mut Asker) -> Result<(u64, String), String> {
+        let number = self.totals(client)?.last;
+        match self.runtime.block_on(client.ask(&Request::Content { number }))? {
             Response::Content { content, .. } => Ok((number, String::from_utf8_lossy(&content).into_owned())),
-            other => Err(format!("{other:?}")),
+            other => Err(format!("the service: unexpected response to a content request: {other:?}")),
         }
     }
 
-    pub fn publish(&self, asker: &mut Asker, content: &str, expects: u64) -> Result<Response, String> {
-        let ask =
-            Request::Publish { content: content.as_bytes().into(), note: "".into(), expected_last: expects };
-        self.runtime.block_on(asker.ask(&ask))
+    pub fn publish(&self, client: &mut Asker, content: &str, expected_last: u64) -> Result<Response, String> {
+        let request = Request::Publish { content: content.as_bytes().into(), note: "".into(), expected_last };
+        self.runtime.block_on(client.ask(&request))
     }
 
-    /// Waits for as long as it takes, within reason.
-    pub fn until(
+    /// Waits until the service's status fulfils a condition, and returns how long that took.
+    pub fn wait_until(
         &self,
-        asker: &mut Asker,
+        client: &mut Asker,
         what: &str,
-        within: Duration,
+        timeout: Duration,
         holds: impl Fn(&Totals) -> bool,
     ) -> Result<Duration, String> {
         let begun = Instant::now();
         loop {
-            let totals = self.totals(asker)?;
+            let totals = self.totals(client)?;
             if holds(&totals) {
                 return Ok(begun.elapsed());
             }
-            if begun.elapsed() > within {
-                return Err(format!("{what} has not come in {within:?}: {totals:?}"));
+            if begun.elapsed() > timeout {
+                return Err(format!("timeout of {timeout:?} while waiting for {what}: {totals:?}"));
             }
             std::thread::sleep(Duration::from_millis(50));
         }
     }
 
+    /// The id of the service's process.
     pub fn service_id(&self) -> u32 {
         self.service.id()
     }
 
-    /// Each front's own record of what it brought into use: hollow ones', and real ones' by their logs.
-    pub fn records(&self) -> Vec<Ran> {
+    /// The contents that each front applied: by the logs of real ones, and by the records of control-only ones.
+    pub fn records(&self) -> Vec<AppliedContents> {
         let real = self.fronts.iter().map(|front| {
-            let used = |line: &String| {
-                let (head, rest) = line.split_once("versions: ")?;
+            let applied = |line: &String| {
+                let (prefix, rest) = line.split_once("versions: ")?;
                 let version = rest.split_once(" is in use")?.0;
-                let at: f64 = head.split_whitespace().next()?.parse().ok()?;
-                // What only real ones tried is what they had before, by the changes that are known of it.
-                let facts = self.shared.of_log(version).unwrap_or_else(|| Arc::new(Facts::default()));
-                Some(((at * 10.0).round() as u64, facts))
+                let at: f64 = prefix.split_whitespace().next()?.parse().ok()?;
+                // A content that only real fronts tried has no summary, and counts as one without changes.
+                let summary =
+                    self.shared.by_log_name(version).unwrap_or_else(|| Arc::new(ContentSummary::default()));
+                Some(((at * 10.0).round() as u64, summary))
             };
-            front.lines().iter().filter_map(used).collect()
+            front.lines().iter().filter_map(applied).collect()
         });
-        real.chain(self.hollow.iter().map(Hollow::ran)).collect()
+        real.chain(self.control_only.iter().map(ControlOnlyFront::applied)).collect()
     }
 
-    /// Bytes so far of all connections, each on its own.
-    pub fn metered(&self) -> Vec<u64> {
-        let of = |meters: &Meters| -> Vec<u64> {
-            let meters = meters.lock().unwrap_or_else(PoisonError::into_inner);
-            meters.iter().map(|m| m.load(Ordering::Relaxed)).collect()
+    /// Bytes of each connection so far.
+    pub fn connection_bytes(&self) -> Vec<u64> {
+        let values = |counters: &ByteCounters| -> Vec<u64> {
+            let counters = counters.lock().unwrap_or_else(PoisonError::into_inner);
+            counters.iter().map(|m| m.load(Ordering::Relaxed)).collect()
         };
-        [of(&self.real_meters), of(&self.hollow_meters)].concat()
+        [values(&self.real_counters), values(&self.control_only_counters)].concat()
     }
 
-    pub fn end(self) {
+    /// Stops the control-only fronts, and with them the rig.
+    pub fn stop(self) {
         self.runtime.block_on(async {
-            for hollow in &self.hollow {
-                hollow.stop().await;
+            for front in &self.control_only {
+                front.stop().await;
             }
         });
     }
--- a/crates/lab/src/scale/service.rs
+++ b/crates/lab/src/scale/service.rs
@@ -1,9 +1,11 @@
-//! The configuration service as a process of its own, with hollow followers and some real fronts over TLS in twelve regions.
+//! The cost of the configuration service by the number of fronts: processor time, memory and bytes. The service is a process
+//! of its own; control-only fronts and some real ones follow it over TLS from twelve regions.
 //!
-//! For each seed one service; fronts are added up to each size in turn. At each size: what connecting cost, a time at rest,
-//! changes of one line and of a twentieth of the whole, and all fronts reconnecting after the service was killed and started
-//! again. At the largest size a region is cut, a change made meanwhile, and the region healed. Processor time and memory
-//! are the service's own, from /proc; bytes are counted by the links, both ways, TLS included.
+//! Each seed has one service, to which fronts are added up to each size in turn. At each size are measured: the new
+//! connections, a time at rest, which is the baseline, changes of one member and of a twentieth of all, and the reconnection
+//! of all fronts after the service was killed and started again. At the largest size one region is partitioned from the
+//! service, a change is published, and the partition ends. Processor time and memory are those of the service, from /proc.
+//! Bytes are counted by the links, in both directions and with TLS.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -12,300 +14,327 @@
 use doorgrade_standins::Feed;
 use fastrand::Rng;
 
+use super::comparison::{Comparison, compare};
+use super::control_only::{self, CONTROL_THREAD, ControlOnlyFront, RuntimeThreads, StartOptions};
 use super::control_rig::{ControlRig, Operator, content, cpu_ms};
-use super::hollow::{self, CONTROL_THREAD, Does, Threads};
-use super::hollow_to_real::{Compared, compare};
-use super::service_figures::{Size, report};
+use super::service_figures::{SizeResult, report};
 use super::{Budget, Context, Needs, Part, ScaleError};
 use crate::rig::{self, Front, memory_mb};
 
-/// What one real front and one hollow one hold, with their ends of TLS and of the links, at the most.
-const REAL_BYTES: u64 = 40_000_000;
-const HOLLOW_BYTES: u64 = 1_500_000;
+/// Upper bounds of the memory for one front of each kind, with both ends of its TLS connection and its link.
+const REAL_FRONT_BYTES: u64 = 40_000_000;
+const CONTROL_ONLY_FRONT_BYTES: u64 = 1_500_000;
 
 pub(super) const PART: Part = Part {
     name: "service",
     full_sizes: &[50, 150, 400, 1_000],
     quick_sizes: &[30, 60, 120, 240],
     needs: |size, quick| {
-        let pace = if quick { &QUICK } else { &FULL };
-        let at_once = if quick { 3 } else { 1 };
-        let real = at_once * (pace.real + 1);
+        let schedule = if quick { &QUICK } else { &FULL };
+        let parallel_runs = if quick { 3 } else { 1 };
+        let processes = parallel_runs * (schedule.real_fronts + 1);
         Needs {
-            processes: real,
-            resident_bytes: real as u64 * REAL_BYTES + (at_once * size) as u64 * HOLLOW_BYTES,
+            processes,
+            resident_bytes: processes as u64 * REAL_FRONT_BYTES
+                + (parallel_runs * size) as u64 * CONTROL_ONLY_FRONT_BYTES,
         }
     },
     run,
 };
 
-/// Round trips of the regions, in milliseconds: 10 to 150.
+/// Round trips between the regions and the service.
 const ROUND_TRIPS_MS: [u64; 12] = [10, 22, 36, 48, 60, 74, 86, 98, 112, 124, 136, 150];
-/// Caches in a content, as the target has them.
+/// Caches in a content: those of the target.
 const MEMBERS: usize = 250;
-/// Of those, changed at once in the larger change.
-const A_TWENTIETH: usize = MEMBERS / 20;
-/// For all to come to be; more on a busy machine.
-const WITHIN: Duration = Duration::from_secs(120);
-/// Accesses that a hollow front says it had, all in time, each time that is set.
-const SERVED: u64 = 200;
+/// Members that the larger change affects.
+const TWENTIETH_OF_MEMBERS: usize = MEMBERS / 20;
+/// For everything that is waited for. An idle machine takes much less.
+const TIMEOUT: Duration = Duration::from_secs(120);
+/// Accesses, all answered in time, that each call of `add_accesses` adds to the counts of a control-only front.
+const ACCESSES_PER_CALL: u64 = 200;
 
-/// How long each measurement takes.
-struct Pace {
-    real: usize,
-    /// A multiple of the 5 s after which a front says how it serves.
+/// Fronts, durations and counts of the measurements of a run.
+struct Schedule {
+    real_fronts: usize,
+    /// A multiple of the 5 s after which a front reports its access counts.
     rest_s: f64,
-    /// Of each kind.
+    /// Changes of each kind.
     changes: usize,
+    /// Mean seconds between changes; without it, that of the options applies.
     change_each_s: Option<f64>,
-    cut_s: f64,
-    compare_s: f64,
+    partition_s: f64,
+    comparison_s: f64,
+    /// Threads that run the control-only fronts.
     threads: usize,
 }
 
-const FULL: Pace = Pace {
-    real: 20,
+const FULL: Schedule = Schedule {
+    real_fronts: 20,
     rest_s: 15.0,
     changes: 8,
     change_each_s: None,
-    cut_s: 120.0,
-    compare_s: 60.0,
+    partition_s: 120.0,
+    comparison_s: 60.0,
     threads: 2,
 };
-const QUICK: Pace = Pace {
-    real: 3,
+const QUICK: Schedule = Schedule {
+    real_fronts: 3,
     rest_s: 5.0,
     changes: 2,
     change_each_s: Some(0.2),
-    cut_s: 5.0,
-    compare_s: 5.0,
+    partition_s: 5.0,
+    comparison_s: 5.0,
     threads: 1,
 };
 
-/// One service with its fronts, while it lasts.
-struct Run<'a> {
-    pace: &'a Pace,
-    /// Seconds between changes, on average.
+/// A running service with its fronts.
+struct ServiceRun<'a> {
+    schedule: &'a Schedule,
+    /// Mean seconds between changes.
     change_each_s: f64,
     budget: &'a Budget,
     rig: ControlRig,
     operator: Operator,
     feed: SocketAddr,
-    threads: Threads,
+    threads: RuntimeThreads,
     real: Vec<Front>,
-    hollow: Vec<hollow::Running>,
+    control_only: Vec<ControlOnlyFront>,
     rng: Rng,
-    /// Members that the next content has on their way out, from this one on.
-    changed: usize,
+    /// The first of the members that are draining in the latest content.
+    first_changed: usize,
 }
 
 fn region(n: usize) -> String {
     format!("region{n}")
 }
 
-impl Run<'_> {
-    fn all(&self) -> u64 {
-        (self.real.len() + self.hollow.len()) as u64
+impl ServiceRun<'_> {
+    fn front_count(&self) -> u64 {
+        (self.real.len() + self.control_only.len()) as u64
     }
 
     fn check(&self) -> Result<(), String> {
         self.budget.check().map_err(|e| e.to_string())
     }
 
-    /// Adds hollow fronts up to a size, and waits until the service knows that all of them run what is everyone's.
-    fn grow(&mut self, size: usize) -> Result<(), String> {
+    /// Adds control-only fronts up to a size, and waits until all fronts run the version in force.
+    fn add_fronts(&mut self, size: usize) -> Result<(), String> {
         let real = self.real.len();
-        for n in self.hollow.len()..size {
+        for n in self.control_only.len()..size {
             self.check()?;
-            let files = self.rig.files(real + n, &region(n % ROUND_TRIPS_MS.len()), self.feed, "")?;
-            let does = Does { stores: false };
-            self.hollow.push(hollow::start(&files, does, self.threads.handle(), None)?);
+            let files =
+                self.rig.write_front_files(real + n, &region(n % ROUND_TRIPS_MS.len()), self.feed, "")?;
+            let options = StartOptions { store_versions: false };
+            self.control_only.push(control_only::start(&files, options, self.threads.next_handle(), None)?);
         }
-        self.all_run().map(drop)
+        self.wait_until_all_current().map(drop)
     }
 
-    fn all_run(&mut self) -> Result<Duration, String> {
-        let all = self.all();
-        self.operator.until("what is everyone's at each front", WITHIN, |t| {
+    fn wait_until_all_current(&mut self) -> Result<Duration, String> {
+        let all = self.front_count();
+        self.operator.wait_until("the version in force on all fronts", TIMEOUT, |t| {
             t.connected == all && t.current == all && t.publication.is_none()
         })
     }
 
-    /// A content with so many members changed; seconds until each front has said that it runs it.
-    fn change(&mut self, lines: usize) -> Result<(f64, usize), String> {
-        self.changed = (self.changed + lines) % MEMBERS;
-        let from = self.changed;
-        let text = content(MEMBERS, |n| (n + MEMBERS - from) % MEMBERS < lines);
+    /// Publishes a content in which this number of members is draining. Returns the seconds until all fronts had reported that
+    /// they run it, and the rejected attempts.
+    fn publish_change(&mut self, members: usize) -> Result<(f64, usize), String> {
+        self.first_changed = (self.first_changed + members) % MEMBERS;
+        let from = self.first_changed;
+        let text = content(MEMBERS, |n| (n + MEMBERS - from) % MEMBERS < members);
         let begun = Instant::now();
-        let (id, refused) = self.operator.publish(&text)?;
-        let all = self.all();
-        self.operator.until("a change at each front", WITHIN, |t| t.current == all && t.base == Some(id))?;
-        Ok((begun.elapsed().as_secs_f64(), refused))
+        let (id, rejected) = self.operator.publish(&text)?;
+        let all = self.front_count();
+        self.operator
+            .wait_until("a change on all fronts", TIMEOUT, |t| t.current == all && t.base == Some(id))?;
+        Ok((begun.elapsed().as_secs_f64(), rejected))
     }
 
-    /// All hollow ones say in their next reports that they served.
-    fn serve(&self) {
-        self.hollow.iter().for_each(|h| h.record.serve(SERVED, SERVED));
+    /// Adds to the counts that the control-only fronts report.
+    fn add_accesses(&self) {
+        self.control_only
+            .iter()
+            .for_each(|front| front.record.add_accesses(ACCESSES_PER_CALL, ACCESSES_PER_CALL));
     }
 
-    /// What passes in a time, and what the service takes of it: milliseconds and bytes.
-    fn measured<T>(
+    /// Measures an action: the service's processor time in milliseconds, its bytes, the seconds, and the action's result.
+    fn measure<T>(
         &mut self,
-        during: impl FnOnce(&mut Self) -> Result<T, String>,
+        action: impl FnOnce(&mut Self) -> Result<T, String>,
     ) -> Result<(f64, f64, f64, T), String> {
-        let process = self.rig.process();
-        let (cpu, bytes, begun) = (cpu_ms(process), self.rig.all_bytes(), Instant::now());
-        let came = during(self)?;
+        let process = self.rig.process_id();
+        let (cpu, bytes, begun) = (cpu_ms(process), self.rig.total_bytes(), Instant::now());
+        let result = action(self)?;
         let seconds = begun.elapsed().as_secs_f64();
-        Ok((cpu_ms(process) - cpu, (self.rig.all_bytes() - bytes) as f64, seconds, came))
+        Ok((cpu_ms(process) - cpu, (self.rig.total_bytes() - bytes) as f64, seconds, result))
     }
 
+    /// Lets time pass without changes.
     fn rest(&mut self) -> Result<(), String> {
         let begun = Instant::now();
-        while begun.elapsed().as_secs_f64() < self.pace.rest_s {
+        while begun.elapsed().as_secs_f64() < self.schedule.rest_s {
             self.check()?;
-            self.serve();
+            self.add_accesses();
             std::thread::sleep(Duration::from_millis(250));
         }
         Ok(())
     }
 
-    /// Changes of so many lines, Poisson; the times until each was everywhere. What passes besides is taken off by the
-    /// caller.
-    fn changes(&mut self, lines: usize) -> Result<Vec<f64>, String> {
-        let (mut next, begun, mut took) = (0.0, Instant::now(), Vec::new());
-        for _ in 0..self.pace.changes {
-            next -= self.change_each_s * (1.0 - self.rng.f64()).ln();
-            while begun.elapsed().as_secs_f64() < next {
+    /// Publishes changes of this number of members as a Poisson process. Returns for each the seconds until all fronts ran it.
+    /// The caller subtracts the cost at rest.
+    fn publish_changes(&mut self, members: usize) -> Result<Vec<f64>, String> {
+        let (mut next_s, begun, mut durations) = (0.0, Instant::now(), Vec::new());
+        for _ in 0..self.schedule.changes {
+            next_s -= self.change_each_s * (1.0 - self.rng.f64()).ln();
+            while begun.elapsed().as_secs_f64() < next_s {
                 self.check()?;
                 std::thread::sleep(Duration::from_millis(10));
             }
-            took.push(self.change(lines)?.0);
+            durations.push(self.publish_change(members)?.0);
         }
-        Ok(took)
+        Ok(durations)
     }
 
-    /// The service is killed and comes back at once; milliseconds that the new one took, bytes, and seconds until all are
-    /// back.
+    /// Kills the service and starts it again at once. Returns the processor time of the new process in milliseconds, the bytes, and
+    /// the seconds until all fronts are connected and current.
     fn reconnect(&mut self) -> Result<(f64, f64, f64), String> {
-        let (bytes, begun) = (self.rig.all_bytes(), Instant::now());
+        let (bytes, begun) = (self.rig.total_bytes(), Instant::now());
         self.rig.restart()?;
-        self.operator = self.rig.operator()?;
-        self.all_run()?;
+        self.operator = self.rig.connect_operator()?;
+        self.wait_until_all_current()?;
         let seconds = begun.elapsed().as_secs_f64();
-        Ok((cpu_ms(self.rig.process()), (self.rig.all_bytes() - bytes) as f64, seconds))
+        Ok((cpu_ms(self.rig.process_id()), (self.rig.total_bytes() - bytes) as f64, seconds))
     }
 
-    /// A region is cut, a change made, and the region healed; seconds until it runs the change.
-    fn cut(&mut self) -> Result<f64, String> {
-        let cut = ROUND_TRIPS_MS.len() - 1;
-        self.rig.cut(&region(cut));
+    /// Partitions a region from the service, publishes a change and ends the partition. Returns the seconds from its end until
+    /// the region runs the change.
+    fn partition_region(&mut self) -> Result<f64, String> {
+        let region_index = ROUND_TRIPS_MS.len() - 1;
+        self.rig.partition(&region(region_index));
         let begun = Instant::now();
-        self.changed += 1;
-        let from = self.changed;
+        self.first_changed += 1;
+        let from = self.first_changed;
         let (id, _) = self.operator.publish(&content(MEMBERS, |n| n == from % MEMBERS))?;
-        while begun.elapsed().as_secs_f64() < self.pace.cut_s {
+        while begun.elapsed().as_secs_f64() < self.schedule.partition_s {
             self.check()?;
-            self.serve();
+            self.add_accesses();
             std::thread::sleep(Duration::from_millis(100));
         }
-        let healed = Instant::now();
-        self.rig.heal(&region(cut), ROUND_TRIPS_MS[cut]);
-        let all = self.all();
-        self.operator.until("the healed region on the change", 2 * WITHIN, |t| {
+        let healed_at = Instant::now();
+        self.rig.heal(&region(region_index), ROUND_TRIPS_MS[region_index]);
+        let all = self.front_count();
+        self.operator.wait_until("the change in the healed region", 2 * TIMEOUT, |t| {
             t.connected == all && t.current == all && t.last >= id.number
         })?;
-        Ok(healed.elapsed().as_secs_f64())
+        Ok(healed_at.elapsed().as_secs_f64())
     }
 
-    fn size(&mut self, size: usize, seed: u64) -> Result<Size, String> {
-        let before = self.hollow.len();
-        let (cpu, bytes, _, ()) = self.measured(|run| run.grow(size))?;
-        let came = (self.hollow.len() - before) as f64;
-        let mut found = Size {
-            fronts: self.all() as usize,
+    /// All measurements at one size.
+    fn measure_size(&mut self, size: usize, seed: u64) -> Result<SizeResult, String> {
+        let before = self.control_only.len();
+        let (cpu, bytes, _, ()) = self.measure(|run| run.add_fronts(size))?;
+        let added = (self.control_only.len() - before) as f64;
+        let mut result = SizeResult {
+            fronts: self.front_count() as usize,
             seed,
-            connect_cpu_ms: cpu / came,
-            connect_bytes: bytes / came,
-            ..Size::default()
+            connect_cpu_ms: cpu / added,
+            connect_bytes: bytes / added,
+            ..SizeResult::default()
         };
-        let (cpu, bytes, seconds, ()) = self.measured(Self::rest)?;
-        (found.rest_cpu_ms_per_s, found.rest_bytes_per_s) = (cpu / seconds, bytes / seconds);
-        let changes = self.pace.changes as f64;
-        for (lines, of) in [(1, &mut found.line), (A_TWENTIETH, &mut found.twentieth)] {
-            let (cpu, bytes, seconds, took) = self.measured(|run| run.changes(lines))?;
-            of.cpu_ms = (cpu - found.rest_cpu_ms_per_s * seconds) / changes;
-            of.bytes = (bytes - found.rest_bytes_per_s * seconds) / changes;
-            of.everywhere_s = took.iter().copied().fold(0.0, f64::max);
-            of.core_share = cpu / seconds / 1e3;
+        let (cpu, bytes, seconds, ()) = self.measure(Self::rest)?;
+        (result.rest_cpu_ms_per_s, result.rest_bytes_per_s) = (cpu / seconds, bytes / seconds);
+        let changes = self.schedule.changes as f64;
+        for (members, cost) in [(1, &mut result.line), (TWENTIETH_OF_MEMBERS, &mut result.twentieth)] {
+            let (cpu, bytes, seconds, durations) = self.measure(|run| run.publish_changes(members))?;
+            cost.cpu_ms = (cpu - result.rest_cpu_ms_per_s * seconds) / changes;
+            cost.bytes = (bytes - result.rest_bytes_per_s * seconds) / changes;
+            cost.everywhere_s = durations.iter().copied().fold(0.0, f64::max);
+            cost.core_share = cpu / seconds / 1e3;
         }
-        found.mb = memory_mb(self.rig.process())?;
+        result.mb = memory_mb(self.rig.process_id())?;
         let (cpu, bytes, seconds) = self.reconnect()?;
-        (found.reconnect_cpu_ms, found.reconnect_bytes, found.reconnect_s) = (cpu, bytes, seconds);
-        Ok(found)
+        (result.reconnect_cpu_ms, result.reconnect_bytes, result.reconnect_s) = (cpu, bytes, seconds);
+        Ok(result)
     }
 }
 
-/// All sizes under one seed, and how long a healed region took at the largest.
-fn one(
-    pace: &Pace,
+/// Runs all sizes with one seed. Returns their results, and the seconds that a healed region took at the largest size.
+fn run_seed(
+    schedule: &Schedule,
     change_each_s: f64,
     budget: &Budget,
     program: &Path,
     sizes: &[usize],
     seed: u64,
-) -> Result<(Vec<Size>, f64), String> {
+) -> Result<(Vec<SizeResult>, f64), String> {
     let feed = Feed::start("127.0.0.1:0").map_err(|e| e.to_string())?;
     let mut rig = ControlRig::start(&format!("lab-service-{seed}"), program, seed)?;
     for (n, round_trip) in ROUND_TRIPS_MS.iter().enumerate() {
-        rig.region(&region(n), *round_trip)?;
+        rig.add_region(&region(n), *round_trip)?;
     }
-    let operator = rig.operator()?;
-    let threads = Threads::start(CONTROL_THREAD, pace.threads).map_err(|e| e.to_string())?;
-    let (real, hollow, rng) = (Vec::new(), Vec::new(), Rng::with_seed(seed));
-    let at = feed.address;
-    let mut run =
-        Run { pace, change_each_s, budget, rig, operator, feed: at, threads, real, hollow, rng, changed: 0 };
-    for n in 0..pace.real {
-        let needs = Needs { processes: 1, resident_bytes: REAL_BYTES };
+    let operator = rig.connect_operator()?;
+    let threads = RuntimeThreads::start(CONTROL_THREAD, schedule.threads).map_err(|e| e.to_string())?;
+    let (real, control_only, rng) = (Vec::new(), Vec::new(), Rng::with_seed(seed));
+    let feed_address = feed.address;
+    let mut run = ServiceRun {
+        schedule,
+        change_each_s,
+        budget,
+        rig,
+        operator,
+        feed: feed_address,
+        threads,
+        real,
+        control_only,
+        rng,
+        first_changed: 0,
+    };
+    for n in 0..schedule.real_fronts {
+        let needs = Needs { processes: 1, resident_bytes: REAL_FRONT_BYTES };
         budget.check_start("a real front", needs).map_err(|e| e.to_string())?;
-        let files = run.rig.files(n, &region(n % ROUND_TRIPS_MS.len()), at, "")?;
-        run.real.push(run.rig.front(&files)?);
+        let files = run.rig.write_front_files(n, &region(n % ROUND_TRIPS_MS.len()), feed_address, "")?;
+        run.real.push(run.rig.start_front(&files)?);
     }
-    // A version that nobody could try would stay on trial.
-    let real = pace.real as u64;
-    run.operator.until("the real fronts", WITHIN, |t| t.connected == real)?;
+    // Without a connected front, the first version would stay on trial.
+    let real = schedule.real_fronts as u64;
+    run.operator.wait_until("the real fronts to connect", TIMEOUT, |t| t.connected == real)?;
     let (id, _) = run.operator.publish(&content(MEMBERS, |_| false))?;
-    run.operator.until("the first version", WITHIN, |t| t.base == Some(id))?;
-    let found = sizes.iter().map(|&size| run.size(size, seed)).collect::<Result<_, _>>()?;
-    let healed = run.cut()?;
-    Ok((found, healed))
+    run.operator.wait_until("the first version", TIMEOUT, |t| t.base == Some(id))?;
+    let results = sizes.iter().map(|&size| run.measure_size(size, seed)).collect::<Result<_, _>>()?;
+    let healed = run.partition_region()?;
+    Ok((results, healed))
 }
 
-/// Runs of a quick run are side by side, which moves times and not counts.
-fn runs(context: &Context, pace: &Pace, program: &Path) -> Result<Vec<(Vec<Size>, f64)>, String> {
+/// The seeds of a quick run are run in parallel, which changes times but not byte counts.
+fn run_seeds(
+    context: &Context,
+    schedule: &Schedule,
+    program: &Path,
+) -> Result<Vec<(Vec<SizeResult>, f64)>, String> {
     let (sizes, budget, quick) = (context.sizes(), &*context.budget, context.options.quick);
-    let each = pace.change_each_s.unwrap_or(context.options.change_each_s);
-    let play = |seed: u64| one(pace, each, budget, program, &sizes, seed);
+    let change_each_s = schedule.change_each_s.unwrap_or(context.options.change_each_s);
+    let run_one = |seed: u64| run_seed(schedule, change_each_s, budget, program, &sizes, seed);
     if !quick {
-        return context.seeds().into_iter().map(play).collect();
+        return context.seeds().into_iter().map(run_one).collect();
     }
     std::thread::scope(|scope| {
-        let started: Vec<_> =
-            context.seeds().into_iter().map(|seed| scope.spawn(move || play(seed))).collect();
-        let ended = started.into_iter().map(|t| t.join().unwrap_or_else(|_| Err("a run panicked".into())));
-        ended.collect()
+        let threads: Vec<_> =
+            context.seeds().into_iter().map(|seed| scope.spawn(move || run_one(seed))).collect();
+        let results = threads.into_iter().map(|t| t.join().unwrap_or_else(|_| Err("a run panicked".into())));
+        results.collect()
     })
 }
 
 pub fn run(context: &mut Context) -> Result<(), ScaleError> {
     context.check()?;
-    let pace = if context.options.quick { &QUICK } else { &FULL };
-    let program = rig::program(context.options.front.clone()).map_err(|e| context.fault(e))?;
+    let schedule = if context.options.quick { &QUICK } else { &FULL };
+    let program = rig::program(context.options.front.clone()).map_err(|e| context.part_error(e))?;
     let seed = context.options.seed;
-    let compared: Compared = compare(&program, seed, pace.compare_s).map_err(|e| context.fault(e))?;
+    let compared: Comparison =
+        compare(&program, seed, schedule.comparison_s).map_err(|e| context.part_error(e))?;
     context.check()?;
-    let found = runs(context, pace, &program).map_err(|e| context.fault(e))?;
+    let results = run_seeds(context, schedule, &program).map_err(|e| context.part_error(e))?;
     context.check()?;
-    report(context, &compared, &found, pace.real, pace.cut_s)
+    report(context, &compared, &results, schedule.real_fronts, schedule.partition_s)
 }
--- a/crates/lab/src/scale/service_figures.rs
+++ b/crates/lab/src/scale/service_figures.rs
@@ -1,50 +1,50 @@
-//! What the service's part found, as figures and slopes.
+//! Figures and slopes of the service part.
 
-use super::hollow_to_real::{Compared, Cost};
+use super::comparison::{Comparison, FrontCost};
 use super::{Context, Point, Quantity, ScaleError, growth_name};
 
-/// Over this share of a difference, hollow figures of that kind are not to be used for real ones.
-const STANDS_WITHIN: f64 = 0.15;
-/// The fleet that is planned for.
-const TARGET: f64 = 1_000.0;
+/// With a larger relative difference from real fronts, the figures of control-only fronts are reported as not usable.
+const MAX_DIFFERENCE: f64 = 0.15;
+/// Fronts of the target fleet.
+const TARGET_FRONTS: f64 = 1_000.0;
 
-/// One kind of change at one size.
+/// The cost of one kind of change at one size.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Change {
-    /// Each, above what rest costs.
+pub struct ChangeCost {
+    /// Of one change, beyond the cost at rest.
     pub cpu_ms: f64,
     pub bytes: f64,
-    /// The longest until each front had said that it runs it.
+    /// The longest time until all fronts had reported that they run a change.
     pub everywhere_s: f64,
-    /// Of the service, while changes came at their pace.
+    /// Of the service, over the time in which the changes were published.
     pub core_share: f64,
 }
 
-/// What was found at one size under one seed.
+/// The results of one size and seed.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Size {
-    /// Connected, of both kinds.
+pub struct SizeResult {
+    /// Connected fronts of both kinds.
     pub fronts: usize,
     pub seed: u64,
-    /// Each new one, with the whole content that it fetches.
+    /// Of one new front, which fetches the whole content.
     pub connect_cpu_ms: f64,
     pub connect_bytes: f64,
-    /// Of all together.
+    /// Of all fronts together, at rest.
     pub rest_cpu_ms_per_s: f64,
     pub rest_bytes_per_s: f64,
-    pub line: Change,
-    pub twentieth: Change,
+    pub line: ChangeCost,
+    pub twentieth: ChangeCost,
     pub mb: f64,
-    /// Of all together, after the service was killed and started again.
+    /// Of all fronts together, after the service was killed and started again.
     pub reconnect_cpu_ms: f64,
     pub reconnect_bytes: f64,
     pub reconnect_s: f64,
 }
 
-type Value = fn(&Size) -> f64;
+type Getter = fn(&SizeResult) -> f64;
 
-/// Name, what is counted, its unit, and where it is found.
-const QUANTITIES: [(&str, &str, &str, Value); 13] = [
+/// Id, description, unit and value of each quantity.
+const QUANTITIES: [(&str, &str, &str, Getter); 13] = [
     (
         "stream_rest_bytes_per_s",
         "the configuration stream at rest, one front, without TCP and IP",
@@ -79,65 +79,66 @@
     }),
 ];
 
-fn put_cost(context: &mut Context, kind: &str, cost: &Cost) {
-    context.ratio(&format!("{kind}_stream_bytes_per_s"), cost.stream_bytes_per_s);
-    context.ratio(&format!("{kind}_datagram_bytes_per_s"), cost.datagram_bytes_per_s);
-    context.ratio(&format!("{kind}_cpu_ms_per_s"), cost.cpu_ms_per_s);
+fn put_front_cost(context: &mut Context, kind: &str, cost: &FrontCost) {
+    context.put_rounded(&format!("{kind}_stream_bytes_per_s"), cost.stream_bytes_per_s);
+    context.put_rounded(&format!("{kind}_datagram_bytes_per_s"), cost.datagram_bytes_per_s);
+    context.put_rounded(&format!("{kind}_cpu_ms_per_s"), cost.cpu_ms_per_s);
 }
 
-fn stands(context: &mut Context, compared: &Compared) {
-    put_cost(context, "real_front", &compared.real);
-    put_cost(context, "hollow_front", &compared.hollow);
-    context.put("compared_changes", compared.changes);
-    context.put("compared_purges", compared.purges);
-    context.ratio("compared_purges_taken", compared.purges_taken);
-    context.ratio("compared_s", compared.seconds);
-    for (name, ratio) in [("hollow_to_real_bytes", compared.bytes()), ("hollow_to_real_cpu", compared.cpu())]
+fn put_comparison(context: &mut Context, comparison: &Comparison) {
+    put_front_cost(context, "real_front", &comparison.real);
+    put_front_cost(context, "hollow_front", &comparison.control_only);
+    context.put("compared_changes", comparison.changes);
+    context.put("compared_purges", comparison.purges);
+    context.put_rounded("compared_purges_taken", comparison.purges_received);
+    context.put_rounded("compared_s", comparison.seconds);
+    for (name, ratio) in
+        [("hollow_to_real_bytes", comparison.bytes_ratio()), ("hollow_to_real_cpu", comparison.cpu_ratio())]
     {
-        context.ratio(name, ratio);
-        context.put(&format!("{name}_usable"), (ratio - 1.0).abs() <= STANDS_WITHIN);
+        context.put_rounded(name, ratio);
+        context.put(&format!("{name}_usable"), (ratio - 1.0).abs() <= MAX_DIFFERENCE);
     }
 }
 
-/// Puts all of it; `found` has each seed's sizes and how long a healed region took.
+/// Puts all figures. `results` has for each seed the results of all sizes and the seconds until a healed region ran the change.
 pub fn report(
     context: &mut Context,
-    compared: &Compared,
-    found: &[(Vec<Size>, f64)],
-    real: usize,
-    cut_s: f64,
+    comparison: &Comparison,
+    results: &[(Vec<SizeResult>, f64)],
+    real_fronts: usize,
+    partition_s: f64,
 ) -> Result<(), ScaleError> {
-    stands(context, compared);
-    let sizes: Vec<Size> = found.iter().flat_map(|f| f.0.iter().copied()).collect();
-    context.put("service_real_fronts", real);
+    put_comparison(context, comparison);
+    let sizes: Vec<SizeResult> = results.iter().flat_map(|f| f.0.iter().copied()).collect();
+    context.put("service_real_fronts", real_fronts);
     for (name, what, unit, value) in QUANTITIES {
         let points: Vec<Point> =
             sizes.iter().map(|s| Point { size: s.fronts, seed: s.seed, value: value(s) }).collect();
         let quantity = Quantity { id: name, role: "configuration service", what, unit };
-        let fit = context.slope(&quantity, &points)?;
-        context.put(&format!("{name}_slope"), significant(fit.slope));
-        context.put(&format!("{name}_slope_low"), significant(fit.slope_interval[0]));
-        context.put(&format!("{name}_slope_high"), significant(fit.slope_interval[1]));
-        context.put(&format!("{name}_base"), significant(fit.intercept));
-        context.put(&format!("{name}_residual"), significant(fit.residual));
+        let fit = context.fit_slope(&quantity, &points)?;
+        context.put(&format!("{name}_slope"), round_significant(fit.slope));
+        context.put(&format!("{name}_slope_low"), round_significant(fit.slope_interval[0]));
+        context.put(&format!("{name}_slope_high"), round_significant(fit.slope_interval[1]));
+        context.put(&format!("{name}_base"), round_significant(fit.intercept));
+        context.put(&format!("{name}_residual"), round_significant(fit.residual));
         context.put(&format!("{name}_shape"), growth_name(fit.growth));
-        context.put(&format!("{name}_at_1000"), significant(fit.at(TARGET)));
+        context.put(&format!("{name}_at_1000"), round_significant(fit.at(TARGET_FRONTS)));
     }
     let largest = sizes.iter().map(|s| s.fronts).max().unwrap_or(0);
     let at_largest = || sizes.iter().filter(|s| s.fronts == largest);
-    let most = |value: Value| at_largest().map(value).fold(0.0, f64::max);
+    let max_of = |value: Getter| at_largest().map(value).fold(0.0, f64::max);
     context.put("service_fronts", largest);
-    context.ratio("service_core_share", most(|s| s.line.core_share.max(s.twentieth.core_share)));
-    context.ratio("service_mb", most(|s| s.mb));
-    context.ratio("service_change_line_everywhere_s", most(|s| s.line.everywhere_s));
-    context.ratio("service_change_twentieth_everywhere_s", most(|s| s.twentieth.everywhere_s));
-    context.ratio("service_reconnect_s", most(|s| s.reconnect_s));
-    context.ratio("service_region_cut_s", cut_s);
-    context.ratio("service_region_healed_s", found.iter().map(|f| f.1).fold(0.0, f64::max));
+    context.put_rounded("service_core_share", max_of(|s| s.line.core_share.max(s.twentieth.core_share)));
+    context.put_rounded("service_mb", max_of(|s| s.mb));
+    context.put_rounded("service_change_line_everywhere_s", max_of(|s| s.line.everywhere_s));
+    context.put_rounded("service_change_twentieth_everywhere_s", max_of(|s| s.twentieth.everywhere_s));
+    context.put_rounded("service_reconnect_s", max_of(|s| s.reconnect_s));
+    context.put_rounded("service_region_cut_s", partition_s);
+    context.put_rounded("service_region_healed_s", results.iter().map(|f| f.1).fold(0.0, f64::max));
     Ok(())
 }
 
-/// Four digits: slopes may be far below one.
-fn significant(value: f64) -> f64 {
+/// Rounds to four digits, whatever the magnitude, since slopes may be far below one.
+fn round_significant(value: f64) -> f64 {
     format!("{value:.3e}").parse().unwrap_or(value)
 }
--- a/crates/lab/tests/scale_run.rs
+++ b/crates/lab/tests/scale_run.rs
@@ -1,4 +1,5 @@
-//! A scale run as a process: what it refuses before anything starts, and what it leaves when it is interrupted.
+//! A scale run as a process: options that are out of bounds are rejected before anything starts, and a run that is interrupted
+//! or over its budget ends and leaves no processes or files.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output, Stdio};
@@ -15,7 +16,7 @@
 }
 
 #[test]
-fn what_is_out_of_bounds_is_refused_by_name_before_anything_starts() {
+fn options_out_of_bounds_are_rejected_by_name_before_anything_starts() {
     let cases: &[(&[&str], &str)] = &[
         (&["--sizes", "0,50,100,150"], "--sizes 0: expected 2 to 10000 instances, each"),
         (&["--sizes", "-5,50,100,150"], "--sizes -5: expected 2 to 10000 instances, each"),
@@ -40,58 +41,59 @@
     for (args, expected) in cases {
         let begun = Instant::now();
         let output = lab(args);
-        let said = String::from_utf8_lossy(&output.stderr);
-        assert!(!output.status.success() && said.contains(expected), "{args:?}: {said}");
-        assert!(output.stdout.is_empty(), "{args:?}: figures of a run that was refused");
+        let stderr = String::from_utf8_lossy(&output.stderr);
+        assert!(!output.status.success() && stderr.contains(expected), "{args:?}: {stderr}");
+        assert!(output.stdout.is_empty(), "{args:?}: a rejected run printed figures");
         assert!(begun.elapsed() < Duration::from_secs(10), "{args:?}: something was started first");
     }
 }
 
 #[test]
-fn a_budget_refuses_a_start_that_does_not_fit_and_goes_on_otherwise() {
+fn a_budget_rejects_a_start_that_does_not_fit_and_allows_others() {
     let resident = usage().expect("/proc").resident_bytes;
     let budget = Budget::new(100, (resident + 500_000_000) as f64 / GB);
     assert_eq!(budget.check_start("one more", Needs { processes: 1, resident_bytes: 1_000_000 }), Ok(()));
-    let refused = budget.check_start("a fleet", Needs { processes: 100, resident_bytes: 0 });
-    assert!(matches!(refused, Err(BudgetError::Processes { max: 100, .. })), "{refused:?}");
-    let refused = budget.check_start("a large one", Needs { processes: 1, resident_bytes: 600_000_000 });
-    assert!(matches!(refused, Err(BudgetError::Memory { .. })), "{refused:?}");
-    // A start that was refused has taken nothing: others may go on.
+    let rejected = budget.check_start("a fleet", Needs { processes: 100, resident_bytes: 0 });
+    assert!(matches!(rejected, Err(BudgetError::Processes { max: 100, .. })), "{rejected:?}");
+    let rejected = budget.check_start("a large one", Needs { processes: 1, resident_bytes: 600_000_000 });
+    assert!(matches!(rejected, Err(BudgetError::Memory { .. })), "{rejected:?}");
+    // A rejected start uses nothing, so that others may go on.
     assert_eq!(budget.check(), Ok(()));
     assert!(budget.peak().processes >= 1 && budget.peak().resident_bytes > 0);
 }
 
 #[test]
-fn over_a_bound_the_run_is_refused_for_good() {
+fn a_run_over_its_budget_is_stopped_for_good() {
     let budget = Budget::new(100, 0.000_1);
     assert!(matches!(budget.sample(), Err(BudgetError::Memory { .. })));
     assert!(matches!(budget.check(), Err(BudgetError::Memory { .. })));
     assert!(budget.check_start("one", Needs::default()).is_err());
 }
 
-/// Set for the process that plays the run in the tests below; its value is what the run does.
-const PLAYS: &str = "DOORGRADE_LAB_TEST_PLAYS";
+/// Set for the process that is the run in the tests below. With the value `over`, the run exceeds its budget.
+const RUN_MODE: &str = "DOORGRADE_LAB_TEST_PLAYS";
 
-/// Not a test by itself: the run that the tests below interrupt. It has children, files, and a loop that never looks at its budget.
+/// The run that the tests below start as a process, and no test by itself. It has child processes, files, and a loop that never
+/// checks its budget.
 #[test]
 fn a_run_to_be_interrupted() {
-    let Ok(plays) = std::env::var(PLAYS) else { return };
-    let processes = if plays == "over" { 3 } else { 100 };
+    let Ok(mode) = std::env::var(RUN_MODE) else { return };
+    let processes = if mode == "over" { 3 } else { 100 };
     let budget = std::sync::Arc::new(Budget::new(processes, 4.0));
     let _watchdog = Watchdog::start(budget).expect("the watchdog starts");
     let folder = Folder::new("interrupted").expect("a folder");
     folder.put("store", "bytes").expect("a file");
     let sleeper = || Command::new("sleep").arg("600").stdin(Stdio::null()).spawn().expect("sleep starts");
     let children: Vec<_> = (0..3).map(|_| sleeper().id().to_string()).collect();
-    let ready = PathBuf::from(std::env::var("DOORGRADE_LAB_TEST_READY").expect("where to say so"));
+    let ready = PathBuf::from(std::env::var("DOORGRADE_LAB_TEST_READY").expect("the path of the ready file"));
     std::fs::write(ready.with_extension("part"), children.join(" ")).expect("written");
-    std::fs::rename(ready.with_extension("part"), ready).expect("said");
+    std::fs::rename(ready.with_extension("part"), ready).expect("renamed");
     loop {
         std::thread::sleep(Duration::from_secs(1));
     }
 }
 
-fn within(time: Duration, mut holds: impl FnMut() -> bool) -> bool {
+fn becomes_true(time: Duration, mut holds: impl FnMut() -> bool) -> bool {
     let end = Instant::now() + time;
     while Instant::now() < end {
         if holds() {
@@ -102,68 +104,71 @@
     false
 }
 
-/// Neither there nor waiting to be reaped by somebody else than us.
-fn gone(id: &str) -> bool {
+/// Whether a process has ended. It may still be a zombie that another process has to reap.
+fn has_ended(id: &str) -> bool {
     let stat = std::fs::read_to_string(format!("/proc/{id}/stat")).unwrap_or_default();
     stat.is_empty() || stat.rsplit_once(')').is_some_and(|(_, rest)| rest.trim_start().starts_with('Z'))
 }
 
-fn leaves_nothing(plays: &str, signal: Option<Signal>, expected: &str) {
-    let own = Folder::new(&format!("interrupts-{plays}")).expect("a folder");
+fn assert_ends_and_leaves_nothing(mode: &str, signal: Option<Signal>, expected: &str) {
+    let own = Folder::new(&format!("interrupts-{mode}")).expect("a folder");
     let ready = own.path("ready");
     let mut run = Command::new(std::env::current_exe().expect("this program"))
         .args(["a_run_to_be_interrupted", "--exact", "--nocapture", "--test-threads", "1"])
-        .env(PLAYS, plays)
+        .env(RUN_MODE, mode)
         .env("DOORGRADE_LAB_TEST_READY", &ready)
         .stdout(Stdio::null())
         .stderr(Stdio::piped())
         .spawn()
         .expect("the run starts");
     let mut children = String::new();
-    let came = within(Duration::from_secs(20), || {
+    let started = becomes_true(Duration::from_secs(20), || {
         children = std::fs::read_to_string(&ready).unwrap_or_default();
         !children.is_empty()
     });
-    assert!(came, "the run has not started its processes");
+    assert!(started, "the run has not started its processes");
     if let Some(signal) = signal {
         let id = Pid::from_raw(run.id() as i32).expect("a process");
         kill_process(id, signal).expect("signalled");
     }
-    let ended = within(Duration::from_secs(20), || run.try_wait().is_ok_and(|s| s.is_some()));
-    let number = run.id();
+    let ended = becomes_true(Duration::from_secs(20), || run.try_wait().is_ok_and(|s| s.is_some()));
+    let run_id = run.id();
     if !ended {
         let _ = run.kill();
     }
     let output = run.wait_with_output().expect("its end");
-    let said = String::from_utf8_lossy(&output.stderr);
-    assert!(ended, "{plays}: it went on");
-    assert!(said.contains(expected), "{plays}: {said}");
+    let stderr = String::from_utf8_lossy(&output.stderr);
+    assert!(ended, "{mode}: the run went on");
+    assert!(stderr.contains(expected), "{mode}: {stderr}");
     assert_eq!(
         output.status.code() == Some(INTERRUPTED_EXIT_CODE),
         signal.is_some(),
-        "{plays}: {:?}",
+        "{mode}: {:?}",
         output.status
     );
     for child in children.split(' ') {
-        assert!(within(Duration::from_secs(5), || gone(child)), "{plays}: process {child} was left");
+        assert!(
+            becomes_true(Duration::from_secs(5), || has_ended(child)),
+            "{mode}: process {child} was left"
+        );
     }
-    let left = std::env::temp_dir().join(format!("doorgrade-lab-{number}-interrupted"));
-    assert!(!Path::new(&left).exists(), "{plays}: files were left");
+    let left = std::env::temp_dir().join(format!("doorgrade-lab-{run_id}-interrupted"));
+    assert!(!Path::new(&left).exists(), "{mode}: files were left");
 }
 
 #[test]
-fn at_sigint_its_processes_and_files_are_gone() {
-    leaves_nothing("int", Some(Signal::INT), "interrupted");
+fn sigint_ends_the_run_and_removes_its_processes_and_files() {
+    assert_ends_and_leaves_nothing("int", Some(Signal::INT), "interrupted");
 }
 
 #[test]
-fn at_sigterm_its_processes_and_files_are_gone() {
-    leaves_nothing("term", Some(Signal::TERM), "interrupted");
+fn sigterm_ends_the_run_and_removes_its_processes_and_files() {
+    assert_ends_and_leaves_nothing("term", Some(Signal::TERM), "interrupted");
 }
 
 #[test]
-fn over_its_budget_it_ends_by_itself() {
-    leaves_nothing("over", None, "4 processes, and 3 may run (--processes)");
+fn a_run_over_its_budget_ends_by_itself() {
+    assert_ends_and_leaves_nothing("over", None, "4 processes, and 3 may run (--processes)");
 }
 
 #[test]
@@ -171,15 +176,15 @@
     let mut child = Command::new("sleep").arg("600").spawn().expect("sleep starts");
     let all = process_tree().expect("/proc");
     let (own, has) = (all.contains(&std::process::id()), all.contains(&child.id()));
-    let stranger = all.contains(&1);
+    let has_init = all.contains(&1);
     let _ = child.kill();
     let _ = child.wait();
-    assert!(own && has && !stranger, "{all:?}");
+    assert!(own && has && !has_init, "{all:?}");
 }
 
-/// The command itself, in the middle of a part.
+/// The same for the command itself, in the middle of a part.
 #[test]
-fn the_command_ends_in_order_at_sigint() {
+fn sigint_ends_the_command_without_figures() {
     let mut run = Command::new(env!("CARGO_BIN_EXE_doorgrade-lab"))
         .args(["scale", "--only", "members"])
         .stdout(Stdio::piped())
@@ -187,15 +192,19 @@
         .spawn()
         .expect("the lab starts");
     std::thread::sleep(Duration::from_secs(2));
-    let number = run.id();
+    let run_id = run.id();
     assert!(run.try_wait().is_ok_and(|s| s.is_none()), "it ended before it was interrupted");
-    kill_process(Pid::from_raw(number as i32).expect("a process"), Signal::INT).expect("signalled");
-    let ended = within(Duration::from_secs(20), || run.try_wait().is_ok_and(|s| s.is_some()));
+    kill_process(Pid::from_raw(run_id as i32).expect("a process"), Signal::INT).expect("signalled");
+    let ended = becomes_true(Duration::from_secs(20), || run.try_wait().is_ok_and(|s| s.is_some()));
     if !ended {
         let _ = run.kill();
     }
     let output = run.wait_with_output().expect("its end");
-    let said = String::from_utf8_lossy(&output.stderr);
-    assert!(ended && !output.status.success() && said.contains("interrupted"), "{:?}: {said}", output.status);
-    assert!(output.stdout.is_empty(), "figures of a run that was interrupted");
+    let stderr = String::from_utf8_lossy(&output.stderr);
+    assert!(
+        ended && !output.status.success() && stderr.contains("interrupted"),
+        "{:?}: {stderr}",
+        output.status
+    );
+    assert!(output.stdout.is_empty(), "an interrupted run printed figures");
 }
