--- a/crates/lab/src/scale/agent.rs
+++ b/crates/lab/src/scale/agent.rs
@@ -121,9 +121,9 @@
         let mut site = Site { program: program.into(), folder, name, agent: None };
         let agent = site.command(&["agent"]).stderr(Stdio::null()).spawn().map_err(|e| e.to_string())?;
         site.agent = Some(agent);
-        let begun = Instant::now();
+        let began_at = Instant::now();
         while site.fleet(&["status"]).is_err() {
-            if begun.elapsed() > Duration::from_secs(20) {
+            if began_at.elapsed() > Duration::from_secs(20) {
                 return Err("the agent does not respond within 20 s".into());
             }
             std::thread::sleep(Duration::from_millis(20));
@@ -179,9 +179,9 @@
 
 /// All measurements of one agent.
 fn measure(site: &Site, size: usize, rest: Duration) -> Result<Costs, String> {
-    let begun = Instant::now();
+    let began_at = Instant::now();
     site.fleet(&["start", "--all"])?;
-    let start_s = begun.elapsed().as_secs_f64();
+    let start_s = began_at.elapsed().as_secs_f64();
     let status: Value = serde_json::from_slice(&site.fleet(&["status"])?).map_err(|e| e.to_string())?;
     let listed_count = status["instances"].as_array().map_or(0, Vec::len);
     if listed_count != size {
@@ -189,17 +189,17 @@
     }
     let agent = site.agent_id()?;
     // A thread that ended in between would be missing from the second reading, but the agent's threads don't end.
-    let (before, begun) = (process_cpu_s(agent), Instant::now());
+    let (before, began_at) = (process_cpu_s(agent), Instant::now());
     std::thread::sleep(rest);
-    let core_share = (process_cpu_s(agent) - before) / begun.elapsed().as_secs_f64();
+    let core_share = (process_cpu_s(agent) - before) / began_at.elapsed().as_secs_f64();
     let resident_bytes = rig::memory_mb(agent)? * 1_048_576.0;
     let journal_bytes =
         std::fs::metadata(site.folder.path("agent.redb")).map_err(|e| e.to_string())?.len() as f64;
     let (mut status_s, mut status_bytes) = (Vec::new(), 0.0);
     for _ in 0..STATUS_CALLS {
-        let begun = Instant::now();
+        let began_at = Instant::now();
         status_bytes = site.fleet(&["status"])?.len() as f64;
-        status_s.push(begun.elapsed().as_secs_f64());
+        status_s.push(began_at.elapsed().as_secs_f64());
     }
     status_s.sort_by(f64::total_cmp);
     Ok(Costs {
--- a/crates/lab/src/scale/commands.rs
+++ b/crates/lab/src/scale/commands.rs
@@ -17,7 +17,7 @@
 use super::{Context, Needs, Part, Point, Quantity, ScaleError};
 
 /// Memory for each follower: both ends of its connection, and the service's state. 61 KB were measured (`docs/results.md`), and
-/// less with the service in a process of its own.
+/// less with the service in a process of its own. `BASE_BYTES` is for everything else.
 const BYTES_PER_FOLLOWER: u64 = 100_000;
 const BASE_BYTES: u64 = 100 << 20;
 const STATIONS: usize = 44;
@@ -25,7 +25,7 @@
 const VERSIONS: usize = 4;
 /// Repetitions of each command, of which the median time is taken.
 const REPETITIONS: usize = 15;
-/// For everything that is waited for, with a publication to 1,000 fronts as the longest.
+/// Timeout of each wait. The longest one is that for a publication to 1,000 fronts.
 const TIMEOUT: Duration = Duration::from_secs(60);
 /// Waves that follow each other almost at once, since only the responses are measured.
 const PUBLICATION: &str =
@@ -119,13 +119,13 @@
         what: &str,
         holds: impl Fn(&Totals) -> bool,
     ) -> Result<(), String> {
-        let begun = Instant::now();
+        let began_at = Instant::now();
         loop {
             let totals = self.totals(client)?;
             if holds(&totals) {
                 return Ok(());
             }
-            if begun.elapsed() > TIMEOUT {
+            if began_at.elapsed() > TIMEOUT {
                 return Err(format!(
                     "timeout of {} s while waiting for {what}: {totals:?}",
                     TIMEOUT.as_secs()
@@ -175,12 +175,12 @@
 ) -> Result<Cost, String> {
     let (mut seconds, mut bytes) = (Vec::new(), 0.0);
     for _ in 0..REPETITIONS {
-        let begun = Instant::now();
+        let began_at = Instant::now();
         let mut responses = vec![rig.ask(client, first)?];
         while let Some(next) = responses.last().and_then(&page) {
             responses.push(rig.ask(client, &next)?);
         }
-        seconds.push(begun.elapsed().as_secs_f64());
+        seconds.push(began_at.elapsed().as_secs_f64());
         bytes = responses.iter().map(response_bytes).sum();
     }
     Ok(Cost { bytes, seconds: median(seconds) })
--- a/crates/lab/src/scale/comparison.rs
+++ b/crates/lab/src/scale/comparison.rs
@@ -3,7 +3,7 @@
 //! feed, with changes and purges at the target's rates and without faults.
 //!
 //! Bytes are counted by the links, which share no code with either kind. Processor time is that of the threads that do the
-//! control work: `versions` and `allocate_addresses` in each real process, and the threads of control-only fronts in this one. The
+//! control work: `versions` and `neighbours` in each real process, and the threads of control-only fronts in this one. The
 //! feed is left out on both sides, since a front reads it in its main thread together with all other work.
 
 use std::net::SocketAddrV4;
@@ -32,7 +32,7 @@
 const PURGE_INTERVAL: Duration = Duration::from_micros(1_000_000 / 18);
 /// The threads of a real front that do control work.
 const REAL_THREADS: [&str; 2] = ["versions", "neighbours"];
-/// For all fronts to connect and to apply the first version.
+/// Timeout of each wait.
 const TIMEOUT: Duration = Duration::from_secs(60);
 
 /// The mean control cost of one front of a kind.
@@ -192,24 +192,24 @@
     std::thread::sleep(Duration::from_secs(5));
 
     let mut rng = Rng::with_seed(seed);
-    let (before, begun) = (fleet.totals(), Instant::now());
+    let (before, began_at) = (fleet.totals(), Instant::now());
     let (mut changes, mut purges, mut next_change_s) = (0, 0, 0.0);
-    while begun.elapsed().as_secs_f64() < seconds {
-        if begun.elapsed().as_secs_f64() >= next_change_s {
+    while began_at.elapsed().as_secs_f64() < seconds {
+        if began_at.elapsed().as_secs_f64() >= next_change_s {
             let changed = rng.usize(..MEMBERS);
             operator.publish(&content(MEMBERS, |n| n == changed))?;
             changes += 1;
             // Exponential intervals make a Poisson process.
             next_change_s += -MEAN_CHANGE_INTERVAL_S * (1.0 - rng.f64()).ln();
         }
-        let expected_purges = (begun.elapsed().as_secs_f64() / PURGE_INTERVAL.as_secs_f64()) as u64;
+        let expected_purges = (began_at.elapsed().as_secs_f64() / PURGE_INTERVAL.as_secs_f64()) as u64;
         while purges < expected_purges {
             purges += 1;
             feed.publish_purge(1 + purges, rng.u64(..), doorgrade_standins::unix_ms());
         }
         std::thread::sleep(Duration::from_millis(5));
     }
-    let (after, seconds) = (fleet.totals(), begun.elapsed().as_secs_f64());
+    let (after, seconds) = (fleet.totals(), began_at.elapsed().as_secs_f64());
     let received: u64 =
         fleet.control_only.iter().map(|front| front.record.purges.load(Ordering::Relaxed)).sum();
     let [real, control_only] = [0, 1].map(|kind| after[kind].cost(&before[kind], seconds));
--- a/crates/lab/src/scale/control_rig.rs
+++ b/crates/lab/src/scale/control_rig.rs
@@ -21,10 +21,10 @@
 /// The service's name on the links.
 pub const CONTROL: &str = "control";
 /// Waves that wait only for the fronts' responses, so that a change every two seconds is not rejected because another one is
-/// under way: measured is what a change costs the service, not the caution of its rollout.
+/// under way. The cost of a change is measured, not how carefully it is rolled out.
 const PUBLICATION: &str = "  soak_ms = 1\n  answer_within_ms = 60000\n  canaries = 2\n  shares = [1.0]\n  \
                            missing = 0.9\n  drop = 1.0\n  listen_ms = 1000";
-/// For everything that is waited for. An idle machine takes much less.
+/// Timeout of each wait, long enough for a busy machine.
 const TIMEOUT: Duration = Duration::from_secs(60);
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
@@ -94,7 +94,7 @@
     Ok(FrontFiles { config: installation.file(&config_file), settings: installation.file(&settings_file) })
 }
 
-/// One direction of a link that has the same delay in both.
+/// The conditions of one direction of a link: half of the round trip as its delay.
 pub fn one_way_conditions(round_trip_ms: u64) -> LinkConditions {
     LinkConditions { delay_ms: round_trip_ms / 2, ..LinkConditions::default() }
 }
@@ -109,7 +109,7 @@
     service: Option<Process>,
     fronts_address: SocketAddr,
     operators_address: SocketAddr,
-    /// Names, with the addresses at which their fronts reach the service.
+    /// Names of the regions, with the addresses at which their fronts reach the service.
     regions: Vec<(String, SocketAddr)>,
 }
 
@@ -245,17 +245,17 @@
         }
     }
 
-    /// Publishes, and tries again while the service rejects it because another publication is under way. Returns the number of
-    /// rejections, too.
+    /// Publishes, and tries again while the service rejects it because another publication is under way. Returns the
+    /// version, and how often it was rejected.
     pub fn publish(&mut self, content: &str) -> Result<(VersionId, usize), RigError> {
-        let (begun, mut rejected) = (Instant::now(), 0);
+        let (began_at, mut rejected) = (Instant::now(), 0);
         loop {
             let expected_last = self.totals()?.last;
             let request =
                 Request::Publish { content: content.as_bytes().into(), note: "".into(), expected_last };
             match self.runtime.block_on(self.client.ask(&request))? {
                 Response::Published(id) => return Ok((id, rejected)),
-                Response::NotPublished(_) if begun.elapsed() < TIMEOUT => rejected += 1,
+                Response::NotPublished(_) if began_at.elapsed() < TIMEOUT => rejected += 1,
                 other => return Err(format!("not published: {other:?}")),
             }
             std::thread::sleep(POLL_INTERVAL);
@@ -269,13 +269,13 @@
         timeout: Duration,
         holds: impl Fn(&Totals) -> bool,
     ) -> Result<Duration, RigError> {
-        let begun = Instant::now();
+        let began_at = Instant::now();
         loop {
             let totals = self.totals()?;
             if holds(&totals) {
-                return Ok(begun.elapsed());
+                return Ok(began_at.elapsed());
             }
-            if begun.elapsed() > timeout {
+            if began_at.elapsed() > timeout {
                 return Err(format!(
                     "timeout of {} s while waiting for {what}: {totals:?}",
                     timeout.as_secs()
--- a/crates/lab/src/scale/members/mod.rs
+++ b/crates/lab/src/scale/members/mod.rs
@@ -30,6 +30,7 @@
     run,
 };
 
+/// The results of one simulation.
 struct Run {
     size: usize,
     seed: u64,
@@ -62,6 +63,7 @@
     Ok(runs)
 }
 
+/// Measures the memory of the members by freeing them.
 fn with_memory(size: usize, seed: u64, result: PhaseRun) -> Run {
     let PhaseRun { costs, mut simulation } = result;
     let before = allocated();
@@ -111,7 +113,7 @@
     sum / f64::max(count, 1.0)
 }
 
-/// Puts the figures at the largest size: means over the seeds, and of the worst member the maximum over the seeds.
+/// Records the figures at the largest size: means over the seeds, and of the worst member the maximum over the seeds.
 fn put_largest_size(context: &mut Context, runs: &[Run]) {
     let Some(size) = runs.iter().map(|r| r.size).max() else { return };
     let largest = || runs.iter().filter(|r| r.size == size);
--- a/crates/lab/src/scale/members/phases.rs
+++ b/crates/lab/src/scale/members/phases.rs
@@ -1,6 +1,6 @@
 //! The phases of the membership simulation, one after another in one fleet: normal operation, restarts, lost sites and zones,
-//! partitions, and the recovery from each. Measured in each phase: what it costs a member, and the time until all members
-//! know each other's state.
+//! partitions, and the recovery from each. Each phase is measured on its own: its cost for a member, and the time until all
+//! members know each other's current incarnations.
 
 use doorgrade::Ticks;
 
@@ -11,7 +11,7 @@
 pub const WINDOW_S: usize = 30;
 /// Share of pairs that counts as all. With 1% of datagrams lost, a few members are suspected at any moment.
 const KNOWN_SHARE: f64 = 0.999;
-/// A phase ends after this time at the latest, and the time until all are known is reported as this.
+/// The longest time of a phase other than a partition. If not all are known by then, this is reported as the time it took.
 const MAX_PHASE_S: usize = 240;
 /// How long a phase goes on once all are known, so that its gossip has ended before the next one starts.
 const SETTLE_S: usize = 20;
@@ -20,10 +20,12 @@
 /// Time between the end of a process and the start of its replacement.
 const RESTART_TIME: Ticks = 2 * SECOND;
 
+/// What happens at the start of a phase.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
     /// All start at the same time.
     Join,
+    /// Nothing happens: normal operation.
     Rest,
     /// One member is replaced. The target has 96 replacements a day.
     Restart,
@@ -112,6 +114,7 @@
     pub core_share: f64,
 }
 
+/// The result of a run of all phases.
 pub struct PhaseRun {
     pub costs: Vec<(Phase, PhaseCost)>,
     pub simulation: Simulation,
--- a/crates/lab/src/scale/rollouts.rs
+++ b/crates/lab/src/scale/rollouts.rs
@@ -138,15 +138,15 @@
     });
     let load_threads = start_load(rig, plan);
     let (mut published, mut rejected, mut bytes) = (Vec::new(), 0, Vec::new());
-    let begun = Instant::now();
+    let began_at = Instant::now();
     let cpu_usage = |rig: &Rig| {
         let fronts: f64 = rig.fronts.iter().map(|f| thread_cpu_ms(f.process(), VERSIONS_THREAD)).sum();
         (fronts / REAL_FRONTS as f64, cpu_ms(rig.service_id()), Instant::now())
     };
     let (mut before, mut changes_from, mut next) = (cpu_usage(rig), 0, 0);
-    while begun.elapsed().as_secs_f64() < plan.duration_s {
+    while began_at.elapsed().as_secs_f64() < plan.duration_s {
         context.check().map_err(|e| e.to_string())?;
-        let at_s = begun.elapsed().as_secs_f64();
+        let at_s = began_at.elapsed().as_secs_f64();
         if bytes.len() as f64 <= at_s {
             bytes.push(rig.connection_bytes());
         }
@@ -206,7 +206,7 @@
     threads.collect()
 }
 
-/// Puts all figures of the run.
+/// Records all figures of the run.
 fn put_figures(context: &mut Context, rig: &Rig, plan: &Plan, result: &RunResult, mb_before: f64) {
     let records = Records(rig.records());
     let RunResult { published, events, bytes, load_results, .. } = result;
--- a/crates/lab/src/scale/rollouts/rig.rs
+++ b/crates/lab/src/scale/rollouts/rig.rs
@@ -222,13 +222,13 @@
         timeout: Duration,
         holds: impl Fn(&Totals) -> bool,
     ) -> Result<Duration, String> {
-        let begun = Instant::now();
+        let began_at = Instant::now();
         loop {
             let totals = self.totals(client)?;
             if holds(&totals) {
-                return Ok(begun.elapsed());
+                return Ok(began_at.elapsed());
             }
-            if begun.elapsed() > timeout {
+            if began_at.elapsed() > timeout {
                 return Err(format!("timeout of {timeout:?} while waiting for {what}: {totals:?}"));
             }
             std::thread::sleep(Duration::from_millis(50));
--- a/crates/lab/src/scale/service.rs
+++ b/crates/lab/src/scale/service.rs
@@ -1,7 +1,7 @@
 //! The cost of the configuration service by the number of fronts: processor time, memory and bytes. The service is a process
 //! of its own; control-only fronts and some real ones follow it over TLS from twelve regions.
 //!
-//! Each seed has one service, to which fronts are added up to each size in turn. At each size are measured: the new
+//! Each seed has one service, to which fronts are added up to each size in turn. The measurements at each size are the new
 //! connections, a time at rest, which is the baseline, changes of one member and of a twentieth of all, and the reconnection
 //! of all fronts after the service was killed and started again. At the largest size one region is partitioned from the
 //! service, a change is published, and the partition ends. Processor time and memory are those of the service, from /proc.
@@ -48,7 +48,7 @@
 const MEMBERS: usize = 250;
 /// Members that the larger change affects.
 const TWENTIETH_OF_MEMBERS: usize = MEMBERS / 20;
-/// For everything that is waited for. An idle machine takes much less.
+/// Timeout of each wait, long enough for a busy machine.
 const TIMEOUT: Duration = Duration::from_secs(120);
 /// Accesses, all answered in time, that each call of `add_accesses` adds to the counts of a control-only front.
 const ACCESSES_PER_CALL: u64 = 200;
@@ -143,12 +143,12 @@
         self.first_changed = (self.first_changed + members) % MEMBERS;
         let from = self.first_changed;
         let text = content(MEMBERS, |n| (n + MEMBERS - from) % MEMBERS < members);
-        let begun = Instant::now();
+        let began_at = Instant::now();
         let (id, rejected) = self.operator.publish(&text)?;
         let all = self.front_count();
         self.operator
             .wait_until("a change on all fronts", TIMEOUT, |t| t.current == all && t.base == Some(id))?;
-        Ok((begun.elapsed().as_secs_f64(), rejected))
+        Ok((began_at.elapsed().as_secs_f64(), rejected))
     }
 
     /// Adds to the counts that the control-only fronts report.
@@ -164,16 +164,16 @@
         action: impl FnOnce(&mut Self) -> Result<T, String>,
     ) -> Result<(f64, f64, f64, T), String> {
         let process = self.rig.process_id();
-        let (cpu, bytes, begun) = (cpu_ms(process), self.rig.total_bytes(), Instant::now());
+        let (cpu, bytes, began_at) = (cpu_ms(process), self.rig.total_bytes(), Instant::now());
         let result = action(self)?;
-        let seconds = begun.elapsed().as_secs_f64();
+        let seconds = began_at.elapsed().as_secs_f64();
         Ok((cpu_ms(process) - cpu, (self.rig.total_bytes() - bytes) as f64, seconds, result))
     }
 
     /// Lets time pass without changes.
     fn rest(&mut self) -> Result<(), String> {
-        let begun = Instant::now();
-        while begun.elapsed().as_secs_f64() < self.schedule.rest_s {
+        let began_at = Instant::now();
+        while began_at.elapsed().as_secs_f64() < self.schedule.rest_s {
             self.check()?;
             self.add_accesses();
             std::thread::sleep(Duration::from_millis(250));
@@ -184,10 +184,10 @@
     /// Publishes changes of this number of members as a Poisson process. Returns for each the seconds until all fronts ran it.
     /// The caller subtracts the cost at rest.
     fn publish_changes(&mut self, members: usize) -> Result<Vec<f64>, String> {
-        let (mut next_s, begun, mut durations) = (0.0, Instant::now(), Vec::new());
+        let (mut next_s, began_at, mut durations) = (0.0, Instant::now(), Vec::new());
         for _ in 0..self.schedule.changes {
             next_s -= self.change_each_s * (1.0 - self.rng.f64()).ln();
-            while begun.elapsed().as_secs_f64() < next_s {
+            while began_at.elapsed().as_secs_f64() < next_s {
                 self.check()?;
                 std::thread::sleep(Duration::from_millis(10));
             }
@@ -199,11 +199,11 @@
     /// Kills the service and starts it again at once. Returns the processor time of the new process in milliseconds, the bytes, and
     /// the seconds until all fronts are connected and current.
     fn reconnect(&mut self) -> Result<(f64, f64, f64), String> {
-        let (bytes, begun) = (self.rig.total_bytes(), Instant::now());
+        let (bytes, began_at) = (self.rig.total_bytes(), Instant::now());
         self.rig.restart()?;
         self.operator = self.rig.connect_operator()?;
         self.wait_until_all_current()?;
-        let seconds = begun.elapsed().as_secs_f64();
+        let seconds = began_at.elapsed().as_secs_f64();
         Ok((cpu_ms(self.rig.process_id()), (self.rig.total_bytes() - bytes) as f64, seconds))
     }
 
@@ -212,11 +212,11 @@
     fn partition_region(&mut self) -> Result<f64, String> {
         let region_index = ROUND_TRIPS_MS.len() - 1;
         self.rig.partition(&region(region_index));
-        let begun = Instant::now();
+        let began_at = Instant::now();
         self.first_changed += 1;
         let from = self.first_changed;
         let (id, _) = self.operator.publish(&content(MEMBERS, |n| n == from % MEMBERS))?;
-        while begun.elapsed().as_secs_f64() < self.schedule.partition_s {
+        while began_at.elapsed().as_secs_f64() < self.schedule.partition_s {
             self.check()?;
             self.add_accesses();
             std::thread::sleep(Duration::from_millis(100));
--- a/crates/lab/src/scale/service_figures.rs
+++ b/crates/lab/src/scale/service_figures.rs
@@ -100,7 +100,8 @@
     }
 }
 
-/// Puts all figures. `results` has for each seed the results of all sizes and the seconds until a healed region ran the change.
+/// Records all figures. `results` has for each seed the results of all sizes, and the seconds from the end of the partition
+/// until the region ran the change.
 pub fn report(
     context: &mut Context,
     comparison: &Comparison,
--- a/crates/lab/tests/hollow.rs
+++ b/crates/lab/tests/hollow.rs
@@ -15,14 +15,14 @@
 use doorgrade_standins::versions::{Installation, SERVICE};
 use doorgrade_versions::service::{Request, Response};
 
-/// For everything that is waited for. An idle machine takes much less.
+/// Timeout of each wait, long enough for a busy machine.
 const TIMEOUT: Duration = Duration::from_secs(60);
 const PUBLICATION: &str = "  soak_ms = 1\n  answer_within_ms = 60000\n  canaries = 2\n  shares = [1.0]\n  missing = 0.9\n  drop = 1.0";
 
 fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
-    let begun = Instant::now();
+    let began_at = Instant::now();
     while !holds() {
-        assert!(begun.elapsed() < TIMEOUT, "{what}");
+        assert!(began_at.elapsed() < TIMEOUT, "{what}");
         std::thread::sleep(Duration::from_millis(10));
     }
 }
@@ -58,7 +58,7 @@
     let mut asker =
         runtime.block_on(Asker::at(service.operators, SERVICE, &installation.identity("person"))).unwrap();
     let mut publish = |text: String| {
-        let begun = Instant::now();
+        let began_at = Instant::now();
         loop {
             let Response::Status(totals) = runtime.block_on(asker.ask(&Request::Status)).unwrap() else {
                 panic!("the response is not a status")
@@ -72,7 +72,7 @@
             if connected && let Response::Published(id) = runtime.block_on(asker.ask(&request)).unwrap() {
                 return id;
             }
-            assert!(begun.elapsed() < TIMEOUT, "not published: {totals:?}");
+            assert!(began_at.elapsed() < TIMEOUT, "not published: {totals:?}");
             std::thread::sleep(Duration::from_millis(10));
         }
     };
--- a/crates/lab/tests/scale_run.rs
+++ b/crates/lab/tests/scale_run.rs
@@ -39,12 +39,12 @@
         (&["--only", "members", "--sizes", "50,100,150,10000"], "--sizes 10000: members would take"),
     ];
     for (args, expected) in cases {
-        let begun = Instant::now();
+        let began_at = Instant::now();
         let output = lab(args);
         let stderr = String::from_utf8_lossy(&output.stderr);
         assert!(!output.status.success() && stderr.contains(expected), "{args:?}: {stderr}");
         assert!(output.stdout.is_empty(), "{args:?}: a rejected run printed figures");
-        assert!(begun.elapsed() < Duration::from_secs(10), "{args:?}: something was started first");
+        assert!(began_at.elapsed() < Duration::from_secs(10), "{args:?}: something was started first");
     }
 }
 
