--- a/crates/lab/src/front_state/real.rs
+++ b/crates/lab/src/front_state/real.rs
@@ -10,7 +10,7 @@
 use doorgrade_standins::{Client, Directory, Feed, Member, MemberConfig, Role, unix_ms};
 use serde_json::{Value, json};
 
-use crate::rig::{self, Class, Folder, Front, Got, Planned};
+use crate::rig::{self, AccessResult, Class, Folder, Front, PlannedAccess};
 
 /// Caches of the front's own site.
 const OWN_CACHES: usize = 6;
@@ -20,7 +20,8 @@
 pub const PURGE_PROPAGATION_MS: f64 = 4_600.0;
 /// Objects that are accessed; each cache holds its part of them after some seconds.
 const OBJECTS: u64 = 2_000;
-const CLASS: Class = Class { name: "files", wait_ms: 1_500, soft_ms: 400.0, benefit: 1.0, write: false };
+const CLASS: Class =
+    Class { name: "files", timeout_ms: 1_500, soft_limit_ms: 400.0, benefit: 1.0, write: false };
 /// The interval of accesses of the purged object while the front's feed is cut.
 const ACCESS_INTERVAL: Duration = Duration::from_millis(50);
 
@@ -111,7 +112,7 @@
 
     /// The front's limits, as it logs them at its start.
     pub fn logged_bounds(&self) -> String {
-        let event = self.front.lines().into_iter().find(|l| l.contains("bounds: "));
+        let event = self.front.log_lines().into_iter().find(|l| l.contains("bounds: "));
         event.and_then(|l| Some(l.split_once("bounds: ")?.1.to_owned())).unwrap_or_default()
     }
 
@@ -131,15 +132,15 @@
         let mut rng = fastrand::Rng::with_seed(seed);
         let (mut plan, mut at_ms) = (Vec::new(), 0.0);
         while rate > 0.0 && at_ms < seconds * 1e3 {
-            plan.push(Planned { at_ms, class: 0, key: rng.u64(0..OBJECTS) });
+            plan.push(PlannedAccess { at_ms, class: 0, key: rng.u64(0..OBJECTS) });
             at_ms += -(1.0 - rng.f64()).ln() * 1e3 / rate;
         }
-        let process = self.front.process();
+        let process = self.front.process_id();
         let feed_bytes = |rig: &FrontRig| rig.links.traffic("feed", "front").bytes;
         let (cpu_ms_before, bytes_before, start) = (rig::cpu_ms(process), feed_bytes(self), Instant::now());
-        let address = self.front.at;
+        let address = self.front.address;
         let report = std::thread::scope(|scope| {
-            let load = scope.spawn(|| rig::play(address, &plan, &[CLASS], start, 16));
+            let load = scope.spawn(|| rig::run_load(address, &plan, &[CLASS], start, 16));
             let mut purges = 0.0;
             while start.elapsed().as_secs_f64() < seconds {
                 while purges < start.elapsed().as_secs_f64() * purges_per_s {
@@ -155,7 +156,7 @@
         let elapsed_s = start.elapsed().as_secs_f64();
         Ok(LoadResult {
             accesses: plan.len(),
-            handled: report.samples.iter().filter(|s| s.got == Got::Handled).count(),
+            handled: report.samples.iter().filter(|s| s.result == AccessResult::Handled).count(),
             seconds: elapsed_s,
             core_share: (rig::cpu_ms(process) - cpu_ms_before) / 1e3 / elapsed_s,
             memory_mb: rig::memory_mb(process)?,
@@ -173,9 +174,9 @@
             let fills_of = |c: &Member| c.counts().fills.load(std::sync::atomic::Ordering::SeqCst);
             rig.caches.iter().map(fills_of).sum()
         };
-        let mut client = Client::connect(self.front.at).map_err(io)?;
-        client.request(CLASS.name, &key, CLASS.wait_ms).map_err(io)?;
-        let (silent_before, fills_before) = (self.front.count("feed: silent"), fills(self));
+        let mut client = Client::connect(self.front.address).map_err(io)?;
+        client.request(CLASS.name, &key, CLASS.timeout_ms).map_err(io)?;
+        let (silent_before, fills_before) = (self.front.count_log_lines("feed: silent"), fills(self));
         let cut = LinkConditions { cut: true, ..LinkConditions::default() };
         self.links.set("feed", "front", cut.clone());
         self.links.set("front", "feed", cut);
@@ -190,10 +191,10 @@
                 self.links.heal();
                 healed = true;
             }
-            if result.noticed_s.is_none() && self.front.count("feed: silent") > silent_before {
+            if result.noticed_s.is_none() && self.front.count_log_lines("feed: silent") > silent_before {
                 result.noticed_s = Some(began_at.elapsed().as_secs_f64());
             }
-            client.request(CLASS.name, &key, CLASS.wait_ms).map_err(io)?;
+            client.request(CLASS.name, &key, CLASS.timeout_ms).map_err(io)?;
             if fills(self) > fills_before {
                 result.purge_applied_s = Some(began_at.elapsed().as_secs_f64());
             } else {
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,4 +1,4 @@
-//! Experiments that tests play, too, and what several of them need.
+//! The library of the experiments: those that tests run too, and what several experiments share.
 #![forbid(unsafe_code)]
 
 pub mod capacity;
@@ -11,11 +11,11 @@
 
 pub use figures::{Figures, RunArgs};
 
-/// Counts what all in this process hold, so that the memory of a thousand instances in one process can be told.
+/// Counts the allocated bytes, so that experiments with a thousand instances in one process can measure their memory.
 #[global_allocator]
 static ALLOCATOR: cap::Cap<std::alloc::System> = cap::Cap::new(std::alloc::System, usize::MAX);
 
-/// Bytes that are allocated in this process now.
+/// The bytes that this process has allocated at the moment.
 pub fn allocated() -> usize {
     ALLOCATOR.allocated()
 }
--- a/crates/lab/src/rig.rs
+++ b/crates/lab/src/rig.rs
@@ -1,4 +1,4 @@
-//! Real fronts as processes, and the load on them.
+//! Starts real fronts as processes, generates load on them and reads what they use from `/proc`.
 
 use std::collections::HashMap;
 use std::io::Write;
@@ -14,10 +14,10 @@
 use hdrhistogram::Histogram;
 use serde_json::{Value, json};
 
-/// The program that is measured: built beside this one, unless another is named.
+/// The path of the front to measure: the named one, or else `doorgrade` in the folder of this program.
 pub fn program(named: Option<PathBuf>) -> Result<PathBuf, String> {
-    let beside = || Some(std::env::current_exe().ok()?.parent()?.join("doorgrade"));
-    let path = named.or_else(beside).ok_or("no program to measure: name one with --front")?;
+    let next_to_this_program = || Some(std::env::current_exe().ok()?.parent()?.join("doorgrade"));
+    let path = named.or_else(next_to_this_program).ok_or("no program to measure: name one with --front")?;
     if path.is_file() {
         Ok(path)
     } else {
@@ -25,7 +25,7 @@
     }
 }
 
-/// A folder of this run's own, gone with it.
+/// A temporary folder of this run, removed on drop.
 pub struct Folder(PathBuf);
 
 impl Folder {
@@ -39,12 +39,13 @@
         self.0.join(name)
     }
 
+    /// Writes a file and returns its path.
     pub fn put(&self, name: &str, text: &str) -> Result<PathBuf, String> {
         let path = self.0.join(name);
-        // In one step: a front may read it at any moment.
-        let part = self.0.join(format!("{name}.part"));
-        let write = std::fs::write(&part, text).and_then(|()| std::fs::rename(&part, &path));
-        write.map(|()| path.clone()).map_err(|e| format!("{}: {e}", path.display()))
+        // Written to another file and renamed, since a front may read the file at any moment.
+        let temporary = self.0.join(format!("{name}.part"));
+        let written = std::fs::write(&temporary, text).and_then(|()| std::fs::rename(&temporary, &path));
+        written.map(|()| path.clone()).map_err(|e| format!("{}: {e}", path.display()))
     }
 }
 
@@ -54,13 +55,14 @@
     }
 }
 
+/// A front that runs as a process; killed on drop.
 pub struct Front {
     process: Process,
-    pub at: SocketAddr,
+    pub address: SocketAddr,
 }
 
 impl Front {
-    /// Starts one and waits until it listens.
+    /// Starts a front and waits until it listens.
     pub fn start(program: &Path, config: &Path, settings: Option<&Path>) -> Result<Front, String> {
         let mut command = Command::new(program);
         command.env("PROXY_CONFIG", config).env_remove("PROXY_NAME").env_remove("PROXY_LISTEN");
@@ -69,63 +71,66 @@
             None => command.env_remove("DOORGRADE_SETTINGS").current_dir(std::env::temp_dir()),
         };
         let process = Process::start(&mut command).map_err(|e| e.to_string())?;
-        let listens = process.wait_for_log(" listens on ", Duration::from_secs(10));
-        let at = listens.as_deref().and_then(|l| l.split_once(" listens on ")).map(|l| l.1.trim().parse());
-        match at {
-            Some(Ok(at)) => Ok(Front { process, at }),
-            _ => Err(format!("a front does not start: {:?}", process.log_lines())),
+        let line = process.wait_for_log(" listens on ", Duration::from_secs(10));
+        let address = line.as_deref().and_then(|l| l.split_once(" listens on ")).map(|l| l.1.trim().parse());
+        match address {
+            Some(Ok(address)) => Ok(Front { process, address }),
+            _ => Err(format!("a front did not start listening; its log: {:?}", process.log_lines())),
         }
     }
 
-    pub fn process(&self) -> u32 {
+    pub fn process_id(&self) -> u32 {
         self.process.id()
     }
 
-    pub fn lines(&self) -> Vec<String> {
+    pub fn log_lines(&self) -> Vec<String> {
         self.process.log_lines()
     }
 
-    pub fn count(&self, text: &str) -> usize {
-        self.lines().iter().filter(|l| l.contains(text)).count()
+    /// The number of log lines that contain the text.
+    pub fn count_log_lines(&self, text: &str) -> usize {
+        self.log_lines().iter().filter(|l| l.contains(text)).count()
     }
 
+    /// Makes the front read its settings again, with SIGHUP.
     pub fn reload(&self) {
         self.process.hang_up();
     }
 
-    pub fn alive(&mut self) -> bool {
+    pub fn is_running(&mut self) -> bool {
         self.process.is_running()
     }
 
-    pub fn keep_log(&self, folder: &Path, name: &str) -> std::io::Result<()> {
+    pub fn save_log(&self, folder: &Path, name: &str) -> std::io::Result<()> {
         std::fs::create_dir_all(folder)?;
         let mut file = std::fs::File::create(folder.join(name))?;
-        self.lines().iter().try_for_each(|line| writeln!(file, "{line}"))
+        self.log_lines().iter().try_for_each(|line| writeln!(file, "{line}"))
     }
 }
 
-/// The processor time that a process has used, in milliseconds; the system counts in hundredths of a second.
+/// The CPU time that a process has used, in milliseconds; `/proc` counts it in hundredths of a second.
 pub fn cpu_ms(process: u32) -> f64 {
     let stat = std::fs::read_to_string(format!("/proc/{process}/stat")).unwrap_or_default();
-    // The name in parentheses may hold anything; user and system time are the 14th and 15th of all fields.
-    let after = stat.rsplit_once(')').map_or("", |s| s.1);
-    let times = after.split_whitespace().skip(11).take(2);
+    // The process name in parentheses may contain spaces and parentheses, so fields are counted after the last
+    // closing one. User and system time are fields 14 and 15 of the line.
+    let fields = stat.rsplit_once(')').map_or("", |s| s.1);
+    let times = fields.split_whitespace().skip(11).take(2);
     10.0 * times.filter_map(|t| t.parse::<f64>().ok()).sum::<f64>()
 }
 
-/// The processor time of a process's threads of a name, in milliseconds, to the microsecond.
+/// The CPU time of those threads of a process that have this name, in milliseconds, to the microsecond.
 pub fn thread_cpu_ms(process: u32, name: &str) -> f64 {
     let tasks = std::fs::read_dir(format!("/proc/{process}/task")).into_iter().flatten().flatten();
-    let of = |task: std::fs::DirEntry| {
+    let thread_ms = |task: std::fs::DirEntry| {
         let text = |file| std::fs::read_to_string(task.path().join(file)).unwrap_or_default();
-        let named = text("comm").trim() == name;
+        let has_name = text("comm").trim() == name;
         let ns: f64 = text("schedstat").split(' ').next()?.parse().ok()?;
-        named.then_some(ns / 1e6)
+        has_name.then_some(ns / 1e6)
     };
-    tasks.filter_map(of).sum()
+    tasks.filter_map(thread_ms).sum()
 }
 
-/// What a process holds in memory, in MB.
+/// The resident memory of a process, in MB.
 pub fn memory_mb(process: u32) -> Result<f64, String> {
     let status = std::fs::read_to_string(format!("/proc/{process}/status")).map_err(|e| e.to_string())?;
     let rss = status.lines().find_map(|l| l.strip_prefix("VmRSS:")).unwrap_or_default();
@@ -133,174 +138,200 @@
     Ok(kb / 1_024.0)
 }
 
-/// One access to be made: when, by milliseconds from the start, and of what.
+/// An access that the load generator is to make.
 #[derive(Clone, Copy, Debug)]
-pub struct Planned {
+pub struct PlannedAccess {
+    /// Milliseconds since the start of the load.
     pub at_ms: f64,
+    /// Index into the classes.
     pub class: usize,
     pub key: u64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Got {
+pub enum AccessResult {
+    /// Status 200 with the body of the object; for a write, any body.
     Handled,
+    /// Status 503 or 429.
     Declined,
-    GivenUp,
-    /// No answer in the client's time, or one that can't be read.
+    /// Any other status.
+    Failed,
+    /// No response within the client's timeout, or one that could not be read.
     Lost,
-    /// Bytes that are not the object's.
-    Wrong,
+    /// Status 200 with a body that is not the object's.
+    WrongBody,
 }
 
+/// The measurement of one access.
 #[derive(Clone, Copy, Debug)]
 pub struct Sample {
-    pub planned: Planned,
-    pub got: Got,
-    pub took_ms: f64,
-    /// As it was chosen.
+    pub planned: PlannedAccess,
+    pub result: AccessResult,
+    /// From the planned time to the response.
+    pub latency_ms: f64,
+    /// The index that `run_load_with` got for the front.
     pub front: usize,
 }
 
+/// What the load generator measured.
 #[derive(Default)]
-pub struct Played {
+pub struct LoadResult {
     pub samples: Vec<Sample>,
+    /// Connections that carried more bytes after a complete response.
     pub answered_twice: usize,
 }
 
-/// Of a class: its name, how long a client waits, its soft limit and its benefit.
+/// A class of accesses.
 #[derive(Clone, Copy)]
 pub struct Class {
     pub name: &'static str,
-    pub wait_ms: u64,
-    pub soft_ms: f64,
+    /// The timeout of clients.
+    pub timeout_ms: u64,
+    pub soft_limit_ms: f64,
     pub benefit: f64,
     pub write: bool,
 }
 
 impl Class {
-    /// As a front's settings have it.
+    /// The entry under `profiles` in the settings of a front.
     pub fn profile(&self) -> Value {
-        json!({"name": self.name, "aim": self.soft_ms, "deadline": self.wait_ms as f64, "worth": self.benefit,
+        json!({"name": self.name, "aim": self.soft_limit_ms, "deadline": self.timeout_ms as f64, "worth": self.benefit,
             "semantics": if self.write { "single_shot" } else { "free" }})
     }
 }
 
-/// A member as a front's first list has it.
-pub fn listed(m: &Member, place: &str, flavor: &str) -> Value {
-    json!({"id": m.id, "host_port": m.address.to_string(), "locality": place, "flavor": flavor, "cell": 0,
+/// A member in the JSON of the member list that a front's configuration starts with.
+pub fn member_json(m: &Member, locality: &str, flavor: &str) -> Value {
+    json!({"id": m.id, "host_port": m.address.to_string(), "locality": locality, "flavor": flavor, "cell": 0,
         "phase": "in_service", "size": 1, "up_since_ms": 0})
 }
 
-/// Protocol fact: clients close connections that have been idle for 4 s; some less, so that none crosses a close.
-const CLIENT_IDLE: Duration = Duration::from_millis(3_500);
+/// Clients of the protocol close connections that have been idle for 4 s. The load generator does so somewhat earlier, so
+/// that no request crosses a close by the front.
+const CLIENT_IDLE_TIMEOUT: Duration = Duration::from_millis(3_500);
 
-/// Plays a plan against one front: each access at its time, whatever became of those before it.
-pub fn play(
+/// Sends the planned accesses to one front, each at its time whether or not earlier ones have been answered (open loop).
+pub fn run_load(
     front: SocketAddr,
-    plan: &[Planned],
+    plan: &[PlannedAccess],
     classes: &[Class],
     start: Instant,
     workers: usize,
-) -> Played {
-    play_at(&|_| Some((0, front)), plan, classes, start, workers)
+) -> LoadResult {
+    run_load_with(&|_| Some((0, front)), plan, classes, start, workers)
 }
 
-/// As `play`, against the front that is chosen for each access when it is due, by its place in the plan.
-pub fn play_at(
-    choose: &(dyn Fn(usize) -> Option<(usize, SocketAddr)> + Sync),
-    plan: &[Planned],
+/// Like `run_load`, with a front for each access that is chosen at the planned time by the index in the plan. Accesses
+/// without a front are skipped.
+pub fn run_load_with(
+    choose_front: &(dyn Fn(usize) -> Option<(usize, SocketAddr)> + Sync),
+    plan: &[PlannedAccess],
     classes: &[Class],
     start: Instant,
     workers: usize,
-) -> Played {
+) -> LoadResult {
     let next = std::sync::atomic::AtomicUsize::new(0);
-    let played = Mutex::new(Played::default());
+    let total = Mutex::new(LoadResult::default());
     std::thread::scope(|scope| {
         for _ in 0..workers {
             scope.spawn(|| {
-                let (mut own, mut clients) = (Played::default(), HashMap::new());
-                let fresh = |used: &Instant| used.elapsed() < CLIENT_IDLE;
+                let (mut worker_result, mut clients) = (LoadResult::default(), HashMap::new());
+                let reusable = |used: &Instant| used.elapsed() < CLIENT_IDLE_TIMEOUT;
                 loop {
-                    let at = next.fetch_add(1, std::sync::atomic::Ordering::SeqCst);
-                    let Some(&planned) = plan.get(at) else { break };
-                    let due = start + Duration::from_secs_f64(planned.at_ms / 1e3);
-                    std::thread::sleep(due.saturating_duration_since(Instant::now()));
-                    let Some((front, address)) = choose(at) else { continue };
-                    // Also those to fronts that are no more, or each death would leave descriptors behind.
-                    clients.retain(|_, (_, used)| fresh(used));
-                    let (mut client, _) = clients.remove(&address).unwrap_or((None, due));
-                    let got = ask(address, &mut client, &classes[planned.class], planned.key, &mut own);
+                    let index = next.fetch_add(1, std::sync::atomic::Ordering::SeqCst);
+                    let Some(&planned) = plan.get(index) else { break };
+                    let planned_at = start + Duration::from_secs_f64(planned.at_ms / 1e3);
+                    std::thread::sleep(planned_at.saturating_duration_since(Instant::now()));
+                    let Some((front, address)) = choose_front(index) else { continue };
+                    // Includes connections to fronts that have ended, which would otherwise keep their descriptors open.
+                    clients.retain(|_, (_, used)| reusable(used));
+                    let (mut client, _) = clients.remove(&address).unwrap_or((None, planned_at));
+                    let result = make_access(
+                        address,
+                        &mut client,
+                        &classes[planned.class],
+                        planned.key,
+                        &mut worker_result,
+                    );
                     clients.insert(address, (client, Instant::now()));
-                    let took_ms = due.elapsed().as_secs_f64() * 1e3;
-                    own.samples.push(Sample { planned, got, took_ms, front });
+                    let latency_ms = planned_at.elapsed().as_secs_f64() * 1e3;
+                    worker_result.samples.push(Sample { planned, result, latency_ms, front });
                 }
-                let mut all = played.lock().unwrap_or_else(|e| e.into_inner());
-                all.samples.append(&mut own.samples);
-                all.answered_twice += own.answered_twice;
+                let mut merged = total.lock().unwrap_or_else(|e| e.into_inner());
+                merged.samples.append(&mut worker_result.samples);
+                merged.answered_twice += worker_result.answered_twice;
             });
         }
     });
-    played.into_inner().unwrap_or_else(|e| e.into_inner())
+    total.into_inner().unwrap_or_else(|e| e.into_inner())
 }
 
-fn ask(front: SocketAddr, client: &mut Option<Client>, class: &Class, key: u64, own: &mut Played) -> Got {
+fn make_access(
+    front: SocketAddr,
+    client: &mut Option<Client>,
+    class: &Class,
+    key: u64,
+    worker_result: &mut LoadResult,
+) -> AccessResult {
     let key = format!("{key:016x}");
-    let begun = Instant::now();
-    // A front may close what is idle, and then a request that crosses it is sent once more.
+    let started_at = Instant::now();
+    // The front may close an idle connection while a request is on its way; that request is sent once more.
     for _ in 0..2 {
         if client.as_mut().is_some_and(Client::has_unread_bytes) {
-            own.answered_twice += 1;
+            worker_result.answered_twice += 1;
             *client = None;
         }
         if client.is_none() {
             *client = Client::connect(front).ok();
         }
-        let Some(open) = client.as_mut() else { return Got::Lost };
+        let Some(connected) = client.as_mut() else { return AccessResult::Lost };
         let body: &[u8] = if class.write { b"a write" } else { b"" };
-        let asked =
-            AccessRequest { class: class.name, key: &key, bucket: 17, timeout_ms: class.wait_ms, body };
-        let answer = open.send_access(&asked).and_then(|_| open.receive());
-        if begun.elapsed() > Duration::from_millis(class.wait_ms + 50) {
+        let request =
+            AccessRequest { class: class.name, key: &key, bucket: 17, timeout_ms: class.timeout_ms, body };
+        let response = connected.send_access(&request).and_then(|_| connected.receive());
+        if started_at.elapsed() > Duration::from_millis(class.timeout_ms + 50) {
             *client = None;
-            return Got::Lost;
+            return AccessResult::Lost;
         }
-        let Ok((head, body)) = answer else {
-            let crossed = begun.elapsed() < Duration::from_millis(50) && !class.write;
+        let Ok((head, body)) = response else {
+            let crossed_close = started_at.elapsed() < Duration::from_millis(50) && !class.write;
             *client = None;
-            if crossed {
+            if crossed_close {
                 continue;
             }
-            return Got::Lost;
+            return AccessResult::Lost;
         };
         return match head.get(8..11) {
             Some("200") if class.write || body == object_bytes(&format!("/data/{}/{key}/0", class.name)) => {
-                Got::Handled
+                AccessResult::Handled
             }
-            Some("200") => Got::Wrong,
-            Some("503" | "429") => Got::Declined,
-            _ => Got::GivenUp,
+            Some("200") => AccessResult::WrongBody,
+            Some("503" | "429") => AccessResult::Declined,
+            _ => AccessResult::Failed,
         };
     }
-    Got::Lost
+    AccessResult::Lost
 }
 
-/// The benefit of what was answered within its soft limit over that of all, between two times.
+/// The benefit of the accesses that were handled within their soft limit, as a share of the benefit of all that were
+/// planned between two times.
 pub fn service(samples: &[Sample], classes: &[Class], from_ms: f64, to_ms: f64) -> f64 {
-    let (mut had, mut asked) = (0.0, 0.0);
+    let (mut served, mut offered) = (0.0, 0.0);
     for s in samples.iter().filter(|s| (from_ms..to_ms).contains(&s.planned.at_ms)) {
         let class = &classes[s.planned.class];
-        asked += class.benefit;
-        if s.got == Got::Handled && s.took_ms <= class.soft_ms {
-            had += class.benefit;
+        offered += class.benefit;
+        if s.result == AccessResult::Handled && s.latency_ms <= class.soft_limit_ms {
+            served += class.benefit;
         }
     }
-    had / f64::max(asked, 1e-9)
+    served / f64::max(offered, 1e-9)
 }
 
-/// How long handled accesses took, at a quantile, in milliseconds.
-pub fn took(samples: &[Sample], from_ms: f64, to_ms: f64, quantile: f64) -> f64 {
-    let Ok(mut all) = Histogram::<u64>::new_with_bounds(1, 60_000_000, 3) else { return 0.0 };
-    let between = |s: &&Sample| s.got == Got::Handled && (from_ms..to_ms).contains(&s.planned.at_ms);
-    samples.iter().filter(between).for_each(|s| all.saturating_record((s.took_ms * 1e3) as u64));
-    all.value_at_quantile(quantile) as f64 / 1e3
+/// A quantile of the latency of handled accesses, in milliseconds.
+pub fn latency_quantile_ms(samples: &[Sample], from_ms: f64, to_ms: f64, quantile: f64) -> f64 {
+    let Ok(mut latencies_us) = Histogram::<u64>::new_with_bounds(1, 60_000_000, 3) else { return 0.0 };
+    let between =
+        |s: &&Sample| s.result == AccessResult::Handled && (from_ms..to_ms).contains(&s.planned.at_ms);
+    samples.iter().filter(between).for_each(|s| latencies_us.saturating_record((s.latency_ms * 1e3) as u64));
+    latencies_us.value_at_quantile(quantile) as f64 / 1e3
 }
--- a/crates/lab/src/scale/agent.rs
+++ b/crates/lab/src/scale/agent.rs
@@ -11,7 +11,7 @@
 use serde_json::{Value, json};
 
 use super::{Context, Needs, Part, Point, Quantity, ScaleError};
-use crate::rig::{self, Folder, listed};
+use crate::rig::{self, Folder, member_json};
 
 /// The instances, the agent, and a command that asks it.
 const PROCESSES_BESIDE: usize = 2;
@@ -57,7 +57,7 @@
     }
 
     fn config(&self, size: usize) -> String {
-        let rows = [listed(&self.cache, "here", "cache"), listed(&self.archive, "here", "archive")];
+        let rows = [member_json(&self.cache, "here", "cache"), member_json(&self.archive, "here", "archive")];
         let settings = json!({
             "zone": 0, "fleetSize": size, "quantum": 2.0, "localities": ["here"], "machineTypes": ["cache", "archive"],
             "registryMode": "automatic", "weightKind": "nominal",
--- a/crates/lab/src/scale/hollow_to_real.rs
+++ b/crates/lab/src/scale/hollow_to_real.rs
@@ -150,7 +150,7 @@
             (0..OF_EACH).map(|n| self.rig.links.sent_by(&member(2 * n + kind)).bytes).sum::<usize>()
         };
         let threads =
-            |front: &Front| REAL_THREADS.iter().map(|t| thread_cpu_ms(front.process(), t)).sum::<f64>();
+            |front: &Front| REAL_THREADS.iter().map(|t| thread_cpu_ms(front.process_id(), t)).sum::<f64>();
         let cpu = [self.real.iter().map(threads).sum(), thread_cpu_ms(std::process::id(), CONTROL_THREAD)];
         [0, 1].map(|kind| Sum {
             streams: self.rig.bytes(REGIONS[kind]),
--- a/crates/lab/src/scale/rollouts.rs
+++ b/crates/lab/src/scale/rollouts.rs
@@ -20,7 +20,7 @@
 use doorgrade_versions::service::{LogEvent, Request, Response};
 
 use super::{Context, Needs, Part, ScaleError};
-use crate::rig::{Got, Planned, Played, cpu_ms, memory_mb, play, thread_cpu_ms};
+use crate::rig::{AccessResult, LoadResult, PlannedAccess, cpu_ms, memory_mb, run_load, thread_cpu_ms};
 use content::Harm;
 use plan::Plan;
 use records::{Published, Records, quantile};
@@ -53,7 +53,7 @@
     /// Bytes of each connection, second by second, and from which of them on changes were published.
     bytes: Vec<Vec<u64>>,
     changes_from: usize,
-    played: Vec<Played>,
+    played: Vec<LoadResult>,
     /// Processor time of a real front's thread, and of the service, over the wall's.
     front_share: f64,
     service_share: f64,
@@ -130,7 +130,7 @@
     let (mut published, mut refused, mut bytes) = (Vec::new(), 0, Vec::new());
     let begun = Instant::now();
     let cpu = |rig: &Rig| {
-        let fronts: f64 = rig.fronts.iter().map(|f| thread_cpu_ms(f.process(), THREAD)).sum();
+        let fronts: f64 = rig.fronts.iter().map(|f| thread_cpu_ms(f.process_id(), THREAD)).sum();
         (fronts / REAL as f64, cpu_ms(rig.service_id()), Instant::now())
     };
     let (mut before, mut changes_from, mut next) = (cpu(rig), 0, 0);
@@ -179,18 +179,18 @@
 }
 
 /// Clients of each real front for the whole of the plan.
-fn load(rig: &Rig, plan: &Plan) -> Vec<std::thread::JoinHandle<Played>> {
+fn load(rig: &Rig, plan: &Plan) -> Vec<std::thread::JoinHandle<LoadResult>> {
     let start = Instant::now();
     let each = rig.fronts.iter().enumerate().map(|(n, front)| {
-        let (at, count) = (front.at, (plan.lasts_s * REAL_RATE) as usize);
+        let (at, count) = (front.address, (plan.lasts_s * REAL_RATE) as usize);
         let mut rng = fastrand::Rng::with_seed(plan.seed ^ n as u64);
-        let planned = move |k: usize| Planned {
+        let planned = move |k: usize| PlannedAccess {
             at_ms: (k as f64 + rng.f64()) * 1e3 / REAL_RATE,
             class: 0,
             key: rng.u64(1..200),
         };
-        let accesses: Vec<Planned> = (0..count).map(planned).collect();
-        std::thread::spawn(move || play(at, &accesses, &CLASSES, start, CLIENTS))
+        let accesses: Vec<PlannedAccess> = (0..count).map(planned).collect();
+        std::thread::spawn(move || run_load(at, &accesses, &CLASSES, start, CLIENTS))
     });
     each.collect()
 }
@@ -244,11 +244,11 @@
     context.put("untrue_states", untrue.count());
 
     let samples = || played.iter().flat_map(|p| &p.samples);
-    let count = |got: Got| samples().filter(|s| s.got == got).count();
+    let count = |got: AccessResult| samples().filter(|s| s.result == got).count();
     context.put("accesses", samples().count());
-    context.put("lost", count(Got::Lost));
+    context.put("lost", count(AccessResult::Lost));
     context.put("answered_twice", played.iter().map(|p| p.answered_twice).sum::<usize>());
-    context.put("rule_breaks", count(Got::Wrong));
+    context.put("rule_breaks", count(AccessResult::WrongBody));
     context.ratio("front_control_core_share", outcome.front_share);
     let (rest, worst) = rates(bytes, outcome.changes_from);
     context.ratio("front_control_bytes_per_s", rest);
--- a/crates/lab/src/scale/rollouts/rig.rs
+++ b/crates/lab/src/scale/rollouts/rig.rs
@@ -23,7 +23,7 @@
 
 /// What clients ask of real fronts.
 pub const CLASSES: [Class; 1] =
-    [Class { name: "files", wait_ms: 1_500, soft_ms: 500.0, benefit: 1.0, write: false }];
+    [Class { name: "files", timeout_ms: 1_500, soft_limit_ms: 500.0, benefit: 1.0, write: false }];
 
 /// What stands behind the real fronts.
 struct Site {
@@ -43,8 +43,10 @@
     }
 
     fn config(&self, name: &str, seed: u64, fronts: usize) -> String {
-        let listed =
-            [rig::listed(&self.cache, "here", "cache"), rig::listed(&self.archive, "hub", "archive")];
+        let listed = [
+            rig::member_json(&self.cache, "here", "cache"),
+            rig::member_json(&self.archive, "hub", "archive"),
+        ];
         let members = json!({"revision": 1, "complete": true, "members": listed});
         let settings = json!({
             "zone": 0, "fleetSize": fronts, "quantum": 2.0, "localities": ["here", "hub"],
@@ -234,7 +236,7 @@
                 let facts = self.shared.of_log(version).unwrap_or_else(|| Arc::new(Facts::default()));
                 Some(((at * 10.0).round() as u64, facts))
             };
-            front.lines().iter().filter_map(used).collect()
+            front.log_lines().iter().filter_map(used).collect()
         });
         real.chain(self.hollow.iter().map(Hollow::ran)).collect()
     }
--- a/crates/lab/src/soak.rs
+++ b/crates/lab/src/soak.rs
@@ -118,7 +118,7 @@
     let threads: Vec<_> = (0..CLIENT_THREADS as u64)
         .map(|n| {
             let (shared, address, seed) =
-                (shared.clone(), front.at, run_args.seed.wrapping_mul(1_000).wrapping_add(n));
+                (shared.clone(), front.address, run_args.seed.wrapping_mul(1_000).wrapping_add(n));
             std::thread::spawn(move || run_clients(address, seed, max_accesses, &shared))
         })
         .collect();
@@ -136,7 +136,7 @@
             break;
         }
         let eighth = (8 * accesses / max_accesses).min(7) as usize;
-        let (mb, open) = memory_and_descriptors(front.process())?;
+        let (mb, open) = memory_and_descriptors(front.process_id())?;
         (memory_mb[eighth], descriptors[eighth]) = (memory_mb[eighth].max(mb), descriptors[eighth].max(open));
         while started_replacements < accesses * replacements / max_accesses {
             started_replacements += 1;
--- a/crates/lab/src/stream.rs
+++ b/crates/lab/src/stream.rs
@@ -1,13 +1,14 @@
-//! Versions streamed over TLS on loopback: real fronts as processes, each with a load of its own, and many more that
-//! are only the side that follows the service. In turn:
+//! Measures the distribution of configuration versions over TLS on loopback, to real fronts as processes and to many more
+//! stubs that only implement the client side of the service. In turn:
 //!
-//! 1. A first version of a hundred members, then one of a single changed line: how long until the last front has said
-//!    that it runs it, and what it cost on the wire beside the whole file.
-//! 2. Real fronts killed at chosen moments of the next publication, and started again: what they start on.
-//! 3. A version that every real front takes and that hurts: fewer descriptors than the load needs. How many fronts it
-//!    came to before it stopped.
+//! 1. A first version with a hundred members, then one with a single changed line: how long until the last front has
+//!    reported that it runs the version, and the bytes of the delta. The baseline is the size of the whole file.
+//! 2. Faults: real fronts are killed at random moments of the next publications, under load, and started again. Measured
+//!    are the versions that they start with.
+//! 3. Fault: a version that every front accepts and that does harm, with fewer descriptors than the load needs. Measured is
+//!    how many fronts it reached before the rollout stopped.
 //!
-//! The publication's own waves are short here, so that a run ends; what they say of harm is said in reports 5 s apart.
+//! The waves of the rollout are short here, so that a run ends soon. Fronts report their service every 5 s.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -30,9 +31,10 @@
 const FRONTS: usize = 20;
 const STATIONS: usize = 5;
 
-/// A hierarchy of so many trunk caches below an archive; `standing`: of the first of them.
-fn content(members: usize, level: &str, standing: &str, rest: &str) -> String {
-    let mut text = format!("log {{ level = \"{level}\" }}\nhierarchy {{ tier = 1 }}\n{rest}");
+/// The content of a version: a hierarchy of trunk caches below an archive. `standing` is that of the first trunk cache,
+/// `extra` is added after the log and hierarchy settings.
+fn content(members: usize, level: &str, standing: &str, extra: &str) -> String {
+    let mut text = format!("log {{ level = \"{level}\" }}\nhierarchy {{ tier = 1 }}\n{extra}");
     text += "member \"s-000000ff\" {\n  incarnation = 1\n  number = 1\n  tier = 2\n  fills_from = []\n}\n";
     for n in 0..members {
         let standing = if n == 0 { standing } else { "in_service" };
@@ -44,6 +46,7 @@
     text
 }
 
+/// The members behind the fronts, and the feed.
 struct Site {
     cache: Member,
     archive: Member,
@@ -61,12 +64,12 @@
     }
 
     fn config(&self, name: &str, seed: u64) -> String {
-        let row = |m: &Member, place: &str, flavor: &str| {
-            json!({"id": m.id, "host_port": m.address.to_string(), "locality": place, "flavor": flavor, "cell": 0,
+        let member_json = |m: &Member, locality: &str, flavor: &str| {
+            json!({"id": m.id, "host_port": m.address.to_string(), "locality": locality, "flavor": flavor, "cell": 0,
                 "phase": "in_service", "size": 1, "up_since_ms": 0})
         };
         let members = json!({"revision": 1, "complete": true,
-            "members": [row(&self.cache, "here", "cache"), row(&self.archive, "hub", "archive")]});
+            "members": [member_json(&self.cache, "here", "cache"), member_json(&self.archive, "hub", "archive")]});
         let settings = json!({
             "zone": 0, "fleetSize": FRONTS, "quantum": 2.0, "localities": ["here", "hub"],
             "machineTypes": ["cache", "trunk", "archive"], "registryMode": "automatic", "weightKind": "nominal",
@@ -84,8 +87,8 @@
     }
 }
 
-/// A front's own settings: it follows the service at this address.
-fn settings(place: &Installation, n: usize, service: &str) -> Result<PathBuf, String> {
+/// Writes the settings of a front that gets its versions from the service at this address.
+fn write_settings(files: &Installation, n: usize, service: &str) -> Result<PathBuf, String> {
     let station = format!("station{}", n % STATIONS);
     let text = format!(
         "hierarchy {{\n  enabled = true\n  shape = \"shape.hcl\"\n}}\nversions {{\n  enabled = true\n  \
@@ -93,69 +96,72 @@
          key = \"{station}.key\"\n  authority = \"fronts-ca.pem\"\n  seal_keys = \"seal-keys.hcl\"\n  store = \"front-{n}.redb\"\n}}\n"
     );
     let name = format!("front-{n}.hcl");
-    place.write(&name, &text).map_err(|e| e.to_string())?;
-    Ok(place.file(&name))
+    files.write(&name, &text).map_err(|e| e.to_string())?;
+    Ok(files.file(&name))
 }
 
-struct Lab {
-    place: Installation,
+/// The configuration service.
+struct ControlService {
+    files: Installation,
     runtime: tokio::runtime::Runtime,
     running: Option<Running>,
-    fronts_at: SocketAddr,
-    operators_at: SocketAddr,
+    /// Where the service listens for fronts and for operators.
+    fronts_address: SocketAddr,
+    operators_address: SocketAddr,
 }
 
-impl Lab {
-    fn asker(&self) -> Result<Asker, String> {
-        self.runtime.block_on(Asker::at(self.operators_at, SERVICE, &self.place.identity("person")))
+impl ControlService {
+    fn operator(&self) -> Result<Asker, String> {
+        self.runtime.block_on(Asker::at(self.operators_address, SERVICE, &self.files.identity("person")))
     }
 
-    fn totals(&self, asker: &mut Asker) -> Result<Totals, String> {
-        match self.runtime.block_on(asker.ask(&Request::Status))? {
+    fn totals(&self, operator: &mut Asker) -> Result<Totals, String> {
+        match self.runtime.block_on(operator.ask(&Request::Status))? {
             Response::Status(totals) => Ok(*totals),
             other => Err(format!("{other:?}")),
         }
     }
 
-    fn until(
+    fn wait_until(
         &self,
-        asker: &mut Asker,
-        what: &str,
-        holds: impl Fn(&Totals) -> bool,
+        operator: &mut Asker,
+        awaited: &str,
+        condition: impl Fn(&Totals) -> bool,
     ) -> Result<Totals, String> {
-        let begun = Instant::now();
+        let started_at = Instant::now();
         loop {
-            let totals = self.totals(asker)?;
-            if holds(&totals) {
+            let totals = self.totals(operator)?;
+            if condition(&totals) {
                 return Ok(totals);
             }
-            if begun.elapsed() > Duration::from_secs(120) {
-                return Err(format!("{what} has not come in two minutes: {totals:?}"));
+            if started_at.elapsed() > Duration::from_secs(120) {
+                return Err(format!("timed out after two minutes waiting for {awaited}: {totals:?}"));
             }
             std::thread::sleep(Duration::from_millis(10));
         }
     }
 
-    fn publish(&self, asker: &mut Asker, content: &str) -> Result<VersionId, String> {
-        let expects = self.totals(asker)?.last;
-        let ask =
-            Request::Publish { content: content.as_bytes().into(), note: "".into(), expected_last: expects };
-        match self.runtime.block_on(asker.ask(&ask))? {
+    fn publish(&self, operator: &mut Asker, content: &str) -> Result<VersionId, String> {
+        let expected_last = self.totals(operator)?.last;
+        let request = Request::Publish { content: content.as_bytes().into(), note: "".into(), expected_last };
+        match self.runtime.block_on(operator.ask(&request))? {
             Response::Published(id) => Ok(id),
             other => Err(format!("{other:?}")),
         }
     }
 
-    /// The service as it is, with other rules; the old one ends first: one process has the store at a time.
+    /// Restarts the service with other rollout settings. The old one ends first, since the store can only be open once.
     fn restart(&mut self, publication: &str) -> Result<(), String> {
         if let Some(running) = self.running.take() {
             self.runtime.block_on(running.stop());
         }
-        let at = self.fronts_at.to_string();
-        let file =
-            self.place.write_control_settings(&at, "127.0.0.1:0", publication).map_err(|e| e.to_string())?;
+        let address = self.fronts_address.to_string();
+        let file = self
+            .files
+            .write_control_settings(&address, "127.0.0.1:0", publication)
+            .map_err(|e| e.to_string())?;
         let running = self.runtime.block_on(Running::start(Settings::load(&file)?))?;
-        (self.fronts_at, self.operators_at) = (running.fronts, running.operators);
+        (self.fronts_address, self.operators_address) = (running.fronts, running.operators);
         self.running = Some(running);
         Ok(())
     }
@@ -165,191 +171,209 @@
     sorted.get(((sorted.len() as f64 - 1.0) * q).round() as usize).copied().unwrap_or(f64::NAN)
 }
 
-/// Accesses asked of one front until told to stop; those lost.
-fn load(
-    at: SocketAddr,
+/// Makes accesses at one front until `stop` is set; returns how many, and how many were lost.
+fn start_load(
+    address: SocketAddr,
     seed: u64,
     clients: usize,
     stop: Arc<std::sync::atomic::AtomicBool>,
 ) -> std::thread::JoinHandle<(u64, u64)> {
     use std::sync::atomic::Ordering::SeqCst;
     std::thread::spawn(move || {
-        let (mut rng, mut asked, mut lost) = (Rng::with_seed(seed), 0, 0);
-        let mut open: Vec<Option<Client>> = (0..clients).map(|_| None).collect();
+        let (mut rng, mut accesses, mut lost) = (Rng::with_seed(seed), 0, 0);
+        let mut connections: Vec<Option<Client>> = (0..clients).map(|_| None).collect();
         while !stop.load(SeqCst) {
-            for client in &mut open {
-                // A front that was killed is not asked; one that takes a connection owes an answer.
-                let Some(own) = client.take().or_else(|| Client::connect(at).ok()) else { continue };
-                let mut own = own;
+            for connection in &mut connections {
+                // A killed front refuses connections, which does not count; an access without a response is lost.
+                let Some(open) = connection.take().or_else(|| Client::connect(address).ok()) else {
+                    continue;
+                };
+                let mut client = open;
                 let key = format!("{:016x}", rng.u64(1..200));
-                asked += 1;
-                match own.request("files", &key, 1_500) {
-                    Ok(_) => *client = Some(own),
+                accesses += 1;
+                match client.request("files", &key, 1_500) {
+                    Ok(_) => *connection = Some(client),
                     Err(_) => lost += 1,
                 }
             }
             std::thread::sleep(Duration::from_millis(20));
         }
-        (asked, lost)
+        (accesses, lost)
     })
 }
 
-pub fn run(how: &RunArgs, named: Option<PathBuf>, followers: Option<usize>) -> Result<Figures, String> {
-    let program = rig::program(named)?;
-    let puppets = followers.unwrap_or(if how.quick { 100 } else { 300 });
+pub fn run(run_args: &RunArgs, front: Option<PathBuf>, followers: Option<usize>) -> Result<Figures, String> {
+    let program = rig::program(front)?;
+    let stub_count = followers.unwrap_or(if run_args.quick { 100 } else { 300 });
     let io = |e: std::io::Error| e.to_string();
-    let place = Installation::new("lab-config").map_err(io)?;
-    place.write("shape.hcl", "").map_err(io)?;
+    let files = Installation::new("lab-config").map_err(io)?;
+    files.write("shape.hcl", "").map_err(io)?;
     for n in 0..STATIONS {
         let station = format!("station{n}");
-        place.issue(&station, &place.fronts, &[&format!("*.{station}")], 30).map_err(io)?;
+        files.issue(&station, &files.fronts, &[&format!("*.{station}")], 30).map_err(io)?;
     }
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build().map_err(io)?;
-    let quick = "  soak_ms = 100\n  answer_within_ms = 10000\n  canaries = 2\n  missing = 0.5\n  drop = 1.0";
-    let file = place.write_control_settings("127.0.0.1:0", "127.0.0.1:0", quick).map_err(io)?;
+    let waves = "  soak_ms = 100\n  answer_within_ms = 10000\n  canaries = 2\n  missing = 0.5\n  drop = 1.0";
+    let file = files.write_control_settings("127.0.0.1:0", "127.0.0.1:0", waves).map_err(io)?;
     let running = runtime.block_on(Running::start(Settings::load(&file)?))?;
-    let (fronts_at, operators_at) = (running.fronts, running.operators);
-    let mut lab = Lab { place, runtime, running: Some(running), fronts_at, operators_at };
-    let service = fronts_at.to_string();
+    let (fronts_address, operators_address) = (running.fronts, running.operators);
+    let mut control =
+        ControlService { files, runtime, running: Some(running), fronts_address, operators_address };
+    let service = fronts_address.to_string();
 
     let site = Site::start()?;
     let mut fronts: Vec<Option<Front>> = Vec::new();
-    let start = |n: usize, lab: &Lab| -> Result<Front, String> {
+    let start_front = |n: usize, control: &ControlService| -> Result<Front, String> {
         let name = format!("n{n}.station{}", n % STATIONS);
-        let config = lab.place.file(&format!("front-{n}.json"));
-        std::fs::write(&config, site.config(&name, how.seed + n as u64)).map_err(io)?;
-        Front::start(&program, &config, Some(&settings(&lab.place, n, &service)?))
+        let config = control.files.file(&format!("front-{n}.json"));
+        std::fs::write(&config, site.config(&name, run_args.seed + n as u64)).map_err(io)?;
+        Front::start(&program, &config, Some(&write_settings(&control.files, n, &service)?))
     };
     for n in 0..FRONTS {
-        fronts.push(Some(start(n, &lab)?));
+        fronts.push(Some(start_front(n, &control)?));
     }
-    let (begun, mut figures) = (Instant::now(), Figures::default());
-    let mut others: Vec<StubFront> = Vec::new();
-    for n in 0..puppets {
-        let _here = lab.runtime.enter();
+    let (started_at, mut figures) = (Instant::now(), Figures::default());
+    let mut stubs: Vec<StubFront> = Vec::new();
+    for n in 0..stub_count {
+        let _entered = control.runtime.enter();
         let station = format!("station{}", n % STATIONS);
-        let (name, papers) = (format!("p{n}.{station}"), lab.place.identity(&station));
-        let (service, keys, seed) = (fronts_at, keys(&[1]), how.seed.wrapping_add(1_000 + n as u64));
-        let who = StubConfig { name: &name, station: &station, service, identity: &papers, keys, seed };
-        others.push(StubFront::start(&who, Arc::new(|_: &VersionId, _: &[u8]| Ok(())))?);
+        let (name, identity) = (format!("p{n}.{station}"), control.files.identity(&station));
+        let (service, keys, seed) =
+            (fronts_address, keys(&[1]), run_args.seed.wrapping_add(1_000 + n as u64));
+        let config = StubConfig { name: &name, station: &station, service, identity: &identity, keys, seed };
+        stubs.push(StubFront::start(&config, Arc::new(|_: &VersionId, _: &[u8]| Ok(())))?);
     }
-    let all = FRONTS + puppets;
-    let mut asker = lab.asker()?;
-    lab.until(&mut asker, "each front", |t| t.connected as usize == all)?;
-    figures.put_rounded("all_connected_s", begun.elapsed().as_secs_f64());
+    let front_count = FRONTS + stub_count;
+    let mut operator = control.operator()?;
+    control.wait_until(&mut operator, "each front to connect", |t| t.connected as usize == front_count)?;
+    figures.put_rounded("all_connected_s", started_at.elapsed().as_secs_f64());
     figures.put_rounded("mb_of_service_and_followers", rig::memory_mb(std::process::id())?);
 
-    // 1. The whole, and one line of it.
-    let begun = Instant::now();
+    // 1. A whole file, and one changed line of it.
+    let published_at = Instant::now();
     let first_text = content(100, "info", "in_service", "");
-    let first = lab.publish(&mut asker, &first_text)?;
-    lab.until(&mut asker, "the first version", |t| t.current as usize == all && t.base == Some(first))?;
+    let first = control.publish(&mut operator, &first_text)?;
+    control.wait_until(&mut operator, "the first version everywhere", |t| {
+        t.current as usize == front_count && t.base == Some(first)
+    })?;
     figures.put("real_fronts", FRONTS);
-    figures.put("followers", puppets);
+    figures.put("followers", stub_count);
     figures.put("whole_bytes", first_text.len());
-    figures.put_rounded("whole_everywhere_s", begun.elapsed().as_secs_f64());
+    figures.put_rounded("whole_everywhere_s", published_at.elapsed().as_secs_f64());
     let second_text = content(100, "info", "draining", "");
-    let (at, begun) = (doorgrade_stream::clock::now(), Instant::now());
-    let second = lab.publish(&mut asker, &second_text)?;
-    lab.until(&mut asker, "the second version", |t| t.current as usize == all && t.base == Some(second))?;
-    figures.put_rounded("line_everywhere_s", begun.elapsed().as_secs_f64());
-    let mut took: Vec<f64> = others
+    let (published_ticks, published_at) = (doorgrade_stream::clock::now(), Instant::now());
+    let second = control.publish(&mut operator, &second_text)?;
+    control.wait_until(&mut operator, "the second version everywhere", |t| {
+        t.current as usize == front_count && t.base == Some(second)
+    })?;
+    figures.put_rounded("line_everywhere_s", published_at.elapsed().as_secs_f64());
+    let mut delays_s: Vec<f64> = stubs
         .iter()
         .filter_map(|p| {
-            p.record.lock().ok()?.applied.iter().find(|r| r.0 == second).map(|r| (r.1 - at) as f64 / 1e4)
+            p.record
+                .lock()
+                .ok()?
+                .applied
+                .iter()
+                .find(|r| r.0 == second)
+                .map(|r| (r.1 - published_ticks) as f64 / 1e4)
         })
         .collect();
-    took.sort_by(f64::total_cmp);
-    figures.put_rounded("line_in_use_median_s", quantile(&took, 0.5));
-    figures.put_rounded("line_in_use_p99_s", quantile(&took, 0.99));
+    delays_s.sort_by(f64::total_cmp);
+    figures.put_rounded("line_in_use_median_s", quantile(&delays_s, 0.5));
+    figures.put_rounded("line_in_use_p99_s", quantile(&delays_s, 0.99));
     let delta = doorgrade_versions::delta::between(first_text.as_bytes(), second_text.as_bytes());
-    let body = doorgrade_versions::message::Body::Delta(delta);
+    let delta = doorgrade_versions::message::Body::Delta(delta);
     let seal = doorgrade_versions::seal::Seal { key: 1, mac: [0; 32] };
     let whole = doorgrade_versions::message::Body::Full(second_text.as_bytes().into());
-    let bytes = |body| {
+    let message_bytes = |body| {
         let message = doorgrade_versions::message::ToFront::Content { id: second, seal, body };
         doorgrade_stream::frame::frame(&message).map_or(0, |f| f.len())
     };
-    figures.put("line_bytes_sent", bytes(body));
-    figures.put("line_bytes_whole", bytes(whole));
+    figures.put("line_bytes_sent", message_bytes(delta));
+    figures.put("line_bytes_whole", message_bytes(whole));
 
-    // 2. Deaths at chosen moments of a publication, under load.
+    // 2. Half of the real fronts are killed at random moments of publications; the others are under load.
     let stop = Arc::new(std::sync::atomic::AtomicBool::new(false));
-    let calm: Vec<_> = fronts
+    let loads: Vec<_> = fronts
         .iter()
         .enumerate()
         .skip(FRONTS / 2)
-        .filter_map(|(n, f)| Some(load(f.as_ref()?.at, how.seed + n as u64, 4, stop.clone())))
+        .filter_map(|(n, f)| Some(start_load(f.as_ref()?.address, run_args.seed + n as u64, 4, stop.clone())))
         .collect();
-    let (rounds, mut starts, mut bad_starts) = (if how.quick { 3 } else { 10 }, 0, 0);
-    let mut rng = Rng::with_seed(how.seed);
+    let (rounds, mut starts, mut bad_starts) = (if run_args.quick { 3 } else { 10 }, 0, 0);
+    let mut rng = Rng::with_seed(run_args.seed);
     let mut last = second;
     for round in 0..rounds {
         let text = content(100, if round % 2 == 0 { "debug" } else { "info" }, "in_service", "");
-        let next = lab.publish(&mut asker, &text)?;
+        let next = control.publish(&mut operator, &text)?;
         std::thread::sleep(Duration::from_millis(rng.u64(0..150)));
         for (n, front) in fronts.iter_mut().enumerate().take(FRONTS / 2) {
-            // Killed, and started from what its store has; the line that says what this start runs is looked for.
+            // Killed, and started from its store. Its log must say that it starts with a published version.
             drop(front.take());
-            let again = start_again(&program, &lab, n)?;
+            let restarted = restart_front(&program, &control, n)?;
             starts += 1;
-            let known = [first, second, last, next].map(|id| format!("this start runs {id}"));
-            let good = |line: &String| known.iter().any(|known| line.contains(known.as_str()));
-            bad_starts += usize::from(!again.lines().iter().any(good));
-            *front = Some(again);
+            let good_starts = [first, second, last, next].map(|id| format!("this start runs {id}"));
+            let is_good = |line: &String| good_starts.iter().any(|text| line.contains(text.as_str()));
+            bad_starts += usize::from(!restarted.log_lines().iter().any(is_good));
+            *front = Some(restarted);
         }
-        lab.until(&mut asker, "a version after deaths", |t| {
-            t.current as usize == all && t.base == Some(next)
+        control.wait_until(&mut operator, "a version everywhere after the restarts", |t| {
+            t.current as usize == front_count && t.base == Some(next)
         })?;
         last = next;
     }
     stop.store(true, std::sync::atomic::Ordering::SeqCst);
-    let (asked, lost) =
-        calm.into_iter().filter_map(|t| t.join().ok()).fold((0, 0), |s, l| (s.0 + l.0, s.1 + l.1));
+    let (accesses, lost) = loads
+        .into_iter()
+        .filter_map(|t| t.join().ok())
+        .fold((0, 0), |sum, load| (sum.0 + load.0, sum.1 + load.1));
     figures.put("deaths", starts);
     figures.put("bad_starts", bad_starts);
-    figures.put("accesses_meanwhile", asked);
+    figures.put("accesses_meanwhile", accesses);
     figures.put("lost", lost);
 
-    // What each front says it runs, against what its own log says.
-    let rows = lab.runtime.block_on(asker.fronts(Filter::All))?;
-    let untrue = rows.iter().filter(|r| r.running != Some(last) || r.false_claim).count();
-    figures.put("untrue_states", untrue);
-    let bad: usize = others.iter().filter_map(|p| Some(p.record.lock().ok()?.bad_in_use)).sum();
-    figures.put_rounded("on_good_version", if bad == 0 && bad_starts == 0 { 1.0 } else { 0.0 });
+    // Fronts that report another version than the last one, or that the service found to report falsely.
+    let rows = control.runtime.block_on(operator.fronts(Filter::All))?;
+    let false_reports = rows.iter().filter(|r| r.running != Some(last) || r.false_claim).count();
+    figures.put("untrue_states", false_reports);
+    let bad_in_use: usize = stubs.iter().filter_map(|s| Some(s.record.lock().ok()?.bad_in_use)).sum();
+    figures.put_rounded("on_good_version", if bad_in_use == 0 && bad_starts == 0 { 1.0 } else { 0.0 });
 
-    // 3. One that hurts.
-    lab.restart("  soak_ms = 30000\n  answer_within_ms = 10000\n  canaries = 2\n  drop = 0.03")?;
-    let mut asker = lab.asker()?;
-    lab.until(&mut asker, "each front again", |t| t.connected as usize == all)?;
+    // 3. A harmful version.
+    control.restart("  soak_ms = 30000\n  answer_within_ms = 10000\n  canaries = 2\n  drop = 0.03")?;
+    let mut operator = control.operator()?;
+    control.wait_until(&mut operator, "each front to reconnect", |t| t.connected as usize == front_count)?;
     let stop = Arc::new(std::sync::atomic::AtomicBool::new(false));
     let loads: Vec<_> = fronts
         .iter()
         .enumerate()
-        .filter_map(|(n, f)| Some(load(f.as_ref()?.at, how.seed + n as u64, 24, stop.clone())))
+        .filter_map(|(n, f)| {
+            Some(start_load(f.as_ref()?.address, run_args.seed + n as u64, 24, stop.clone()))
+        })
         .collect();
-    for puppet in &others {
-        puppet.record.lock().map_err(|e| e.to_string())?.serves = Some(1.0);
+    for stub in &stubs {
+        stub.record.lock().map_err(|e| e.to_string())?.serves = Some(1.0);
     }
-    lab.until(&mut asker, "word of how they serve", |_| true)?;
+    control.wait_until(&mut operator, "the totals", |_| true)?;
     std::thread::sleep(Duration::from_secs(11));
     let harmful = content(100, "info", "in_service", "limits { sockets = 32 }\n");
-    let begun = Instant::now();
-    let bad = lab.publish(&mut asker, &harmful)?;
-    // Followers have no accesses of their own: those that run it say what a front without descriptors would.
+    let published_at = Instant::now();
+    let bad = control.publish(&mut operator, &harmful)?;
+    // Stubs serve no accesses: those that apply the harmful version report what a front without descriptors would.
     let stopped = loop {
-        for puppet in &others {
-            let mut record = puppet.record.lock().map_err(|e| e.to_string())?;
+        for stub in &stubs {
+            let mut record = stub.record.lock().map_err(|e| e.to_string())?;
             if record.applied.last().is_some_and(|r| r.0 == bad) {
                 record.serves = Some(0.5);
             }
         }
-        let totals = lab.totals(&mut asker)?;
-        let own = totals.publication.filter(|p| p.id == bad);
-        match own {
+        let totals = control.totals(&mut operator)?;
+        let rollout = totals.publication.filter(|p| p.id == bad);
+        match rollout {
             Some(p) if p.stopped.is_some() => break Some(p),
             None => break None,
-            Some(_) if begun.elapsed() > Duration::from_secs(120) => break None,
+            Some(_) if published_at.elapsed() > Duration::from_secs(120) => break None,
             Some(_) => std::thread::sleep(Duration::from_millis(100)),
         }
     };
@@ -360,16 +384,16 @@
         "harmful_why",
         stopped.as_ref().and_then(|p| p.stopped.as_ref()).map_or(String::new(), ToString::to_string),
     );
-    figures.put("fronts_touched", stopped.as_ref().map_or(all, |p| p.offered));
+    figures.put("fronts_touched", stopped.as_ref().map_or(front_count, |p| p.offered));
     figures.put("first_wave", 2);
-    figures.put_rounded("harmful_stopped_s", begun.elapsed().as_secs_f64());
+    figures.put_rounded("harmful_stopped_s", published_at.elapsed().as_secs_f64());
     Ok(figures)
 }
 
-fn start_again(program: &Path, lab: &Lab, n: usize) -> Result<Front, String> {
+fn restart_front(program: &Path, control: &ControlService, n: usize) -> Result<Front, String> {
     Front::start(
         program,
-        &lab.place.file(&format!("front-{n}.json")),
-        Some(&lab.place.file(&format!("front-{n}.hcl"))),
+        &control.files.file(&format!("front-{n}.json")),
+        Some(&control.files.file(&format!("front-{n}.hcl"))),
     )
 }
