--- a/crates/lab/src/scale/agent.rs
+++ b/crates/lab/src/scale/agent.rs
@@ -12,7 +12,7 @@
 use serde_json::{Value, json};
 
 use super::{Context, Needs, Part, Point, Quantity, ScaleError};
-use crate::rig::{self, Folder, listed};
+use crate::rig::{self, Folder, member_json};
 
 /// Beside the instances: the agent, and a command that calls it.
 const OTHER_PROCESSES: usize = 2;
@@ -59,7 +59,7 @@
 
     /// The platform's configuration of an instance.
     fn config(&self, size: usize) -> String {
-        let rows = [listed(&self.cache, "here", "cache"), listed(&self.archive, "here", "archive")];
+        let rows = [member_json(&self.cache, "here", "cache"), member_json(&self.archive, "here", "archive")];
         let settings = json!({
             "zone": 0, "fleetSize": size, "quantum": 2.0, "localities": ["here"], "machineTypes": ["cache", "archive"],
             "registryMode": "automatic", "weightKind": "nominal",
--- a/crates/lab/src/scale/comparison.rs
+++ b/crates/lab/src/scale/comparison.rs
@@ -164,7 +164,7 @@
                 .sum::<usize>()
         };
         let control_cpu_ms =
-            |front: &Front| REAL_THREADS.iter().map(|t| thread_cpu_ms(front.process(), t)).sum::<f64>();
+            |front: &Front| REAL_THREADS.iter().map(|t| thread_cpu_ms(front.process_id(), t)).sum::<f64>();
         let cpu =
             [self.real.iter().map(control_cpu_ms).sum(), thread_cpu_ms(std::process::id(), CONTROL_THREAD)];
         [0, 1].map(|kind| KindTotals {
--- a/crates/lab/src/scale/rollouts.rs
+++ b/crates/lab/src/scale/rollouts.rs
@@ -24,7 +24,7 @@
 use doorgrade_versions::service::{LogEvent, Request, Response};
 
 use super::{Context, Needs, Part, ScaleError};
-use crate::rig::{Got, Planned, Played, cpu_ms, memory_mb, play, thread_cpu_ms};
+use crate::rig::{AccessResult, LoadResult, PlannedAccess, cpu_ms, memory_mb, run_load, thread_cpu_ms};
 use content::Harm;
 use plan::Plan;
 use records::{Published, Records, quantile};
@@ -60,7 +60,7 @@
     /// Bytes of each connection so far, at each second, and the index of the second in which the first change was published.
     bytes: Vec<Vec<u64>>,
     changes_from: usize,
-    load_results: Vec<Played>,
+    load_results: Vec<LoadResult>,
     /// Processor time of a real front's `versions` thread and of the service, relative to the elapsed time.
     front_core_share: f64,
     service_core_share: f64,
@@ -140,7 +140,7 @@
     let (mut published, mut rejected, mut bytes) = (Vec::new(), 0, Vec::new());
     let began_at = Instant::now();
     let cpu_usage = |rig: &Rig| {
-        let fronts: f64 = rig.fronts.iter().map(|f| thread_cpu_ms(f.process(), VERSIONS_THREAD)).sum();
+        let fronts: f64 = rig.fronts.iter().map(|f| thread_cpu_ms(f.process_id(), VERSIONS_THREAD)).sum();
         (fronts / REAL_FRONTS as f64, cpu_ms(rig.service_id()), Instant::now())
     };
     let (mut before, mut changes_from, mut next) = (cpu_usage(rig), 0, 0);
@@ -190,18 +190,18 @@
 }
 
 /// Starts a thread for each real front that generates its load for the whole plan.
-fn start_load(rig: &Rig, plan: &Plan) -> Vec<std::thread::JoinHandle<Played>> {
+fn start_load(rig: &Rig, plan: &Plan) -> Vec<std::thread::JoinHandle<LoadResult>> {
     let start = Instant::now();
     let threads = rig.fronts.iter().enumerate().map(|(n, front)| {
-        let (at, count) = (front.at, (plan.duration_s * ACCESSES_PER_S) as usize);
+        let (at, count) = (front.address, (plan.duration_s * ACCESSES_PER_S) as usize);
         let mut rng = fastrand::Rng::with_seed(plan.seed ^ n as u64);
-        let planned = move |k: usize| Planned {
+        let planned = move |k: usize| PlannedAccess {
             at_ms: (k as f64 + rng.f64()) * 1e3 / ACCESSES_PER_S,
             class: 0,
             key: rng.u64(1..200),
         };
-        let accesses: Vec<Planned> = (0..count).map(planned).collect();
-        std::thread::spawn(move || play(at, &accesses, &CLASSES, start, CLIENTS_PER_FRONT))
+        let accesses: Vec<PlannedAccess> = (0..count).map(planned).collect();
+        std::thread::spawn(move || run_load(at, &accesses, &CLASSES, start, CLIENTS_PER_FRONT))
     });
     threads.collect()
 }
@@ -257,11 +257,11 @@
     context.put("untrue_states", premature.count());
 
     let samples = || load_results.iter().flat_map(|p| &p.samples);
-    let count = |got: Got| samples().filter(|s| s.got == got).count();
+    let count = |got: AccessResult| samples().filter(|s| s.result == got).count();
     context.put("accesses", samples().count());
-    context.put("lost", count(Got::Lost));
+    context.put("lost", count(AccessResult::Lost));
     context.put("answered_twice", load_results.iter().map(|p| p.answered_twice).sum::<usize>());
-    context.put("rule_breaks", count(Got::Wrong));
+    context.put("rule_breaks", count(AccessResult::WrongBody));
     context.put_rounded("front_control_core_share", result.front_core_share);
     let (rest, max) = byte_rates(bytes, result.changes_from);
     context.put_rounded("front_control_bytes_per_s", rest);
--- a/crates/lab/src/scale/rollouts/rig.rs
+++ b/crates/lab/src/scale/rollouts/rig.rs
@@ -24,7 +24,7 @@
 
 /// The class of the accesses at real fronts.
 pub const CLASSES: [Class; 1] =
-    [Class { name: "files", wait_ms: 1_500, soft_ms: 500.0, benefit: 1.0, write: false }];
+    [Class { name: "files", timeout_ms: 1_500, soft_limit_ms: 500.0, benefit: 1.0, write: false }];
 
 /// A cache, an archive and the control feed of the real fronts.
 struct Backends {
@@ -45,8 +45,10 @@
 
     /// The platform's configuration of a real front.
     fn config(&self, name: &str, seed: u64, fronts: usize) -> String {
-        let listed =
-            [rig::listed(&self.cache, "here", "cache"), rig::listed(&self.archive, "hub", "archive")];
+        let listed = [
+            rig::member_json(&self.cache, "here", "cache"),
+            rig::member_json(&self.archive, "hub", "archive"),
+        ];
         let members = json!({"revision": 1, "complete": true, "members": listed});
         let settings = json!({
             "zone": 0, "fleetSize": fronts, "quantum": 2.0, "localities": ["here", "hub"],
@@ -257,7 +259,7 @@
                     self.shared.by_log_name(version).unwrap_or_else(|| Arc::new(ContentSummary::default()));
                 Some(((at * 10.0).round() as u64, summary))
             };
-            front.lines().iter().filter_map(applied).collect()
+            front.log_lines().iter().filter_map(applied).collect()
         });
         real.chain(self.control_only.iter().map(ControlOnlyFront::applied)).collect()
     }
