--- a/crates/lab/tests/hollow.rs
+++ b/crates/lab/tests/hollow.rs
@@ -55,13 +55,13 @@
             start(&front_files, StartOptions { store_versions: n == 0 }, handle, Some(handle)).unwrap()
         })
         .collect();
-    let mut asker = runtime
+    let mut client = runtime
         .block_on(OperatorClient::connect_to(service.operators, SERVICE, &installation.identity("person")))
         .unwrap();
     let mut publish = |text: String| {
         let began_at = Instant::now();
         loop {
-            let Response::Status(totals) = runtime.block_on(asker.request(&Request::Status)).unwrap() else {
+            let Response::Status(totals) = runtime.block_on(client.request(&Request::Status)).unwrap() else {
                 panic!("the response is not a status")
             };
             let request = Request::Publish {
@@ -70,7 +70,7 @@
                 expected_last: totals.last,
             };
             let connected = totals.connected == 2;
-            if connected && let Response::Published(id) = runtime.block_on(asker.request(&request)).unwrap() {
+            if connected && let Response::Published(id) = runtime.block_on(client.request(&request)).unwrap() {
                 return id;
             }
             assert!(began_at.elapsed() < TIMEOUT, "not published: {totals:?}");
