--- a/crates/benchlink/src/line.rs
+++ b/crates/benchlink/src/line.rs
@@ -4,7 +4,7 @@
 
 use doorgrade::Ticks;
 
-/// What is wrong with the input, or with reading or writing, as a text for people.
+/// A fault of the input, or of reading or writing, as a text for people.
 #[derive(Debug)]
 pub struct Error(pub String);
 
--- a/crates/control-client/src/configuration.rs
+++ b/crates/control-client/src/configuration.rs
@@ -2,7 +2,7 @@
 //! unless the operators' settings enable it; nothing of this is started then.
 //!
 //! The follower talks to the service, checks versions and stores them. The instance applies a version
-//! ([`Instance::apply`]), either whole or not at all.
+//! ([`Instance::apply`]), either completely or not at all.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -31,23 +31,23 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Served {
     /// The benefit of all accesses that were requested.
-    pub asked: u64,
+    pub requested_benefit: u64,
     /// The benefit of those that were answered within the soft limit.
-    pub in_time: u64,
+    pub earned_benefit: u64,
     pub accesses: AccessCounts,
 }
 
-/// What applies the versions: a front with client traffic, or one without.
+/// An instance that versions are applied to: a front with client traffic, or one without.
 pub trait Instance {
     /// The keys of a version that take effect only after a restart; empty if it can be applied now.
     fn needs_restart(&self, version: &Version) -> Vec<String>;
-    /// Applies a version, either whole or not at all; an error says why it was not. Does not resolve in an instance
+    /// Applies a version, either completely or not at all; an error gives the reason. Does not resolve in an instance
     /// that is shutting down.
     fn apply(&mut self, id: &VersionId, version: &Arc<Version>) -> impl Future<Output = Result<(), String>>;
     fn served(&self) -> Served;
 }
 
-/// What was found in the store of versions at the start.
+/// The content of the store of versions at the start.
 pub struct StoredVersion {
     settings: Versions,
     settings_path: PathBuf,
@@ -59,7 +59,7 @@
     seed: u64,
 }
 
-/// Reads and checks a content; an error says why this instance can't apply it.
+/// Reads and checks a content; an error gives the reason why this instance can't apply it.
 fn read_applicable(
     content: &[u8],
     needs_restart: impl Fn(&Version) -> Vec<String>,
@@ -86,17 +86,17 @@
     ) -> StoredVersion {
         let path = files::resolve(settings_path, &settings.store);
         let store = match Records::open(&path) {
-            Ok((records, trouble)) => {
-                trouble.iter().for_each(|trouble| tracing::error!("versions: {trouble}"));
+            Ok((records, error)) => {
+                error.iter().for_each(|error| tracing::error!("versions: {error}"));
                 Some(FrontStore::new(records))
             }
-            Err(trouble) => {
-                tracing::error!("versions: {}: {trouble}; nothing will be stored", path.display());
+            Err(error) => {
+                tracing::error!("versions: {}: {error}; nothing will be stored", path.display());
                 None
             }
         };
-        let (stored, troubles) = store.as_ref().map(FrontStore::load).unwrap_or_default();
-        troubles.iter().for_each(|trouble| tracing::error!("versions: {trouble}"));
+        let (stored, errors) = store.as_ref().map(FrontStore::load).unwrap_or_default();
+        errors.iter().for_each(|error| tracing::error!("versions: {error}"));
         let last_good =
             stored.last_good.as_ref().map(|(id, _, content)| (id, read_applicable(content, &needs_restart)));
         let (usable, version) = match last_good {
@@ -141,7 +141,7 @@
         Ok(Follower { stored: self, name, server_name, credentials, seal_keys, keys, instance })
     }
 
-    /// Follows the service on a thread of its own.
+    /// Follows the service on a separate thread.
     pub fn follow(
         self,
         name: String,
@@ -210,8 +210,8 @@
                 tracing::info!("versions: reloaded the certificates; an open connection stays open");
                 reloaded.push(Command::Tls(credentials.config()));
             }
-            Some(Err(trouble)) => {
-                tracing::error!("versions: {trouble}; the certificates read before stay in use");
+            Some(Err(error)) => {
+                tracing::error!("versions: {error}; the certificates read before stay in use");
             }
         }
         if let Some(new) = changed_keys(&seal_keys, &keys) {
@@ -245,8 +245,8 @@
         let Some(store) = &self.store else { return false };
         match write(store) {
             Ok(()) => true,
-            Err(trouble) => {
-                tracing::error!("versions: {trouble}");
+            Err(error) => {
+                tracing::error!("versions: {error}");
                 false
             }
         }
@@ -312,12 +312,12 @@
 
     fn service_level(&mut self) -> Option<f32> {
         let now = self.instance.served();
-        let asked = now.asked.saturating_sub(self.last_served.asked);
-        let in_time = now.in_time.saturating_sub(self.last_served.in_time);
+        let requested = now.requested_benefit.saturating_sub(self.last_served.requested_benefit);
+        let earned = now.earned_benefit.saturating_sub(self.last_served.earned_benefit);
         self.last_served = now;
         // An access that is still open counts as requested now, and may be answered in time in the next interval, where
         // the share would then exceed 1.
-        (asked > 0).then(|| (in_time as f32 / asked as f32).min(1.0))
+        (requested > 0).then(|| (earned as f32 / requested as f32).min(1.0))
     }
 
     fn access_counts(&mut self) -> AccessCounts {
@@ -326,7 +326,7 @@
 
     fn connection_lost(&mut self, at: SocketAddr, reason: &str) {
         let message = format!("versions: the service at {at}: {reason}");
-        // Logs an error that is repeated while the service is unreachable once.
+        // While the service is unreachable, a repeated error is logged only once.
         if self.last_connection_error.as_ref() != Some(&message) {
             tracing::warn!("{message}");
             self.last_connection_error = Some(message);
--- a/crates/control-client/src/lib.rs
+++ b/crates/control-client/src/lib.rs
@@ -1,4 +1,4 @@
-//! The control side of a front: what it exchanges with the configuration service and with other fronts, and what of
+//! The control side of a front: the exchange with the configuration service and with other fronts, and the state of it
 //! that survives a restart.
 //!
 //! - [`configuration`]: follows the stream of configuration versions, checks and stores them, and has the instance
@@ -22,7 +22,7 @@
 use doorgrade_recall::{Fill, Purge};
 pub use doorgrade_stream::clock;
 
-/// What an instance has observed itself, to be remembered. Times are those of [`clock`].
+/// An observation of an instance itself, to be remembered. Times are those of [`clock`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum Observation {
     Fill(Fill),
--- a/crates/control-client/src/memory.rs
+++ b/crates/control-client/src/memory.rs
@@ -1,5 +1,5 @@
-//! What an instance remembers, on disk and for neighbours: [`PersistentMemory`] does the reading and writing, and
-//! leaves all decisions to [`Memory`], [`PageFetcher`] and [`PageServer`]. Off unless the operators' settings enable it.
+//! The memory of an instance, on disk and for neighbours: [`PersistentMemory`] does the reading and writing, and leaves
+//! all decisions to [`Memory`], [`PageFetcher`] and [`PageServer`]. Off unless the operators' settings enable it.
 
 use std::net::SocketAddrV4;
 use std::path::Path;
@@ -39,8 +39,8 @@
     Rules { fresh_times: offerings.iter().map(|o| o.fresh_time).collect(), purge_done, max_fills }
 }
 
-/// What is remembered and from whom, and how pages are exchanged with neighbours. Part of a message between fronts:
-/// encoded with postcard, by position.
+/// Counts of remembered parts by their source, and of pages exchanged with neighbours. Part of a message between
+/// fronts: encoded with postcard, by position.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemoryStatus {
     /// Parts that the front has seen itself, that its snapshot had, and that neighbours sent.
@@ -52,13 +52,13 @@
     /// Requested by others, but not served: too many requests, or nothing to serve.
     pub pages_rejected: u64,
     pub pages_received: u64,
-    /// Requested, but not received from the neighbour that was asked first.
+    /// Requested, but not received from the neighbour that they were requested from first.
     pub pages_missed: u64,
     /// It has received all that it requested, or has given up.
     pub fetch_done: bool,
 }
 
-/// Reads the snapshot in a store, if there is one; an error says why it can't be read.
+/// Reads the snapshot in a store, if there is one; an error gives the reason why it can't be read.
 pub fn read_snapshot(records: &Records) -> Result<Option<Snapshot>, String> {
     let Some(bytes) = records.read(SNAPSHOT_KEY).map_err(|t| t.to_string())? else { return Ok(None) };
     postcard::from_bytes(&bytes).map(Some).map_err(|_| "the snapshot can't be read".into())
@@ -77,9 +77,9 @@
     changed: bool,
     fetcher: Option<PageFetcher>,
     server: PageServer,
-    /// What the present fetch has imported.
+    /// Counts of the entries that the present fetch has imported.
     import_stats: ImportStats,
-    /// What was loaded at the start, for the instance to take over before it serves.
+    /// The entries loaded at the start, for the instance to take over before it serves.
     loaded: (Vec<Fill>, Vec<Purge>),
     loaded_homes: Option<(Ticks, Vec<SavedList>)>,
     homes: Vec<SavedList>,
@@ -94,12 +94,12 @@
         let now = clock::now();
         let path = files::resolve(settings, &recall.store);
         let store = match Records::open(&path) {
-            Ok((records, trouble)) => {
-                trouble.iter().for_each(|trouble| tracing::error!("recall: {trouble}"));
+            Ok((records, error)) => {
+                error.iter().for_each(|error| tracing::error!("recall: {error}"));
                 Some(records)
             }
-            Err(trouble) => {
-                tracing::error!("recall: {}: {trouble}; nothing will be stored", path.display());
+            Err(error) => {
+                tracing::error!("recall: {}: {error}; nothing will be stored", path.display());
                 None
             }
         };
@@ -148,8 +148,8 @@
     fn load_homes(&self) -> Option<(Ticks, Vec<SavedList>)> {
         let bytes = match self.store.as_ref()?.read(HOMES_KEY) {
             Ok(bytes) => bytes?,
-            Err(trouble) => {
-                tracing::error!("recall: saved homes are ignored: {trouble}");
+            Err(error) => {
+                tracing::error!("recall: saved homes are ignored: {error}");
                 return None;
             }
         };
@@ -170,7 +170,7 @@
         self.loaded_homes.clone()
     }
 
-    /// What the snapshot had that is still valid.
+    /// The entries from the snapshot that are still valid.
     pub fn loaded(&self) -> (Vec<Fill>, Vec<Purge>) {
         self.loaded.clone()
     }
@@ -274,8 +274,8 @@
         self.server.serve(now, clock::now(), to, &self.memory, page)
     }
 
-    /// Imports a page from a neighbour; returns what of it is new to the instance. A page that was not requested is
-    /// ignored.
+    /// Imports a page from a neighbour; returns the entries that are new to the instance. A page that was not requested
+    /// is ignored.
     pub fn on_page(
         &mut self,
         from: SocketAddrV4,
--- a/crates/control-client/src/neighbours/exchange.rs
+++ b/crates/control-client/src/neighbours/exchange.rs
@@ -52,7 +52,7 @@
 
 struct Running {
     peers: Option<Peers>,
-    /// What [`Peers`] are made of once the address is no longer in use.
+    /// Present while the address is in use; [`Peers`] are created from it once it is free.
     unbound: Option<Membership>,
     memory: Option<PersistentMemory>,
     on_recalled: RecallHandler,
@@ -101,7 +101,7 @@
                 received = receive(self.peers.as_ref(), &mut bytes) => match received {
                     Ok((count, SocketAddr::V4(from))) => self.on_datagram(from, &bytes[..count]).await,
                     Ok(_) => {}
-                    // As when a datagram found no socket at its address; failure detection notices that by itself.
+                    // For example because a datagram found no socket at its address; the failure detector notices that.
                     Err(e) => tracing::debug!("neighbours: {e}"),
                 },
                 Some(batch) = observations.recv() => self.memory.iter_mut().for_each(|m| m.record(&batch)),
--- a/crates/control-client/src/neighbours/mod.rs
+++ b/crates/control-client/src/neighbours/mod.rs
@@ -1,4 +1,4 @@
-//! What an instance exchanges with other fronts: membership, and recall (remembered entries fetched from them). Off
+//! The exchange of an instance with other fronts: membership, and recall (remembered entries fetched from them). Off
 //! unless the operators' settings enable it; nothing of this is started then.
 //!
 //! [`Exchange`] drives the state machine of `doorgrade_members` and passes what is remembered between the instance,
@@ -119,7 +119,8 @@
         Ok(any.then_some(ExchangeSetup { membership, memory }))
     }
 
-    /// What the snapshot of an earlier run had that is still valid, for the instance to take over before it serves.
+    /// The entries from the snapshot of an earlier run that are still valid, for the instance to take over before it
+    /// serves.
     pub fn remembered(&self) -> (Vec<Fill>, Vec<Purge>) {
         self.memory.as_ref().map(PersistentMemory::loaded).unwrap_or_default()
     }
@@ -152,7 +153,7 @@
         Ok((Exchange { membership, socket, memory, observations, on_recalled, incarnation, now }, sender))
     }
 
-    /// Binds the socket and runs the exchange on a thread of its own.
+    /// Binds the socket and runs the exchange on a separate thread.
     pub fn start(
         self,
         on_recalled: RecallHandler,
--- a/crates/control-client/src/neighbours/status.rs
+++ b/crates/control-client/src/neighbours/status.rs
@@ -33,7 +33,8 @@
             let number = (clock::unix() as u32).wrapping_add(u32::from(page));
             let request = seal_message(keys, at, &Message::StatusRequest { number, page })
                 .ok_or("there is no key to seal with")?;
-            // If no socket is bound there, the next call reports it; a front that is just starting is asked again.
+            // If no socket is bound there, the next call reports it; a front that is just starting gets the request
+            // again.
             let _ = socket.send(&request).await;
             let received = timeout(RESPONSE_TIMEOUT, socket.recv(&mut bytes)).await;
             let Ok(Ok(count)) = received else {
--- a/crates/control-client/src/worker.rs
+++ b/crates/control-client/src/worker.rs
@@ -1,4 +1,4 @@
-//! A thread of its own with a runtime, beside the instance's; started only where the operators' settings ask for it.
+//! A separate thread with its own runtime, beside the instance's; started only where the operators' settings enable it.
 
 use std::future::Future;
 use std::sync::mpsc;
--- a/crates/front/src/accept.rs
+++ b/crates/front/src/accept.rs
@@ -17,14 +17,14 @@
 pub const FIRST_ACCEPTED: ConnId = 1 << 63;
 
 /// The front that had the address before may still be shutting down, within the longest hard limit (3 s at
-/// most) and 0.7 s. Half as long again, so that an address that stays in use is reported in time to whoever
-/// waits for this start.
+/// most) and 0.7 s. Half as long again, and not longer, so that an address that stays in use is reported in
+/// time to the operator or agent that waits for this start.
 const BIND_TRIES: usize = 60;
 const BIND_RETRY_DELAY: Duration = Duration::from_millis(100);
 /// How soon to check again for a free slot, and to retry after a failure.
 const FULL_DELAY: Duration = Duration::from_millis(2);
 const ERROR_DELAY: Duration = Duration::from_millis(5);
-/// How many connections from the system's backlog are still accepted after the listener was told to close.
+/// How many connections from the system's backlog are still accepted after the close was requested.
 const MAX_BACKLOG: usize = 1_024;
 
 fn bind(address: SocketAddr) -> std::io::Result<TcpListener> {
@@ -83,7 +83,7 @@
 }
 
 /// Whether a connection waits to be accepted. Needed because a blocked `accept` could only be ended by a
-/// connection. Fails if the system does not tell.
+/// connection. Fails if the system can't report it.
 fn connection_waits(listener: &TcpListener) -> std::io::Result<bool> {
     let mut poll_fds = [PollFd::new(listener.inner(), PollFlags::IN)];
     Ok(poll(&mut poll_fds, Some(&Timespec { tv_sec: 0, tv_nsec: 0 }))? > 0)
@@ -117,14 +117,14 @@
     open: Arc<AtomicUsize>,
     max_open: Arc<AtomicUsize>,
     closing: Arc<AtomicBool>,
-    /// How many more are accepted once the listener was told to close.
+    /// How many more are accepted once the close was requested.
     remaining: usize,
     events: Sender<Event>,
 }
 
 impl AcceptLoop {
-    /// Runs until the listener is told to close and the backlog is accepted: requests may already have been
-    /// written to those connections.
+    /// Runs until the close is requested and the backlog is accepted: requests may already have been written
+    /// to those connections.
     fn run(mut self) {
         loop {
             let closing = self.closing.load(Ordering::SeqCst);
--- a/crates/front/src/active_config.rs
+++ b/crates/front/src/active_config.rs
@@ -42,8 +42,8 @@
 }
 
 /// The sources of the configuration in use. A signal and a version may both replace the configuration at the
-/// same time: whoever holds the lock combines the files and the version as they are then, and queues the
-/// result before the other reads them.
+/// same time: the thread that holds the lock combines the files and the version as they are then, and queues
+/// the result before the other thread reads them.
 pub struct ActiveConfig {
     pub(crate) sources: ConfigSources,
     /// As it was at the start, without any version.
@@ -144,8 +144,8 @@
         let answered = load(&self.served.answered);
         let accesses = AccessCounts { accesses: load(&self.served.ended).max(answered), answered };
         configuration::Served {
-            asked: load(&self.served.requested_benefit),
-            in_time: load(&self.served.earned_benefit),
+            requested_benefit: load(&self.served.requested_benefit),
+            earned_benefit: load(&self.served.earned_benefit),
             accesses,
         }
     }
--- a/crates/front/src/answer.rs
+++ b/crates/front/src/answer.rs
@@ -1,4 +1,4 @@
-//! Responses on their way to a client: whole CGI responses, split into records as the buffer has room. No
+//! Responses on their way to a client: complete CGI responses, split into records as the buffer has room. No
 //! I/O.
 
 use std::collections::VecDeque;
@@ -7,7 +7,7 @@
 use crate::intake::MAX_OPEN_REQUESTS;
 use crate::ring_buffer::RingBuffer;
 
-/// The most content of one record, so that responses on one connection alternate.
+/// Limit of the content of one record, in bytes, so that responses on one connection alternate.
 const MAX_RECORD_CONTENT: usize = 16 * 1024;
 
 struct QueuedResponse {
@@ -19,7 +19,7 @@
     duplicate: bool,
 }
 
-/// What is still to be written to a client.
+/// The responses that are still to be written to a client.
 #[derive(Default)]
 pub struct Outbox {
     /// Responses to management records.
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Moves what fits into the buffer, and calls `done` for each response that has been moved whole.
+    /// Moves what fits into the buffer, and calls `done` for each response that has been moved completely.
     pub fn fill(&mut self, buffer: &mut RingBuffer, mut done: impl FnMut(u16)) {
         while let Some(bytes) = self.records.front() {
             if buffer.free() < bytes.len() {
--- a/crates/front/src/bounds.rs
+++ b/crates/front/src/bounds.rs
@@ -3,7 +3,7 @@
 use crate::config::Limits;
 use crate::http;
 
-/// Buffer sizes. A client sends little and receives much; a cache the other way round.
+/// Buffer sizes, in bytes. A client sends little and receives much; a cache the other way round.
 pub const CLIENT_IN: usize = 8 * 1024;
 pub const CLIENT_OUT: usize = 32 * 1024;
 pub const CACHE_IN: usize = 32 * 1024;
@@ -27,8 +27,8 @@
     pub fn new(limits: &Limits) -> Self {
         // Standard streams, epoll and its event, signals, listener, feed: eleven. Some more are being closed.
         let reserved = 14 + limits.sockets / 100;
-        // The program with the decision module's tables (12 MB were seen), and what a connection's coroutine
-        // and bookkeeping take (some 37 KB were seen for an idle client with its buffers).
+        // Bytes for the program with the decision module's tables (which take 12 MB), and for a connection's
+        // coroutine and bookkeeping (an idle client with its buffers takes some 37 KB).
         const PROGRAM: usize = 20 << 20;
         const COROUTINE: usize = 16 * 1024;
         const CLIENT: usize = CLIENT_IN + CLIENT_OUT + COROUTINE;
--- a/crates/front/src/config.rs
+++ b/crates/front/src/config.rs
@@ -39,7 +39,7 @@
     }
 }
 
-/// What a running front applies of a configuration that replaces its own; everything else needs a restart.
+/// The part of a new configuration that a running front applies; everything else needs a restart.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReloadedConfig {
     pub feed: SocketAddr,
@@ -75,8 +75,8 @@
 const MIN_MEMORY_MB: usize = version::MIN_MEMORY_MB as usize;
 const MAX_LIMIT: usize = version::MAX_LIMIT as usize;
 
-/// The connect timeouts that coroutines support; less could never be met.
-const CONNECT_TIMEOUTS: std::ops::RangeInclusive<u64> = 10..=600_000;
+/// The connect timeouts that coroutines support, in units of 0.1 ms; a shorter one could never be met.
+const CONNECT_TIMEOUT_RANGE: std::ops::RangeInclusive<u64> = 10..=600_000;
 
 fn with_key<T>(key: &str, result: Result<T, impl std::fmt::Display>) -> Result<T, String> {
     result.map_err(|e| format!("configuration: key '{key}': {e}"))
@@ -128,7 +128,7 @@
             );
         }
         let platform = with_key("settings", doorgrade_settings::read(file.settings.get()))?;
-        if !CONNECT_TIMEOUTS.contains(&platform.connect_timeout) {
+        if !CONNECT_TIMEOUT_RANGE.contains(&platform.connect_timeout) {
             return with_key("settings.limits.connectTimeout", Err("must be from 1 ms to 1 min"));
         }
         if platform.offering_names.is_empty() {
@@ -215,7 +215,7 @@
         keys.into_iter().flatten().collect()
     }
 
-    /// What this front can apply of a configuration that replaces this one without a restart, and the keys
+    /// The part of a configuration that replaces this one that can be applied without a restart, and the keys
     /// that differ but need one. `known` is not needed, as the feed repeats what was missed.
     pub fn reload_from(&self, new: Config) -> (ReloadedConfig, Vec<&'static str>) {
         let (new_settings, current) = (&new.files.settings, &self.files.settings);
--- a/crates/front/src/conn.rs
+++ b/crates/front/src/conn.rs
@@ -1,4 +1,5 @@
-//! The coroutine of one connection. It reads and writes as told, and reports events; it decides nothing.
+//! The coroutine of one connection. It carries out commands to read and write, and reports events; it decides
+//! nothing.
 
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr};
@@ -20,7 +21,7 @@
 
 pub type ConnId = u64;
 
-/// What happens outside the reducer, in order of arrival.
+/// An event outside the reducer; events are handled in order of arrival.
 pub enum Event {
     /// A client has connected.
     Accepted(ConnId, ConnHandle),
@@ -133,7 +134,7 @@
 }
 
 /// Starts a coroutine on the only worker thread.
-#[allow(unsafe_code)] // The crate's spawn asks for it: none of ours uses thread-locals or much stack.
+#[allow(unsafe_code)] // `may` requires it: no coroutine here uses thread-locals or much stack.
 pub fn spawn(body: impl FnOnce() + Send + 'static) {
     may::go!(body);
 }
@@ -152,7 +153,7 @@
 /// Whether a connection failed for lack of something on this machine, including a route: then the peer was
 /// not contacted, and nothing is known about it.
 pub fn is_local_failure(error: &io::Error) -> bool {
-    const HERE: [i32; 9] = [
+    const LOCAL_ERRORS: [i32; 9] = [
         libc::EMFILE,
         libc::ENFILE,
         libc::ENOBUFS,
@@ -163,7 +164,7 @@
         libc::ENETDOWN,
         libc::ENETUNREACH,
     ];
-    error.raw_os_error().is_some_and(|number| HERE.contains(&number))
+    error.raw_os_error().is_some_and(|number| LOCAL_ERRORS.contains(&number))
 }
 
 /// An established connection, and the commands from its handle.
@@ -173,7 +174,7 @@
 }
 
 pub fn open(stream: TcpStream) -> (ConnHandle, ConnTask) {
-    // Responses are written whole, so delaying a last small segment would only cost time.
+    // Responses are written completely, so delaying a last small segment would only cost time.
     let _ = stream.set_nodelay(true);
     let (sender, commands) = sync_channel(MAX_COMMANDS);
     let waker = stream.waker();
--- a/crates/front/src/feed_connection.rs
+++ b/crates/front/src/feed_connection.rs
@@ -70,7 +70,7 @@
         Ok(None)
     }
 
-    /// The feed has another address: the first connection to it is made at once.
+    /// The feed has another address: the first connection to it is made without a delay.
     pub fn moved(&mut self) {
         (self.conn, self.up, self.backoff) = (None, false, Self::BACKOFF[0]);
     }
--- a/crates/front/src/intake.rs
+++ b/crates/front/src/intake.rs
@@ -7,11 +7,11 @@
 use crate::http;
 use crate::ring_buffer::RingBuffer;
 
-/// By the protocol, the most open requests of a connection, and the longest body of a request.
+/// By the protocol, the most open requests of a connection, and the longest body of a request in bytes.
 pub const MAX_OPEN_REQUESTS: usize = 32;
 pub const MAX_REQUEST_BODY: usize = 48_000;
 /// The most bytes of all parameters of a request; web servers send a few hundred.
-const MAX_PARAMS: usize = 16 * 1024;
+const MAX_PARAMS_BYTES: usize = 16 * 1024;
 
 /// A valid request.
 #[derive(Clone, Debug, PartialEq)]
@@ -33,7 +33,7 @@
     pub body: Vec<u8>,
 }
 
-/// What a client has sent.
+/// A message of a client, decoded from its records.
 #[derive(Debug, PartialEq)]
 pub enum ClientMessage {
     Request(u16, Box<Request>),
@@ -63,9 +63,9 @@
 #[derive(Debug, Default)]
 pub struct Intake {
     decoder: Decoder,
-    /// Open requests; none for those that have been received whole.
+    /// Open requests; none for those that have been received completely.
     open: FxHashMap<u16, Option<PartialRequest>>,
-    /// The content of a record that is needed as a whole.
+    /// The content so far of a record that can be decoded only when it is complete.
     record: Vec<u8>,
     /// The connection is closed once its open requests have been answered.
     pub close_when_done: bool,
@@ -88,7 +88,7 @@
         !self.discarding && (self.decoder.in_record() || self.open.values().any(Option::is_some))
     }
 
-    /// Discards all further data: the connection is closed once the requests received whole have been
+    /// Discards all further data: the connection is closed once the requests received completely have been
     /// answered.
     pub fn discard_rest(&mut self) {
         (self.close_when_done, self.discarding) = (true, true);
@@ -144,7 +144,7 @@
     }
 
     fn collect_record(&mut self, fragment: &fastcgi::Fragment, content: &[u8]) -> Option<Vec<u8>> {
-        let room = MAX_PARAMS.saturating_sub(self.record.len());
+        let room = MAX_PARAMS_BYTES.saturating_sub(self.record.len());
         self.record.extend_from_slice(&content[..content.len().min(room)]);
         fragment.last.then(|| std::mem::take(&mut self.record))
     }
@@ -153,7 +153,7 @@
         let &[high, low, flags, ..] = bytes else { return Err(fastcgi::InvalidRecord) };
         match self.open.get(&id) {
             Some(None) => return Ok(Some(ClientMessage::DuplicateId(id))),
-            // Records of the two could not be told apart.
+            // Records of the two requests could not be distinguished.
             Some(Some(_)) => return Err(fastcgi::InvalidRecord),
             None => {}
         }
@@ -180,7 +180,7 @@
         let params = fragment.kind == fastcgi::PARAMS;
         if !fragment.empty {
             let (to, max) = match params {
-                true => (&mut partial.params, MAX_PARAMS),
+                true => (&mut partial.params, MAX_PARAMS_BYTES),
                 false => (&mut partial.body, MAX_REQUEST_BODY),
             };
             if to.len() + content.len() > max {
--- a/crates/front/src/phase.rs
+++ b/crates/front/src/phase.rs
@@ -7,7 +7,8 @@
     /// The configuration is applied; the listener is not open yet.
     Starting,
     Serving,
-    /// Told to stop: new accesses are accepted until `accept_until`, and all have ended by `deadline`.
+    /// A stop was requested: new accesses are accepted until `accept_until`, and all have ended by
+    /// `deadline`.
     Stopping {
         accept_until: Ticks,
         deadline: Ticks,
--- a/crates/front/src/push.rs
+++ b/crates/front/src/push.rs
@@ -31,8 +31,8 @@
     }
 }
 
-/// What a response proves. Without the mark that it never ran, the access may have run. `client_tag` is the
-/// tag of the client's own copy.
+/// The outcome that a response proves. Without the mark that it never ran, the access may have run.
+/// `client_tag` is the tag of the client's own copy.
 fn outcome(head: &Head, client_tag: Option<&str>) -> Outcome {
     // The response may belong to another request, so 304 confirms only a copy whose tag it names, or the
     // client's if it names none.
--- a/crates/front/src/reasons.rs
+++ b/crates/front/src/reasons.rs
@@ -48,14 +48,14 @@
     WriteFailed,
     /// It sent invalid FastCGI, or a request beyond the size limits.
     InvalidData,
-    /// It keeps sending without reading its responses.
+    /// It continues to send without reading its responses.
     Flooding,
     /// It has not read what was written long ago.
     NotReading,
     Idle,
     /// It has not completed a request for too long.
     Unfinished,
-    /// The client asked for it to be closed after its request.
+    /// The client requested that it be closed after its request.
     LastRequest,
     /// Its slot was needed for another client.
     Evicted,
@@ -151,7 +151,7 @@
     pub clients: BTreeMap<ClientEnd, u64>,
     pub caches: BTreeMap<CacheEnd, u64>,
     pub rejections: BTreeMap<Rejection, u64>,
-    /// Further pushes of a request after one that failed.
+    /// Pushes of a request after an earlier one has ended.
     pub retries: u64,
     /// Requests whose connection was closed by this front before their response.
     pub lost: u64,
--- a/crates/front/src/reducer.rs
+++ b/crates/front/src/reducer.rs
@@ -39,6 +39,7 @@
 };
 pub use types::{ConnectResult, Effect, Input, Most, Served};
 
+/// The decision module, and the state of the front around it.
 pub struct Reducer {
     front: Front,
     state: State,
@@ -108,10 +109,12 @@
         self.state.timers.next()
     }
 
+    /// The effects to carry out, in order.
     pub fn effects(&mut self) -> std::vec::Drain<'_, Effect> {
         self.state.effects.drain(..)
     }
 
+    /// The observations to store since the last call.
     pub fn learned(&mut self) -> Vec<Observation> {
         self.state.learned.as_mut().map(std::mem::take).unwrap_or_default()
     }
@@ -184,7 +187,7 @@
             Input::ListenerClosed => self.state.listener = Listener::Closed,
             Input::Tick => {}
             Input::Reload(config) => self.state.reload(&config),
-            Input::Recall(fills, purges) => self.recall(&fills, &purges),
+            Input::Recall(fills, purges) => self.restore_recalled(&fills, &purges),
             Input::Homes(saved_at, lists) => self.state.restore_homes(saved_at, lists),
             Input::Drain(on) => {
                 if std::mem::replace(&mut self.state.draining, on) != on {
@@ -247,7 +250,7 @@
             let (now, outcome, cache_status) = (self.state.now, push_end.outcome, push_end.cache_status);
             let open_access = self.state.accesses.get(&id);
             let latency =
-                open_access.and_then(|t| t.pushes.get(push)).map_or(0, |s| now.saturating_sub(s.sent_at));
+                open_access.and_then(|a| a.pushes.get(push)).map_or(0, |s| now.saturating_sub(s.sent_at));
             if outcome == Outcome::Handled
                 && let Some((ms, open_access)) = push_end.origin_sent_ms.zip(open_access)
                 && self.state.learned.is_some()
@@ -255,13 +258,13 @@
                 let fill = fill(&self.state.offering_names, &open_access.request, ms, now);
                 self.state.learned.iter_mut().for_each(|learned| learned.push(Observation::Fill(fill)));
             }
-            if outcome == Outcome::Handled && open_access.is_some_and(|t| !t.done) {
+            if outcome == Outcome::Handled && open_access.is_some_and(|a| !a.done) {
                 let (tag, not_modified) = (push_end.tag.as_deref(), push_end.status == 304);
                 self.state.answer(id, Reply { tag, not_modified, body: push_end.body, ..Reply::empty(200) });
             } else {
                 self.state.body_bytes = self.state.body_bytes.saturating_sub(push_end.body.len());
             }
-            let access_done = self.state.accesses.get(&id).is_none_or(|t| t.done);
+            let access_done = self.state.accesses.get(&id).is_none_or(|a| a.done);
             // The value comes from outside and may overflow.
             let origin_sent_at = push_end.origin_sent_ms.and_then(|ms| ms.checked_mul(10));
             let origin_sent_at = origin_sent_at.map(|at| self.state.remote_times.to_local(now, at));
@@ -291,7 +294,7 @@
             if state.listener == Listener::Open {
                 state.listener = Listener::Closing;
                 state.effects.push(Effect::StopListening);
-                let open = state.accesses.values().filter(|t| !t.done).count();
+                let open = state.accesses.values().filter(|a| !a.done).count();
                 tracing::info!("requests are declined; {open} open, {} clients", state.clients.len());
             }
             // Idle connections, until the front exits. One with a partial request may still complete it.
@@ -299,7 +302,7 @@
             let idle: Vec<_> = state.clients.iter().filter(|(_, c)| is_idle(c)).map(|(&c, _)| c).collect();
             idle.into_iter().for_each(|conn| state.half_close(conn, ClientEnd::FrontEnds));
         }
-        let open = state.accesses.values().any(|t| !t.done);
+        let open = state.accesses.values().any(|a| !a.done);
         let clients = state.clients.len() + state.waiting_clients.len();
         let connected = clients > 0 || state.listener != Listener::Closed;
         state.phase.advance(state.now, open, connected);
@@ -317,9 +320,9 @@
             state.lose_feed();
         }
         let idle = state.idle_timeout * 3 / 4;
-        let is_old = |l: &CacheConn| l.state == ConnState::Idle && l.since + idle < now;
+        let is_old = |c: &CacheConn| c.state == ConnState::Idle && c.since + idle < now;
         let old: Vec<_> =
-            state.cache_conns.iter().filter(|(_, l)| is_old(l)).map(|(&c, l)| (c, l.cache)).collect();
+            state.cache_conns.iter().filter(|(_, c)| is_old(c)).map(|(&conn, c)| (conn, c.cache)).collect();
         for (conn, cache) in old {
             state.pools.remove(cache, conn);
             state.close_cache_conn(conn, CacheEnd::Idle);
--- a/crates/front/src/reducer/admission.rs
+++ b/crates/front/src/reducer/admission.rs
@@ -1,7 +1,7 @@
 //! Admission of clients' connections, and which connections are closed to make room for others.
 //!
 //! The reducer never closes an idle connection at once, because data read from it may still be queued as an
-//! input. It asks the connection's coroutine to half-close it, which the coroutine does only if no data has
+//! input. It requests a half-close from the connection's coroutine, which carries it out only if no data has
 //! arrived; the connection is closed after that.
 
 use doorgrade::Ticks;
@@ -13,9 +13,9 @@
 use crate::reasons::ClientEnd;
 use crate::ring_buffer::RingBuffer;
 
-/// How many of the clients' slots are kept free for new connections.
+/// Slots for clients that are left free for new connections.
 const SPARE_SLOTS: usize = 2;
-/// A shortage of descriptors or memory that lasts less than this passes by itself: no connection is closed
+/// A shortage of descriptors or memory that lasts less than this is expected to pass: no connection is closed
 /// for it.
 const MIN_SHORTAGE: Ticks = 200;
 /// Failures further apart than this belong to different shortages.
@@ -26,7 +26,7 @@
 pub(super) enum HalfCloseState {
     #[default]
     Open,
-    /// The coroutine was asked to half-close it, which it does unless data has arrived.
+    /// The half-close was requested from the coroutine, which carries it out unless data has arrived.
     Requested(ClientEnd),
     /// The sending side was shut down at this time; further data is discarded.
     ShutDown(Ticks),
--- a/crates/front/src/reducer/clients.rs
+++ b/crates/front/src/reducer/clients.rs
@@ -31,6 +31,7 @@
     pub(super) half_close: HalfCloseState,
 }
 
+/// Warnings about clients are logged at most once in this time: 1 s.
 const WARNING_INTERVAL: Ticks = 10_000;
 
 impl Client {
@@ -66,9 +67,9 @@
         ended: Option<IoEnd>,
         received_at: Ticks,
     ) {
-        // Requests that arrive together with the end of the connection are dropped: nobody waits for their
-        // responses. A client that has only shut down its sending side can't be told from one that has
-        // closed; FastCGI web servers don't half-close (docs/races.md).
+        // Requests that arrive together with the end of the connection are dropped: no client waits for their
+        // responses. A client that has only shut down its sending side can't be distinguished from one that
+        // has closed the connection; FastCGI web servers don't half-close (docs/races.md).
         if let Some(end) = ended {
             tracing::debug!("a client's connection has ended: {end}");
             return self.drop_client(conn, ClientEnd::Left);
@@ -172,7 +173,7 @@
         };
         // Caches identify accesses by the request's id: a second access with it must not disturb the first.
         let open = state.access_by_id.get(&request.numeric_id).and_then(|first| state.accesses.get(first));
-        if open.is_some_and(|t| !t.done) {
+        if open.is_some_and(|a| !a.done) {
             state.warn_limited("a request's Req-Id is still in use");
             state.trace_rejection(&request.id, 400, Rejection::Invalid);
             return state.reply(conn, id, Reply::empty(400));
@@ -343,7 +344,7 @@
     }
 
     pub(super) fn remove_if_done(&mut self, access: AccessId) {
-        let is_done = |t: &OpenAccess| t.done && t.pushes.iter().all(|s| !s.in_flight);
+        let is_done = |a: &OpenAccess| a.done && a.pushes.iter().all(|s| !s.in_flight);
         if self.accesses.get(&access).is_some_and(is_done)
             && !self.push_ends.iter().any(|e| e.0 == access)
             && let Some(open_access) = self.accesses.remove(&access)
--- a/crates/front/src/reducer/control_feed.rs
+++ b/crates/front/src/reducer/control_feed.rs
@@ -55,9 +55,9 @@
         self.state.invalidate_pushes(|open_access, _| concerns(&open_access.request));
     }
 
-    /// Restores what was known before the start or to other fronts. The decision module prefers what it has
-    /// seen since.
-    pub(super) fn recall(&mut self, fills: &[Fill], purges: &[Purge]) {
+    /// Restores fills and purges known from before the start or to other fronts. The decision module prefers
+    /// what it has seen since.
+    pub(super) fn restore_recalled(&mut self, fills: &[Fill], purges: &[Purge]) {
         let now = self.state.now;
         for p in purges {
             let at = self.state.remote_times.to_local(now, p.at);
--- a/crates/front/src/reducer/hierarchy.rs
+++ b/crates/front/src/reducer/hierarchy.rs
@@ -8,7 +8,7 @@
 use super::{Observation, State};
 use crate::config::Config;
 
-/// Every fill on that route meets the cycle; it is logged once a second.
+/// A cycle is logged at most once in this time, 1 s, since every fill on its route runs into it.
 const CYCLE_LOG_INTERVAL: Ticks = 10_000;
 
 pub(super) struct Hierarchy {
@@ -95,7 +95,7 @@
         self.record_homes(moved.is_some());
     }
 
-    /// If homes have changed, hands them over to be saved, with times of this process.
+    /// If homes have changed, records them for saving, with times of this process.
     fn record_homes(&mut self, changed: bool) {
         let Some((hierarchy, learned)) =
             self.hierarchy.as_ref().zip(self.learned.as_mut()).filter(|_| changed)
@@ -148,8 +148,8 @@
     ) {
         let Some(hierarchy) = &mut self.hierarchy else { return };
         let open_access = self.accesses.get(&access);
-        let late = open_access.is_some_and(|t| self.now > t.soft_limit_at);
-        let refresh = open_access.and_then(|t| t.pushes.get(push_result.push)).is_some_and(|s| s.refresh);
+        let late = open_access.is_some_and(|a| self.now > a.soft_limit_at);
+        let refresh = open_access.and_then(|a| a.pushes.get(push_result.push)).is_some_and(|s| s.refresh);
         hierarchy.router.push_ended(self.now, access, push_result, late, refresh);
         if let Some(ring) = cycle {
             hierarchy.router.cycles += 1;
--- a/crates/front/src/reducer/pushes.rs
+++ b/crates/front/src/reducer/pushes.rs
@@ -10,8 +10,8 @@
 use crate::reasons::{CacheEnd, IoEnd};
 use crate::ring_buffer::RingBuffer;
 
-/// How often a request is postponed because its client has sent more data: more than once only if the client
-/// keeps sending.
+/// Limit of how often a request is postponed because its client has sent more data: more than once only if
+/// the client continues to send.
 const MAX_POSTPONED: u8 = 3;
 
 impl State {
@@ -45,7 +45,7 @@
 
     /// Writes the request of a push to a connection that is established and idle.
     pub(super) fn send(&mut self, conn: ConnId, access: AccessId, push: usize) {
-        let cdn_loop = self.hierarchy.as_ref().and_then(|t| t.cdn_loop.as_deref());
+        let cdn_loop = self.hierarchy.as_ref().and_then(|h| h.cdn_loop.as_deref());
         let Some(open_access) = self.accesses.get_mut(&access) else { return };
         let Some(sent) = open_access.pushes.get_mut(push) else { return };
         let Some(cache_conn) = self.cache_conns.get_mut(&conn) else { return };
@@ -73,7 +73,7 @@
             return self.retry_on_new_conn(conn);
         }
         (cache_conn.write_buffer, cache_conn.starting) = (Some(buffer), false);
-        // A failed write does not end the connection yet: a response may already be there to be read.
+        // A failed write does not end the connection yet: a response may already have arrived.
         if failed.is_none()
             && let Some(buffer) = cache_conn.next_write()
         {
@@ -94,14 +94,14 @@
         buffer.clear();
         cache_conn.reset_to_idle(buffer, self.now);
         let Some((access, push)) = cache_conn.push else { return };
-        if let Some(sent) = self.accesses.get_mut(&access).and_then(|t| t.pushes.get_mut(push)) {
+        if let Some(sent) = self.accesses.get_mut(&access).and_then(|a| a.pushes.get_mut(push)) {
             (sent.started, sent.postponed) = (false, sent.postponed + u8::from(client_data_pending));
         }
         self.send(conn, access, push);
     }
 
-    /// A request was not started because its client has disconnected. Its connection is as good as before.
-    /// Returns the client's connection, if it is known.
+    /// A request was not started because its client has disconnected. The connection to the cache can be used
+    /// again. Returns the client's connection, if it is known.
     pub(super) fn release_unsent(&mut self, conn: ConnId, mut buffer: RingBuffer) -> Option<ConnId> {
         let cache_conn = self.cache_conns.get_mut(&conn)?;
         buffer.clear();
@@ -156,8 +156,8 @@
                 let open_access = carried_push.and_then(|c| Some((self.accesses.get_mut(&c.0)?, c.1)));
                 // A new connection that carried an unrepeatable access is closed, as no such access may reuse
                 // it. One that was reused stays for others.
-                let used_once = !reused && open_access.as_ref().is_some_and(|(t, _)| !t.repeatable);
-                if let Some(sent) = open_access.and_then(|(t, push)| t.pushes.get_mut(push)) {
+                let used_once = !reused && open_access.as_ref().is_some_and(|(a, _)| !a.repeatable);
+                if let Some(sent) = open_access.and_then(|(a, push)| a.pushes.get_mut(push)) {
                     sent.refused_on_new_conn = !reused && push_end.outcome == Outcome::Full;
                 }
                 let unlisted = self.endpoints.get(&cache) != Some(&endpoint);
@@ -179,7 +179,7 @@
                     self.end_push(access, push, push_end);
                 }
             }
-            // The result of the pending write decides.
+            // `cache_wrote` decides, by the result of the pending write.
             Progress::More if cache_conn.starting => {}
             Progress::More if ended.is_none() => self.effects.push(Effect::Read(conn, buffer)),
             Progress::NeedsRoom if ended.is_none() => {
@@ -210,14 +210,14 @@
     pub(super) fn resume_parked(&mut self) {
         for _ in 0..self.parked.len() {
             let Some(conn) = self.parked.pop_front() else { return };
-            if let Some(buffer) = self.cache_conns.get_mut(&conn).and_then(|l| l.parked.take()) {
+            if let Some(buffer) = self.cache_conns.get_mut(&conn).and_then(|c| c.parked.take()) {
                 self.cache_read(conn, buffer, None);
             }
         }
     }
 
     pub(super) fn end_push(&mut self, access: AccessId, push: usize, push_end: PushEnd) {
-        if let Some(sent) = self.accesses.get_mut(&access).and_then(|t| t.pushes.get_mut(push)) {
+        if let Some(sent) = self.accesses.get_mut(&access).and_then(|a| a.pushes.get_mut(push)) {
             (sent.in_flight, sent.conn) = (false, None);
         }
         self.trace_push_end(access, push, &push_end);
@@ -227,7 +227,7 @@
     /// Ends a push. A connection that carries it is closed; one still being established is kept for other
     /// pushes.
     pub(super) fn stop_push(&mut self, access: AccessId, push: usize, outcome: Outcome) {
-        let Some(sent) = self.accesses.get_mut(&access).and_then(|t| t.pushes.get_mut(push)) else { return };
+        let Some(sent) = self.accesses.get_mut(&access).and_then(|a| a.pushes.get_mut(push)) else { return };
         if !sent.in_flight {
             return;
         }
@@ -257,9 +257,9 @@
         }
     }
 
-    /// News from the feed, such as a purge, affects some pushes. Those that still wait for a connection must
-    /// not go out as they are, since a connection may take longer than the grace period for such news. They
-    /// end as never sent, and the decision module decides again.
+    /// An event of the feed, such as a purge, affects some pushes. Those that still wait for a connection
+    /// must not be sent unchanged, since a connection may take longer than the grace period for such events.
+    /// They end as never sent, and the decision module decides again.
     pub(super) fn invalidate_pushes(&mut self, is_affected: impl Fn(&OpenAccess, &SentPush) -> bool) {
         let mut stale = Vec::new();
         for (&access, open_access) in &mut self.accesses {
@@ -278,8 +278,8 @@
 
     /// Closes the connection to a cache that has been idle longest.
     pub(super) fn close_idle_cache_conn(&mut self) -> Option<()> {
-        let idle = self.cache_conns.iter().filter(|(_, l)| l.state == ConnState::Idle && l.push.is_none());
-        let (conn, cache) = idle.min_by_key(|(_, l)| l.since).map(|(&c, l)| (c, l.cache))?;
+        let idle = self.cache_conns.iter().filter(|(_, c)| c.state == ConnState::Idle && c.push.is_none());
+        let (conn, cache) = idle.min_by_key(|(_, c)| c.since).map(|(&conn, c)| (conn, c.cache))?;
         self.pools.remove(cache, conn);
         self.close_cache_conn(conn, CacheEnd::Evicted);
         // Effects are carried out in order, so its descriptor is free before the next one is needed.
@@ -314,7 +314,7 @@
         let conn = self.connect(endpoint.address);
         self.cache_conns.insert(conn, CacheConn::new(cache, endpoint, (access, push), self.now));
         self.peaks.lines = self.peaks.lines.max(self.cache_conns_used());
-        if let Some(sent) = self.accesses.get_mut(&access).and_then(|t| t.pushes.get_mut(push)) {
+        if let Some(sent) = self.accesses.get_mut(&access).and_then(|a| a.pushes.get_mut(push)) {
             sent.conn = Some(conn);
         }
         Some(())
--- a/crates/front/src/reducer/sent_push.rs
+++ b/crates/front/src/reducer/sent_push.rs
@@ -31,9 +31,9 @@
     pub(super) lost_new_conn: bool,
     /// Refused as full on a new connection: its cache may accept no further connections.
     pub(super) refused_on_new_conn: bool,
-    /// News from the feed, such as a purge, has made the request out of date.
+    /// An event of the feed, such as a purge, has made the request out of date.
     pub(super) stale: bool,
-    /// The cache is asked to refresh its copy in the background.
+    /// The cache is to refresh its copy in the background.
     pub(super) refresh: bool,
     /// The member that a miss is filled from; none if it is not to be filled.
     source: Option<Box<str>>,
--- a/crates/front/src/reducer/types.rs
+++ b/crates/front/src/reducer/types.rs
@@ -78,7 +78,8 @@
     Write(ConnId, RingBuffer),
     /// Writes the start of a request, only if the connection is still good and the response is still wanted.
     StartRequest(ConnId, RingBuffer, SendConditions),
-    /// Half-closes a client's connection. If false, only if no data has arrived that was not reported yet.
+    /// Half-closes a client's connection; if the flag is false, only if no data has arrived that was not
+    /// reported yet.
     HalfClose(ConnId, bool),
     Close(ConnId),
     /// Stop accepting connections.
@@ -106,8 +107,8 @@
 /// A client that has not read a buffer's worth in this time, the longest that it may wait for a response,
 /// never will.
 pub(super) const UNREAD_TIMEOUT: Ticks = 100_000;
-/// A client that is owed no response and sends nothing for so long has vanished, or keeps its connection for
-/// no use: by the protocol, clients close a connection after 4 s of idling.
+/// A client that is owed no response and sends nothing for this long has vanished, or does not use its
+/// connection any more: by the protocol, clients close a connection after 4 s of idling.
 pub(super) const CLIENT_IDLE_TIMEOUT: Ticks = 60_000;
 /// A client that has not completed a request in this time never will. Within 3 s of connecting a client is
 /// owed a response or a close; this leaves room for two sweeps and some delay.
@@ -147,7 +148,7 @@
     /// Accesses that have ended: answered, given up, abandoned by their clients, or rejected for lack of
     /// room.
     pub ended: u64,
-    /// Of those, the ones answered with content within the soft limit.
+    /// The ended accesses that were answered with content within the soft limit.
     pub answered: u64,
 }
 
@@ -216,7 +217,7 @@
     pub(super) remote_times: RemoteTimes,
     /// The hierarchy of parents, if it is enabled.
     pub(super) hierarchy: Option<Hierarchy>,
-    /// What was learned since the last call of [`Reducer::learned`](super::Reducer::learned); none if nobody
-    /// stores it.
+    /// Observations since the last call of [`Reducer::learned`](super::Reducer::learned); none if they are
+    /// not stored.
     pub(super) learned: Option<Vec<Observation>>,
 }
--- a/crates/front/src/remote_times.rs
+++ b/crates/front/src/remote_times.rs
@@ -1,8 +1,8 @@
 //! Converts times given by other machines' clocks to times of this process.
 //!
 //! This machine's wall clock may have been stepped since the start, to a right or a wrong time, or may have
-//! been wrong at the start. Reported purges and starts must take effect all the same, so in doubt a purge is
-//! taken as more recent and a cache as colder.
+//! been wrong at the start. Reported purges and starts must take effect all the same, so when the time is
+//! uncertain, a purge is taken as more recent and a cache as colder.
 
 use doorgrade::Ticks;
 use rustc_hash::FxHashMap;
--- a/crates/front/src/send_guard.rs
+++ b/crates/front/src/send_guard.rs
@@ -16,8 +16,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SendConditions {
     pub client: ConnId,
-    /// From then on the request must be rebuilt: its remaining time has changed, and news such as a purge may
-    /// have arrived.
+    /// From then on the request must be rebuilt: its remaining time has changed, and an event such as a purge
+    /// may have arrived.
     pub valid_until: Ticks,
     /// Data from the client that was not processed yet may abort the request, so it must be processed first.
     pub client_data_first: bool,
@@ -35,7 +35,8 @@
         SendGuard { stream: Weak::new(), conditions }
     }
 
-    /// Why the request must not be started; none if it is fresh enough and the client waits for it.
+    /// The reason why the request must not be started; none if it is fresh enough and the client waits for
+    /// it.
     pub fn reason_not_to_send(&self) -> Option<IoEnd> {
         if clock::now() >= self.conditions.valid_until {
             return Some(IoEnd::Expired);
--- a/crates/front/src/serve.rs
+++ b/crates/front/src/serve.rs
@@ -28,7 +28,7 @@
 use crate::fastcgi;
 use crate::reducer::{ConnectResult, Effect, Input, Reducer};
 
-/// Serves until it is told to stop.
+/// Serves until a stop is requested.
 pub fn serve(sources: ConfigSources) -> Result<(), String> {
     let config = sources.read().inspect_err(|_| doorgrade_log::start(LevelFilter::INFO, Format::Human))?;
     let settings = sources.settings.clone().unwrap_or_else(|| files::DEFAULT_PATH.into());
@@ -54,7 +54,7 @@
             StoredVersion::open(own, &settings, config.seed, |version| config.needs_restart(version))
         });
     let version = stored.as_ref().and_then(|stored| stored.version.clone());
-    let neighbourhood = neighbourhood(&config, &settings)?;
+    let exchange_setup = exchange_setup(&config, &settings)?;
     let startup = config.clone();
     let config = match &version {
         Some(version) => config.with_version(version),
@@ -64,8 +64,8 @@
         Arc::new(Mutex::new(ActiveConfig { sources, startup, version, events: events.clone() }));
     let stop = handle_signals(active_config.clone(), events.clone()).map_err(|e| format!("signals: {e}"))?;
     let (listen, name) = (config.listen, config.name.clone());
-    let recalled = neighbourhood.as_ref().map(ExchangeSetup::remembered);
-    let homes = neighbourhood.as_ref().and_then(ExchangeSetup::homes);
+    let recalled = exchange_setup.as_ref().map(ExchangeSetup::remembered);
+    let homes = exchange_setup.as_ref().and_then(ExchangeSetup::homes);
     let connect_timeout = Duration::from_micros(config.platform.connect_timeout * 100);
     let served = Arc::new(ServedTotals::default());
     let mut driver = Driver {
@@ -96,11 +96,11 @@
     driver.reducer.input(clock::now(), Input::Listening);
     let controlled = ControlledFront { active_config, served };
     let version_worker = stored.map(|stored| stored.follow(name, controlled)).transpose()?;
-    let exchange_worker = match neighbourhood {
-        Some(neighbourhood) => {
+    let exchange_worker = match exchange_setup {
+        Some(exchange_setup) => {
             let events = driver.events.clone();
             let on_recall = move |fills, purges| drop(events.send(Event::Recall(fills, purges)));
-            let (worker, learned) = neighbourhood.start(Box::new(on_recall))?;
+            let (worker, learned) = exchange_setup.start(Box::new(on_recall))?;
             driver.learned = learned;
             Some(worker)
         }
@@ -113,7 +113,7 @@
 }
 
 /// The exchange with other fronts; none if all of it is disabled.
-fn neighbourhood(config: &Config, settings: &Path) -> Result<Option<ExchangeSetup>, String> {
+fn exchange_setup(config: &Config, settings: &Path) -> Result<Option<ExchangeSetup>, String> {
     let Settings { neighbours, recall, .. } = config.files.settings.clone();
     let platform = &config.platform.settings;
     let (name, seed, purge_done) = (&config.name, config.seed, platform.purge_propagation);
@@ -210,14 +210,14 @@
     version_applied: Option<oneshot::Sender<()>>,
     /// Where to store the totals, if they are reported.
     served: Option<Arc<ServedTotals>>,
-    /// Where to send what was learned, if it is stored, and when it was last sent.
+    /// Where to send observations, if they are stored, and when they were last sent.
     learned: Option<ObservationSender>,
     learned_sent_at: Ticks,
 }
 
-/// What was learned is sent in batches of at most this many or after at most this long, so that the receiver
-/// is not woken for each response. Snapshots are written a few times a second at most, so a crash loses less
-/// of it than between two snapshots.
+/// Observations are sent in batches of at most this many or after at most this long, so that the receiver is
+/// not woken for each response. Snapshots are written a few times a second at most, so a crash loses less by
+/// an unsent batch than by the time since the last snapshot.
 const MAX_LEARNED_BATCH: usize = 256;
 const LEARNED_INTERVAL: Ticks = 2_500;
 
@@ -275,7 +275,7 @@
         if let Some(receiver) = &self.learned {
             let learned = self.reducer.learned();
             if !learned.is_empty() {
-                // If the receiver is behind, it goes without: nothing here waits for it.
+                // Dropped if the receiver is behind: nothing here waits for it.
                 let _ = receiver.try_send(learned);
             }
         }
--- a/crates/hierarchy/src/cdn_loop.rs
+++ b/crates/hierarchy/src/cdn_loop.rs
@@ -45,7 +45,7 @@
 /// A parsed header.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Hops<'a> {
-    /// What the fill has passed through, in order.
+    /// The members that the fill has passed through, in order.
     pub names: Vec<&'a str>,
     /// How many members may forward the fill: the least `most` of any entry.
     pub max: Option<usize>,
--- a/crates/hierarchy/src/homes.rs
+++ b/crates/hierarchy/src/homes.rs
@@ -6,13 +6,13 @@
 //! ([`moved_share`]); [`min_moved_share`] is the least that any rule could move while giving each member its share.
 //!
 //! **Handover.** Objects move to their new homes one after the other. Each has its own time within the handover,
-//! determined by a hash, so that all fronts agree without communication. Before that time, its old home stays its
-//! home. From then on the new one is, but for a good while the old home is asked first for the copy that it may
-//! hold, so that nothing is fetched again that is there already; copies that become stale there are fetched through
-//! the new home, as they would have been anyway. A member that starts cold takes over objects at a rate proportional
-//! to its growing capacity. An old home that is gone has nothing to give: its objects move at once, and the load that
-//! this puts on the archive is limited by the shield. A change in the middle of a handover starts another one from
-//! the state then reached. Each ends at its own time, and the oldest is dropped if there are too many.
+//! determined by a hash, so that all fronts agree without communication. Before that time, its old home stays its home.
+//! From then on the new one is its home, but for a good while the old home is tried first for a copy that it may hold,
+//! so that nothing is fetched again that is there already; copies that become stale there are fetched through the new
+//! home, as they would have been anyway. A member that starts cold takes over objects at a rate proportional to its
+//! growing capacity. An old home that is gone has nothing to give: its objects move at once, and the load that this
+//! puts on the archive is limited by the shield. A change in the middle of a handover starts another one from the state
+//! then reached. Each ends at its own time, and the oldest is dropped if there are too many.
 
 use std::fmt;
 
@@ -27,9 +27,9 @@
 /// member by member.
 const MERGE_DIVISOR: u64 = 50;
 
-/// How many times the handover's duration an old home is asked for its copy after an object has moved. Objects with
-/// few accesses come to their new home only then, at the cost of one round trip, once each. With fewer accesses than
-/// one in that time, a cache or a parent has probably dropped its copy anyway.
+/// How long an old home is still tried for its copy after an object has moved, as a multiple of the handover's
+/// duration. Objects with few accesses come to their new home only in this time, at the cost of one round trip each. If
+/// an object has no access in this time, a cache or a parent has probably dropped its copy anyway.
 const LINGER_FACTOR: u64 = 20;
 
 /// A member of a tier as a possible home.
@@ -43,6 +43,7 @@
 }
 
 impl Home {
+    /// A warm member with this name.
     pub fn named(name: &str, weight: f64) -> Home {
         Home { key: hash::text(name), weight, initial_capacity: 1.0 }
     }
@@ -142,7 +143,7 @@
         / growth
 }
 
-/// A member list as it is stored, in the clock of whoever stores it.
+/// A member list as it is stored. Its times are by the clock of the process that stores it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SavedList {
     pub started_at: Ticks,
@@ -185,11 +186,11 @@
 /// The homes of an object at some time.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct HomeRoute {
-    /// The keys of old homes to be asked for their copy, the latest first.
+    /// The keys of old homes to be tried for their copy, the latest first.
     pub old_homes: ArrayVec<u64, MAX_LISTS>,
     pub home: Option<u64>,
-    /// The object has moved to its home so recently that old homes are still asked: the home probably does not hold
-    /// it yet.
+    /// The object has moved to its home so recently that old homes are still tried: the home probably does not hold it
+    /// yet.
     pub recently_moved: bool,
 }
 
@@ -242,7 +243,7 @@
         Some(change)
     }
 
-    /// What `restore` needs after a restart, the newest list first.
+    /// The lists in the form that `restore` takes after a restart, the newest first.
     pub fn save(&self) -> Vec<SavedList> {
         let homes = |l: &MemberList| l.homes.iter().map(|h| (h.key, h.weight, h.initial_capacity)).collect();
         self.lists
@@ -309,6 +310,7 @@
         }
     }
 
+    /// Whether old homes are still tried for copies.
     pub fn in_handover(&self, now: Ticks) -> bool {
         self.lists.len() > 1 && !self.lists[0].is_finished(now)
     }
@@ -318,10 +320,11 @@
         self.lists.first().map_or(&[], |l| &l.homes)
     }
 
-    /// The homes of an object now; `alive` tells by a member's key whether it may still be asked.
+    /// The homes of an object now; `alive` is whether the member with a key can still be reached.
     pub fn route(&self, now: Ticks, object: u64, alive: impl Fn(u64) -> bool) -> HomeRoute {
         let mut route = HomeRoute::default();
-        // When the object left the homes of older lists: one that it would have moved to only later never was its home.
+        // When the object left the homes of older lists: a home that it would have moved to only later was never its
+        // home.
         let mut left_at = now;
         for (n, list) in self.lists.iter().enumerate() {
             let Some(home) = home_of(&list.homes, object) else { continue };
@@ -332,7 +335,7 @@
                 // The object has not moved yet, and an old home is still alive.
                 None if moves_at > now && self.any_older_home_alive(n, object, &alive) => continue,
                 None => route.home = Some(home.key),
-                // The next change came before its time to move: this never was its home.
+                // The next change came before its time to move: this was never its home.
                 Some(_) if moves_at >= left_at => continue,
                 Some(current) if current != home.key => {
                     route.recently_moved = true;
--- a/crates/hierarchy/src/lib.rs
+++ b/crates/hierarchy/src/lib.rs
@@ -6,7 +6,7 @@
 //!   change that would make members fill from each other in a cycle stays pending and is reported with the whole
 //!   cycle.
 //! - [`homes`]: which member of a tier is the home of an object, and how objects are handed over when the members
-//!   change: which share moves, which old homes are asked for their copies, and when each object moves.
+//!   change: which share moves, which old homes are tried for their copies, and when each object moves.
 //! - [`shield`]: a rate limit on the fills that a front sends to the archive, directly or through parents.
 //! - [`order`]: a topological order of the members of a tier, updated edge by edge; it detects cycles.
 //! - [`router`]: combines these for one front: the sources that an access may be filled from now, in order.
@@ -14,8 +14,8 @@
 //!   shape.
 //! - [`cdn_loop`]: detects fills that go round in a cycle that no single shape shows (RFC 8586).
 //!
-//! All of it decides by what this front was told: it does not know what a member holds, nor what other fronts
-//! know or send. Times are whole tenths of a millisecond and are passed in.
+//! All decisions are based on the inputs of this front alone: it does not know what a member holds, nor what other
+//! fronts know or send. Times are whole tenths of a millisecond and are passed in.
 #![forbid(unsafe_code)]
 
 pub mod cdn_loop;
--- a/crates/hierarchy/src/order.rs
+++ b/crates/hierarchy/src/order.rs
@@ -4,6 +4,7 @@
 
 use arrayvec::ArrayVec;
 
+/// Limit of the sources of one member.
 pub const MAX_SOURCES: usize = 8;
 
 #[derive(Default)]
--- a/crates/hierarchy/src/reconcile.rs
+++ b/crates/hierarchy/src/reconcile.rs
@@ -1,10 +1,10 @@
-//! Changes that lead from a current shape to a desired one, for shapes that are given whole and in versions.
+//! Changes that lead from a current shape to a desired one, for shapes that are given as a whole, in versions.
 //!
-//! Members number the changes that they announce, and an older number never undoes a newer one. A rollback to an
-//! older version has to do just that. So a version's shape is built on its own, and the differences from the
-//! current shape are expressed as new changes: a member that differs gets its next number, one that is no longer
-//! wanted has ended, and one that had ended starts a new incarnation. A member that does not differ gets no
-//! change, so that its objects keep their homes.
+//! Members number the changes that they announce, and a change never undoes one with a greater number. But a rollback
+//! to an older version has to undo newer changes. So a version's shape is built on its own, and the differences from
+//! the current shape are expressed as new changes: a member that differs gets its next number, one that is no longer
+//! wanted has ended, and one that had ended starts a new incarnation. A member that does not differ gets no change, so
+//! that its objects keep their homes.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -50,7 +50,7 @@
     let members = desired.members();
     let tier_in_service = members.iter().any(|m| m.tier == tier && m.standing == Standing::InService);
     let empty = (!tier_in_service).then_some(ShapeFault::EmptyTier(tier));
-    // Nobody fills from a draining member, so its own sources don't matter.
+    // No member fills from a draining member, so its own sources don't matter.
     let in_service = |name: &&str| desired.member(name).is_some_and(|m| m.standing == Standing::InService);
     // A member whose own change is pending is reported for that already.
     let not_pending = |name: &&str| desired.member(name).is_some_and(|m| m.newest_in_force);
--- a/crates/hierarchy/src/router.rs
+++ b/crates/hierarchy/src/router.rs
@@ -1,9 +1,9 @@
 //! The sources that one front's accesses may be filled from now, in the order in which to try them.
 //!
-//! The router is told of changes of the shape, of the members that the front can reach, and of each push and its
-//! result. Before a push it gives the [`FillRoutes`] of the access. The decision module (`doorgrade`) chooses among them
-//! by health, limits and cold budgets, and never uses a source that is not among them. Usually they are the object's
-//! home, a second home in case the first is unfit, then the archive.
+//! The router is notified of changes of the shape, of the members that the front can reach, and of each push and its
+//! result. Before a push it gives the [`FillRoutes`] of the access. The decision module (`doorgrade`) chooses among
+//! them by health, limits and cold budgets, and never uses a source that is not among them. Usually they are the
+//! object's home, a second home in case the first is unfit, then the archive.
 
 use arrayvec::ArrayVec;
 use doorgrade::{
@@ -37,7 +37,7 @@
     weight: f64,
 }
 
-/// What a push has reserved of the archive's budget.
+/// The part of the archive's budget that a push has reserved.
 struct Reservation {
     parent: Option<u64>,
     probability: f64,
@@ -61,6 +61,7 @@
 /// Objects remembered as taken over. One that is forgotten is handed over again, at the cost of one round trip.
 const MAX_TAKEN_OVER: usize = 1 << 16;
 
+/// Gives the fill routes of one front's accesses, by the shape, the homes of objects and the archive's budget.
 pub struct FillRouter {
     config: RouterConfig,
     shape: Shape,
@@ -68,9 +69,9 @@
     shield: Shield,
     /// By the hash of the member's id.
     members: FxHashMap<u64, ListedMember>,
-    /// Members of the shape whose fills can't end at the archive: they are asked only for what they hold.
+    /// Members of the shape whose fills can't end at the archive: they may serve only copies that they hold.
     cut_off: FxHashSet<u64>,
-    /// Members in service that fill from nobody.
+    /// Members in service that have no source.
     roots: Vec<u64>,
     accesses: FxHashMap<AccessId, AccessState>,
     /// Objects that their new homes have taken over, and the keys of these homes.
@@ -166,7 +167,7 @@
         self.homes.set_members(now, list, duration)
     }
 
-    /// What `restore_homes` needs after a restart.
+    /// The homes in the form that `restore_homes` takes after a restart.
     pub fn save_homes(&self) -> Vec<homes::SavedList> {
         self.homes.save()
     }
@@ -227,13 +228,13 @@
             true => self.shield.admit(now, probability, soft_limit_at, has_waited),
             false => Admission::Admit,
         };
-        // What a home holds costs the archive nothing, whatever the budget.
+        // A copy that a home holds costs the archive nothing, whatever the budget.
         if admission != Admission::Admit || home_cut_off {
             found.home.iter().for_each(|&h| add(h, true));
         }
         if admission == Admission::Admit {
             found.home.filter(|_| !home_cut_off).iter().for_each(|&h| add(h, false));
-            // In case the home is unfit: the latest old home is the likeliest to hold the object, then the second home.
+            // If the home is unfit: the latest old home most likely holds the object, the second home next.
             let old = found.old_homes.first().copied();
             let second = homes::home_without(self.homes.newest(), access.object, found.home).map(|h| h.key);
             let reaches_archive = |key: &u64| !self.cut_off.contains(key);
--- a/crates/hierarchy/src/shape.rs
+++ b/crates/hierarchy/src/shape.rs
@@ -7,17 +7,17 @@
 //! whatever their order and however often each arrived.
 //!
 //! **In force.** Of a member's changes, the newest usable one is in force. A change is unusable while none of its
-//! sources is known and in service, while a source is in a lower tier than the member, or while it would close a
-//! cycle. Since no edge leads to a lower tier, all members of a cycle are in one tier, and only edges within a
-//! tier can close one. Of the changes in a cycle, the one with the greatest number is skipped (on a tie, that of
-//! the greatest name): where numbers come from one sequence this is the newest change, else one that all fronts
-//! agree on. Its member falls back to its previous change. Once the obstacle is gone, the skipped change comes into
-//! force by itself.
+//! sources is known and in service, while a source is in a lower tier than the member, or while it would close a cycle.
+//! Since no edge leads to a lower tier, all members of a cycle are in one tier, and only edges within a tier can close
+//! one. Of the changes in a cycle, the one with the greatest number is skipped (on a tie, that of the greatest name):
+//! if the numbers come from one sequence, this is the newest change; otherwise it is at least the same change on all
+//! fronts. Its member falls back to its previous change. Once the obstacle is gone, the skipped change comes into force
+//! by itself.
 //!
 //! **Tombstones.** Ended members are kept by name and incarnation, at most `MAX_TOMBSTONES` of them; those of the
-//! lowest incarnations are dropped first. From then on no unknown member of an incarnation up to the dropped one
-//! is accepted, so that a late change never revives an ended member. A live member that nobody had announced by
-//! then has to start a new incarnation.
+//! lowest incarnations are dropped first. From then on no unknown member of an incarnation up to the dropped one is
+//! accepted, so that a late change never revives an ended member. A live member that had not been announced by then has
+//! to start a new incarnation.
 
 mod cycles;
 mod types;
@@ -40,9 +40,10 @@
 pub const MAX_TOMBSTONES: usize = 1 << 16;
 /// Changes kept of one member: the newest, and those to fall back on.
 pub const MAX_CHANGES_PER_MEMBER: usize = 4;
+/// Tiers are numbered below this.
 pub const MAX_TIERS: u8 = 16;
-/// In bytes.
-pub const MAX_NAME_LEN: usize = 64;
+/// A longer name of a member is rejected.
+pub const MAX_NAME_BYTES: usize = 64;
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct StoredChange {
@@ -54,7 +55,7 @@
     sources: ArrayVec<u32, MAX_SOURCES>,
 }
 
-/// A name in use: a live member, or a source that some member names but nobody has announced.
+/// A name in use: a live member, or a source that some member names but that has not been announced.
 #[derive(Default)]
 struct Slot {
     name: Box<str>,
@@ -64,7 +65,7 @@
     in_force: usize,
     /// The sources in force.
     sources: ArrayVec<u32, MAX_SOURCES>,
-    /// Members that name this one in any change kept, and in how many.
+    /// Members that name this one as a source, and in how many of their stored changes.
     named_by: FxHashMap<u32, u32>,
 }
 
@@ -109,12 +110,14 @@
         Shape { max_tombstones: MAX_TOMBSTONES, ..Shape::default() }
     }
 
+    /// An empty shape that keeps fewer tombstones than [`MAX_TOMBSTONES`], or more.
     pub fn with_max_tombstones(max_tombstones: usize) -> Shape {
         Shape { max_tombstones, ..Shape::default() }
     }
 
     // ---- applying changes
 
+    /// Adds a change to the shape, and updates which changes are in force.
     pub fn apply(&mut self, change: &Change) -> ApplyOutcome {
         match self.try_apply(change) {
             Ok(outcome) => outcome,
@@ -387,6 +390,6 @@
 /// Names appear in headers, logs and files: only characters that have no special meaning in any of them.
 fn check_name(name: &str) -> Result<(), Rejection> {
     let allowed = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.');
-    let valid = !name.is_empty() && name.len() <= MAX_NAME_LEN && name.bytes().all(allowed);
+    let valid = !name.is_empty() && name.len() <= MAX_NAME_BYTES && name.bytes().all(allowed);
     if valid { Ok(()) } else { Err(Rejection::InvalidName) }
 }
--- a/crates/hierarchy/src/shape/types.rs
+++ b/crates/hierarchy/src/shape/types.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-use super::{MAX_MEMBERS, MAX_NAME_LEN, MAX_SOURCES, MAX_TIERS};
+use super::{MAX_MEMBERS, MAX_NAME_BYTES, MAX_SOURCES, MAX_TIERS};
 
 /// Whether a member may be filled from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -11,11 +11,11 @@
     Draining,
 }
 
-/// What a change says about its member.
+/// The content of a change.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ChangeKind {
-    /// The member's complete state. Tier 0 is nearest to the clients; the archive is in the highest tier and
-    /// fills from nobody.
+    /// The member's complete state. Tier 0 is nearest to the clients; the archive is in the highest tier and has no
+    /// source.
     Present { tier: u8, standing: Standing, fills_from: Vec<Box<str>> },
     /// This incarnation and all earlier ones have ended.
     Gone,
@@ -109,7 +109,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Rejection::InvalidName => {
-                write!(f, "a name that is not 1 to {MAX_NAME_LEN} letters, digits, '-', '_' or '.'")
+                write!(f, "a name that is not 1 to {MAX_NAME_BYTES} letters, digits, '-', '_' or '.'")
             }
             Rejection::SelfSource => f.write_str("it fills from itself"),
             Rejection::InvalidTier(tier) => write!(f, "tier {tier}: expected 0 to {}", MAX_TIERS - 1),
--- a/crates/hierarchy/src/shield.rs
+++ b/crates/hierarchy/src/shield.rs
@@ -1,10 +1,10 @@
 //! A front's rate limit on fills that reach the archive, directly or through parents.
 //!
-//! **One budget.** A miss reaches the archive when the archive is named as the source, when an access goes straight
-//! to it, and through a parent that lacks the object. The last case is not known when the push goes out. So the
-//! shield keeps, for each parent, the probability that a fill from it reaches the archive, learned from responses
-//! that tell who filled them, and a push takes that probability out of the budget; for an object that has just moved
-//! to its home it takes a whole fill. The response corrects the reservation.
+//! **One budget.** A miss reaches the archive when the archive is named as the source, when an access goes straight to
+//! it, and through a parent that lacks the object. The last case is not known when the push goes out. So the shield
+//! estimates, for each parent, the probability that a fill from it reaches the archive, learned from responses that
+//! report who filled them, and a push takes that probability out of the budget; for an object that has just moved to
+//! its home it takes a full fill. The response corrects the reservation.
 //!
 //! **Its size.** Fronts share no state, so each limits its own part: a little above its average rate
 //! (`average_rate`), times a factor (`rate_factor`) that falls and rises by whether the archive responds in time, as
@@ -13,7 +13,7 @@
 //! the last hours is not forgotten at once (`peak_rate`). Until a front has learned its average it uses an initial
 //! rate.
 //!
-//! **Over budget.** Other fills are asked only of members that hold a copy. If none does, the access waits for
+//! **Over budget.** Other fills may be served only by members that hold a copy. If none does, the access waits for
 //! budget, provided that its turn comes within its soft limit and behind those already queued; else it is declined at
 //! once.
 
@@ -42,7 +42,7 @@
 /// The weight of one response in a parent's probability: an average over some dozens of responses, since the
 /// probability shifts with what the parent holds.
 const LEARNING_RATE: f64 = 1.0 / 32.0;
-/// Used for a parent until its responses tell: half of its fills reach the archive.
+/// Used for a parent until its responses are known: half of its fills reach the archive.
 const INITIAL_PROBABILITY: f64 = 0.5;
 
 const TICKS_PER_SECOND: f64 = 10_000.0;
@@ -57,18 +57,18 @@
     Reject,
 }
 
-/// What a fill meant for the archive.
+/// Whether a fill reached the archive, and how the archive responded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ArchiveOutcome {
-    /// The archive was asked and responded in time.
+    /// It reached the archive, which responded in time.
     InTime,
-    /// It was asked and responded late.
+    /// It reached the archive, which responded late.
     Late,
-    /// It was asked and refused, or broke off.
+    /// It reached the archive, which refused it or broke off.
     Failed,
-    /// It was not asked.
+    /// It did not reach the archive.
     NotAsked,
-    /// It is not known whether it was asked.
+    /// It is not known whether it reached the archive.
     Unknown,
 }
 
@@ -94,7 +94,7 @@
     max_parents: usize,
     /// Reservations made so far.
     pub sent: u64,
-    /// How often a fill was told to wait or rejected so far.
+    /// How often a fill had to wait or was rejected so far.
     pub held_back: u64,
 }
 
@@ -124,7 +124,7 @@
     /// Fills a second.
     pub fn rate_limit(&self) -> f64 {
         let initial = INITIAL_RATE / self.zone_fronts;
-        // The initial rate stands in for the part of the average's time that has not been seen yet.
+        // The initial rate is used for the part of the average's time that has not been seen yet.
         let average = self.average_rate + (1.0 - self.average_coverage) * initial;
         (RATE_HEADROOM * average.max(self.peak_rate)).max(MIN_RATE / self.zone_fronts) * self.rate_factor
     }
--- a/crates/lab/src/scale/control_only.rs
+++ b/crates/lab/src/scale/control_only.rs
@@ -123,11 +123,12 @@
     }
 
     fn served(&self) -> Served {
-        let asked = self.record.ended.load(Ordering::Relaxed);
-        let answered = self.record.ended_in_time.load(Ordering::Relaxed).min(asked);
+        let accesses = self.record.ended.load(Ordering::Relaxed);
+        let answered = self.record.ended_in_time.load(Ordering::Relaxed).min(accesses);
         // Benefit is reported in thousandths.
-        let (asked_benefit, in_time) = (asked.saturating_mul(1_000), answered.saturating_mul(1_000));
-        Served { asked: asked_benefit, in_time, accesses: AccessCounts { accesses: asked, answered } }
+        let (requested_benefit, earned_benefit) =
+            (accesses.saturating_mul(1_000), answered.saturating_mul(1_000));
+        Served { requested_benefit, earned_benefit, accesses: AccessCounts { accesses, answered } }
     }
 }
 
--- a/crates/members/src/detection.rs
+++ b/crates/members/src/detection.rs
@@ -1,5 +1,5 @@
-//! What the failure detector (the crate `foca`) calls back into: timers, outgoing datagrams, and the table of known
-//! members.
+//! The runtime that the failure detector (the crate `foca`) calls back into: timers, outgoing datagrams, and the table
+//! of known members.
 
 use std::cmp::{Ordering, Reverse};
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -76,7 +76,7 @@
                 self.up.remove(&id.address);
                 self.record(id, Liveness::Down);
                 // It may have restarted without being able to reach any member that is up here.
-                self.discovery.ask_soon(self.now);
+                self.discovery.request_soon(self.now);
                 Event::MemberDown(id.clone())
             }
             Notification::Rename(old, new) => {
--- a/crates/members/src/discovery.rs
+++ b/crates/members/src/discovery.rs
@@ -1,4 +1,4 @@
-//! Which address to ask for other members, and when: seeds, and formerly known members that are missing.
+//! Which address to send a request for other members to, and when: seeds, and formerly known members that are missing.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddrV4;
@@ -9,14 +9,14 @@
 /// The first interval between requests: some round trips.
 const MIN_INTERVAL: Ticks = 5_000;
 /// The longest interval: the end of a network partition is noticed within some of them. A fleet of 1,000 members that
-/// all ask at this rate sends 100 requests per second in total.
+/// all send requests at this interval sends 100 per second in total.
 const MAX_INTERVAL: Ticks = 100_000;
-/// One response names some thirty other members. A newcomer that learns of another member asks at this interval, also
-/// those that are up, until it has learned of no other one for `NEWS_WINDOW`.
+/// One response names some thirty other members. A newcomer that learns of another member sends requests at this
+/// interval, also to members that are up, until it has learned of no other one for `NEWS_WINDOW`.
 const NEWCOMER_INTERVAL: Ticks = 2_500;
 const NEWS_WINDOW: Ticks = 10_000;
-/// How long a member counts as a newcomer. Later on changes arrive by gossip, and asking on each of them would make the
-/// whole fleet ask because of one change.
+/// How long a member counts as a newcomer. Later on changes arrive by gossip, and a request on each of them would make
+/// the whole fleet send requests because of one change.
 const NEWCOMER_PERIOD: Ticks = 300_000;
 /// Limit for the addresses remembered besides the seeds: room for a whole former fleet and more.
 const MAX_ADDRESSES: usize = 4_096;
@@ -27,7 +27,7 @@
     known: BTreeSet<SocketAddrV4>,
     interval: Ticks,
     started_at: Ticks,
-    /// Until when a newcomer asks at `NEWCOMER_INTERVAL`.
+    /// Until when a newcomer sends requests at `NEWCOMER_INTERVAL`.
     fast_until: Ticks,
     pub(crate) next_request_at: Ticks,
 }
@@ -58,7 +58,7 @@
                 (now + NEWS_WINDOW, self.next_request_at.min(now + NEWCOMER_INTERVAL));
         } else {
             // Other missing members may be back as well. If none is missing, nothing is sent.
-            self.ask_soon(now);
+            self.request_soon(now);
         }
     }
 
@@ -69,13 +69,13 @@
     }
 
     /// Resets the interval, as after a member went down.
-    pub(crate) fn ask_soon(&mut self, now: Ticks) {
+    pub(crate) fn request_soon(&mut self, now: Ticks) {
         self.interval = MIN_INTERVAL;
         self.next_request_at = self.next_request_at.min(now + MIN_INTERVAL);
     }
 
-    /// The address to ask now, if a request is due: a random one of those that are not up. Seeds are chosen as often as
-    /// all the other addresses together.
+    /// The address to send a request to now, if one is due: a random one of those that are not up. Seeds are chosen as
+    /// often as all the other addresses together.
     pub(crate) fn next_target(
         &mut self,
         now: Ticks,
--- a/crates/members/src/lib.rs
+++ b/crates/members/src/lib.rs
@@ -9,12 +9,12 @@
 //! - **Stall detection.** A process that was suspended does not notice it: its timers are all due at once and would
 //!   accuse every member that did not answer in the meantime. A gap between calls that is longer than any wait of its
 //!   own counts as a stall. The membership state is then discarded before any of it is acted upon, the member takes a
-//!   later incarnation, and it reports its state as unconfirmed until somebody answers
+//!   later incarnation, and it reports its state as unconfirmed until another member answers
 //!   (`Connectivity::Unconfirmed`).
 //! - **Rate limit.** A member sends at most a configured number of datagrams per second, whatever happens
 //!   (`rate_limiter.rs`).
-//! - **Discovery.** A member that is not connected asks seeds and formerly known members, one at a time and with a
-//!   growing interval. A connected member still asks one that is missing now and then, so that the sides of a network
+//! - **Discovery.** A member that is not connected contacts seeds and formerly known members, one at a time and with a
+//!   growing interval. A connected member still contacts a missing one now and then, so that the sides of a network
 //!   partition meet again (`discovery.rs`).
 //! - **Seals.** A datagram is authenticated with a key from the operators, for the address that it is sent to
 //!   (`seal.rs`).
--- a/crates/members/src/members.rs
+++ b/crates/members/src/members.rs
@@ -10,7 +10,7 @@
 use crate::suspicions::Suspicions;
 use crate::types::{Connectivity, Effect, Event, KnownMember, Liveness};
 
-/// A suspicion that lasts for this many suspicion timeouts is one that no member is about to end.
+/// A suspicion that lasts for this many suspicion timeouts will not be ended by the member that had it first.
 const MAX_SUSPICION_TIMEOUTS: Ticks = 2;
 /// A gap between calls of more than this many probe intervals is a stall: calls are never further apart than a gossip
 /// interval. It is less than the suspicion timeout of four intervals, so that no suspicion leads to an accusation
@@ -19,15 +19,16 @@
 /// Bounds of that gap, 0.75 s to 2.5 s: longer than the pauses of a busy machine, and no longer than what an operator
 /// would still consider a short pause.
 const STALL_BOUNDS: [Ticks; 2] = [7_500, 25_000];
-/// Without a datagram for this many probe intervals a member is isolated: no probe of its own was answered, and nobody
-/// has probed it.
+/// Without a datagram for this many probe intervals a member is isolated: no probe of its own was answered, and no
+/// member has probed it.
 const ISOLATED_PROBE_INTERVALS: Ticks = 5;
-/// More known members than this many times the configured fleet size can't be genuine: whoever reports them has a valid
-/// key, and is malicious or faulty. `expected_members` may be off by a factor of three.
+/// More known members than this many times the configured fleet size can't be genuine: their reporter has a valid key,
+/// and is malicious or faulty. `expected_members` may be off by a factor of three.
 const MAX_KNOWN_PER_EXPECTED: usize = 8;
 /// Lower bound of that limit, for small fleets.
 const MIN_KNOWN_LIMIT: usize = 512;
 
+/// The membership state machine of one member.
 pub struct Members {
     swim: Swim,
     runtime: Runtime,
@@ -181,8 +182,8 @@
         self.reset();
     }
 
-    /// Discards the failure detector's state and takes a new identity. Known members stay on record, those
-    /// that were alive as suspects, and are asked anew.
+    /// Discards the failure detector's state and takes a new identity. Known members stay on record, those that were
+    /// alive as suspects, and are contacted anew.
     fn reset(&mut self) {
         let own = self.swim.identity().renewed();
         self.swim = new_swim(own, &self.settings, &mut self.rng);
@@ -201,7 +202,7 @@
     fn enforce_member_limit(&mut self) {
         let limit = (MAX_KNOWN_PER_EXPECTED * self.settings.expected_members as usize).max(MIN_KNOWN_LIMIT);
         if self.runtime.known.len() > limit {
-            // Members that are down go first; they are not asked any more either.
+            // Members that are down are removed first; discovery does not contact them any more either.
             self.runtime.known.retain(|_, k| k.liveness != Liveness::Down);
         }
         // Members that were reported as down without ever having been up are in the failure detector only. One datagram
--- a/crates/members/src/rate_limiter.rs
+++ b/crates/members/src/rate_limiter.rs
@@ -1,8 +1,9 @@
-//! A token bucket for datagrams: a number per second, with bursts of up to one second's worth.
-//! One limits what a member sends; responses to commands on the same socket have one of their own.
+//! A token bucket for datagrams: a number per second, with bursts of up to one second's worth. One limits the
+//! datagrams that a member sends; responses to commands on the same socket have a separate one.
 
 use doorgrade::Ticks;
 
+/// Limits events to a number per second.
 pub struct RateLimiter {
     rate_per_second: f64,
     tokens: f64,
--- a/crates/members/src/settings.rs
+++ b/crates/members/src/settings.rs
@@ -7,8 +7,8 @@
 use doorgrade::Ticks;
 use foca::{Config, PeriodicParams};
 
-/// Share of the probe interval in which a direct response is awaited before other members are asked to probe. The rest
-/// is more than as long again, for the indirect probe.
+/// Share of the probe interval in which a direct response is awaited before other members are requested to probe. The
+/// rest, which is longer, is for the indirect probe.
 const DIRECT_PROBE_SHARE: f64 = 0.4;
 /// How many probe intervals a member that did not answer stays suspect before it is declared down, more in a large
 /// fleet: its refutation must have time to arrive, and the news of the suspicion to reach it (SWIM's suspicion timeout
@@ -18,7 +18,7 @@
 pub(crate) const GOSSIP_INTERVAL: Ticks = 2_500;
 /// How long a member that is down is remembered; then its address may be used by another one.
 const REMEMBER_DOWN: Duration = Duration::from_secs(3_600);
-/// What fits in one datagram on any network path, less the seal.
+/// The payload that fits in one datagram on any network path, without the seal.
 const MAX_PAYLOAD_BYTES: usize = 1_400 - crate::seal::SEAL_BYTES;
 
 #[derive(Clone, Debug)]
@@ -60,7 +60,7 @@
         max_packet_size: NonZeroUsize::new(MAX_PAYLOAD_BYTES).unwrap_or(NonZeroUsize::MIN),
         remove_down_after: Some(REMEMBER_DOWN),
         notify_down_members: true,
-        // `Discovery` asks members that are missing, whether or not others are up.
+        // `Discovery` contacts members that are missing, whether or not others are up.
         periodic_announce_to_down_members: None,
         periodic_announce: Some(PeriodicParams {
             frequency: Duration::from_secs(20),
--- a/crates/members/src/types.rs
+++ b/crates/members/src/types.rs
@@ -7,7 +7,7 @@
 
 use crate::MemberId;
 
-/// What the caller is to do.
+/// An action for the caller to carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
     /// Send a datagram; `payload` is yet to be sealed.
@@ -64,7 +64,7 @@
     Down,
 }
 
-/// What is known of another member.
+/// Another member, as far as this one knows it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KnownMember {
     pub id: MemberId,
--- a/crates/operator/src/agent.rs
+++ b/crates/operator/src/agent.rs
@@ -52,7 +52,7 @@
     pub rules: PaceRules,
 }
 
-/// More than one machine can run.
+/// More instances than one machine can run.
 const MAX_INSTANCES: usize = 1_000;
 
 fn checked_name(block: &Block<'_>, name: &str) -> Box<str> {
--- a/crates/operator/src/control.rs
+++ b/crates/operator/src/control.rs
@@ -19,7 +19,7 @@
 
 use crate::document::{Block, Document, Problems};
 
-/// What the holder of a certificate may do.
+/// The role of the holder of a certificate, by which requests are permitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
     /// May read, but not change anything.
@@ -37,7 +37,7 @@
     Evidence,
 }
 
-/// What happens to a change if there are too few accesses for a verdict.
+/// How a change proceeds if there are too few accesses for a verdict.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ThinTraffic {
     /// It waits until there are enough.
@@ -99,7 +99,7 @@
     pub missing: f64,
     /// The loss of service level at which the publication stops.
     pub drop: f64,
-    /// Number of versions that are kept.
+    /// Number of versions in the history.
     pub history: u64,
     /// After a start from the store, how long nothing is offered to fronts that run no version.
     pub listen_ms: u64,
@@ -107,7 +107,8 @@
     pub trials: Trials,
 }
 
-/// Paths of the own certificate and its key, and of the authority that signs the certificates of peers.
+/// Paths of the service's or front's own certificate and its key, and of the authority that signs the certificates of
+/// peers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct IdentityFiles {
     pub certificate: Box<str>,
@@ -125,7 +126,9 @@
     pub operators_authority: Box<str>,
     pub seal_keys: Box<str>,
     pub store: Box<str>,
+    /// Fronts admitted per second when many connect at once.
     pub admit_per_s: u64,
+    /// Interval of heartbeats.
     pub alive_ms: u64,
     pub max_fronts: u64,
     /// Roles by the name in the certificate. If empty, everyone with a valid certificate is an operator.
--- a/crates/operator/src/document.rs
+++ b/crates/operator/src/document.rs
@@ -14,7 +14,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Problem {
     pub file: Box<str>,
-    /// Starts at 1; 0 if the error concerns the file as a whole.
+    /// Starts at 1; 0 if the error concerns the entire file.
     pub line: usize,
     pub column: usize,
     /// The key or block with its path, as in `hierarchy.shape`; empty if the error concerns none.
@@ -40,7 +40,7 @@
 pub struct Problems(pub Vec<Problem>);
 
 impl Problems {
-    /// A single error that concerns the file as a whole.
+    /// A single error that concerns the entire file.
     pub fn of_file(file: &str, message: impl fmt::Display) -> Problems {
         let message = message.to_string().into();
         Problems(vec![Problem { file: file.into(), line: 0, column: 0, key: "".into(), message }])
@@ -58,7 +58,7 @@
 
 impl std::error::Error for Problems {}
 
-/// Further errors are not reported: a person corrects the first ones first.
+/// Further errors are not reported: so many are enough to correct at a time.
 const MAX_PROBLEMS: usize = 50;
 
 /// A parsed file, with the errors found in it so far.
@@ -142,7 +142,7 @@
         self.document.report(span.map_or(self.offset, |s| s.start), &self.full_key(key), message);
     }
 
-    /// Reports an error of the block as a whole.
+    /// Reports an error of the entire block.
     pub fn report_block(&self, message: impl fmt::Display) {
         self.document.report(self.offset, &self.path, message);
     }
--- a/crates/operator/src/settings.rs
+++ b/crates/operator/src/settings.rs
@@ -45,7 +45,7 @@
     pub hand_over_ms: u64,
     /// Whether pushes carry `CDN-Loop`.
     pub loop_header: bool,
-    /// Whether all requests that may reach the archive share one budget (the shield).
+    /// Whether fills that reach the archive are limited by a budget (the shield).
     pub shield: bool,
 }
 
@@ -73,7 +73,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Settings {
     pub log: Log,
-    /// This and the following are None where they are off.
+    /// This and the following blocks are None if they are off.
     pub versions: Option<Versions>,
     pub manage: Option<Manage>,
     pub neighbours: Option<Neighbours>,
--- a/crates/operator/src/shape.rs
+++ b/crates/operator/src/shape.rs
@@ -21,7 +21,7 @@
 const STANDINGS: [(&str, Standing); 2] =
     [("in_service", Standing::InService), ("draining", Standing::Draining)];
 
-/// Enough for the largest shape, with all changes that are kept of its members.
+/// Enough for the largest shape, with all stored changes of its members.
 pub const MAX_FILE_BYTES: usize = 256 << 20;
 
 fn change(name: &str, block: &Block<'_>, gone: bool) -> Option<Change> {
--- a/crates/operator/src/version.rs
+++ b/crates/operator/src/version.rs
@@ -30,7 +30,7 @@
 /// Upper bound of limits, so that sums of them do not overflow.
 pub const MAX_LIMIT: u64 = 1 << 20;
 
-/// Further faults of a shape are not reported: a person corrects the first ones first.
+/// Further faults of a shape are not reported: so many are enough to correct at a time.
 const MAX_FAULTS: usize = 20;
 
 /// The settings of a version; None for each that it does not name.
@@ -47,6 +47,7 @@
 }
 
 impl Version {
+    /// Reads a version; `name` is its name in error messages.
     pub fn read(name: &str, content: &[u8]) -> Result<Version, Problems> {
         let text = std::str::from_utf8(content).map_err(|e| {
             Problems::of_file(name, format_args!("is not UTF-8 at byte {}", e.valid_up_to() + 1))
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -34,7 +34,7 @@
     quantum: f64,
     /// How the member list is sent: `automatic`, or `subscribe` for only on request.
     registry_mode: String,
-    /// What the weights of members are: `nominal` and `rough` ones can be compared between members.
+    /// The kind of members' weights: `nominal` and `rough` ones can be compared between members.
     weight_kind: String,
     limits: Limits,
     /// The names of the zones.
--- a/crates/trust/src/rotation.rs
+++ b/crates/trust/src/rotation.rs
@@ -90,7 +90,7 @@
     Ok(())
 }
 
-/// Keys that could be removed: all but the one that seals, unless some front runs a version that they sealed.
+/// Keys that could be removed: all but the one used to seal, unless a front runs a version that they sealed.
 pub fn removable(keys: &[(u32, Vec<u8>)], fronts_by_key: &BTreeMap<u32, usize>) -> Vec<u32> {
     let older = keys.split_last().map_or(&[][..], |(_, older)| older);
     older.iter().map(|k| k.0).filter(|k| fronts_by_key.get(k).is_none_or(|&fronts| fronts == 0)).collect()
--- a/crates/versions/src/delta.rs
+++ b/crates/versions/src/delta.rs
@@ -16,12 +16,14 @@
     Insert(Vec<u8>),
 }
 
+/// The instructions that build a new content, in order.
 pub type Delta = Vec<Op>;
 
 fn lines(content: &[u8]) -> Vec<&[u8]> {
     content.split_inclusive(|&b| b == b'\n').collect()
 }
 
+/// The delta from the old content to the new one.
 pub fn between(old: &[u8], new: &[u8]) -> Delta {
     let (a, b) = (lines(old), lines(new));
     let offsets = |lines: &[&[u8]]| -> Vec<usize> {
--- a/crates/versions/src/evidence.rs
+++ b/crates/versions/src/evidence.rs
@@ -1,12 +1,11 @@
 //! A sequential test whether fronts with a change answer a smaller share of their accesses than fronts without
 //! it. It may be evaluated after every report.
 //!
-//! For each interval, a front's answered share minus its own baseline is compared with that of the control
-//! group in the same interval, so that effects common to both cancel out. The sum over the intervals, weighted
-//! as by Cochran, Mantel and Haenszel, is compared with Robbins' normal-mixture boundary; its variance is
-//! scaled by how much more fronts differ from each other than by chance alone. No single front is decisive. The
-//! code is pure: counts in, a verdict out. `docs/rollouts.md`, "How a trial is judged", discusses the
-//! alternatives and has the measured figures.
+//! For each interval, a front's answered share minus its own baseline is compared with that of the control group in the
+//! same interval, so that effects common to both cancel out. The sum over the intervals, weighted as by Cochran, Mantel
+//! and Haenszel, is compared with Robbins' normal-mixture boundary; its variance is scaled by how much more fronts
+//! differ from each other than by chance alone. No single front is decisive. The code is pure: counts in, a verdict
+//! out. `docs/rollouts.md`, "How a trial is judged", discusses the alternatives and gives figures.
 
 mod boundary;
 mod group;
@@ -220,8 +219,7 @@
 const OUTLIER_FRACTION: usize = 20;
 
 impl Judge {
-    /// Both groups without clear outliers: a front with false reports, with a fault of its own, or at an
-    /// overloaded station.
+    /// Both groups without clear outliers: a front with false reports, with a local fault, or at an overloaded station.
     fn without_outliers<'a>(&self, arm: Set<'a>, control: Set<'a>) -> (Set<'a>, Set<'a>) {
         let (arm_rest, arm_suspects) = self.suspects(&arm);
         let (control_rest, control_suspects) = self.suspects(&control);
@@ -237,8 +235,8 @@
         (keep(arm_rest, arm_suspects), keep(control_rest, control_suspects))
     }
 
-    /// The fronts furthest from their group's median, each with its distance in standard deviations by chance
-    /// alone; and the remaining fronts.
+    /// Splits off the fronts furthest from their group's median: returns the remaining fronts, then these, each with
+    /// its distance in the standard deviations that chance alone would give.
     fn suspects<'a>(&self, set: &Set<'a>) -> (Set<'a>, Vec<(f64, &'a group::FrontSum)>) {
         let count = if set.len() < 3 { 0 } else { (set.len() / OUTLIER_FRACTION).max(1) };
         let mut means: Vec<f64> = set.iter().map(|f| f.mean()).collect();
--- a/crates/versions/src/front.rs
+++ b/crates/versions/src/front.rs
@@ -1,11 +1,11 @@
 //! A front's side of configuration distribution: a version is offered, fetched, checked, staged, applied and
 //! then confirmed or rejected.
 //!
-//! The caller passes in events and executes the returned [`Effect`]s. The front always runs and reports the
-//! version that was applied last. A version is staged, with a crash counter, before it is applied, and is good
-//! once it was applied. A front that crashes while applying a version finds it staged at its next start and
-//! runs the last good one instead; after `MAX_CRASHES` such starts it rejects the version by itself. A failing
-//! store affects nothing but storing.
+//! The caller passes in events and executes the returned [`Effect`]s. The front always runs and reports the version
+//! that was applied last. A version is staged, with a crash counter, before it is applied, and is good once it was
+//! applied. A front that crashes while applying a version finds it staged at its next start and runs the last good one
+//! instead; after `MAX_CRASHES` such starts it rejects the version without trying it again. If the store fails,
+//! versions are still applied, but not stored.
 
 mod candidate;
 mod types;
@@ -45,7 +45,7 @@
     candidate: Option<Candidate>,
     /// Offered while the candidate could not be replaced any more.
     next: Option<VersionId>,
-    /// Recently rejected versions, so that a repeated offer is not fetched again.
+    /// Recently rejected versions, so that a version that is offered again is not fetched again.
     rejected: Vec<(VersionId, RejectionReason)>,
     /// The version that was found staged at the start, and how often the front crashed while applying it.
     crashed: Option<(VersionId, u32)>,
@@ -187,14 +187,14 @@
     }
 
     fn set_timer(&mut self, at: Ticks, effects: &mut Vec<Effect>) {
-        if self.timer_at.is_none_or(|w| at < w) {
+        if self.timer_at.is_none_or(|timer| at < timer) {
             self.timer_at = Some(at);
             effects.push(Effect::SetTimer(at));
         }
     }
 
     pub fn on_timer(&mut self, now: Ticks, effects: &mut Vec<Effect>) {
-        if self.timer_at.is_some_and(|w| w > now) {
+        if self.timer_at.is_some_and(|timer| timer > now) {
             return;
         }
         self.timer_at = None;
@@ -297,7 +297,7 @@
         }
         match &self.candidate {
             Some(c) if c.id == id => {}
-            // A version that is past fetching is not interrupted; the latest one offered meanwhile comes next.
+            // A version that is past fetching is not interrupted; the latest one offered in the meantime comes next.
             Some(c) if !matches!(c.state, CandidateState::Fetching { .. }) => {
                 if self.next.is_none_or(|n| n.position() < id.position()) {
                     self.next = Some(id);
--- a/crates/versions/src/front/types.rs
+++ b/crates/versions/src/front/types.rs
@@ -1,4 +1,4 @@
-//! What a front requests from its caller, and what it is given at its start.
+//! The effects that a front requests from its caller, its log events, and its stored state.
 
 use std::sync::Arc;
 
@@ -9,7 +9,7 @@
 /// The content of a version.
 pub type Content = Arc<[u8]>;
 
-/// What the caller is to do.
+/// An action for the caller to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     Connect,
@@ -52,7 +52,7 @@
     NotStored(VersionId),
 }
 
-/// What a front finds in its store at the start.
+/// The content of a front's store at its start.
 #[derive(Clone, Debug, Default)]
 pub struct StoredState {
     pub last_good: Option<(VersionId, Seal, Content)>,
--- a/crates/versions/src/lib.rs
+++ b/crates/versions/src/lib.rs
@@ -1,21 +1,20 @@
 //! Decisions about configuration that is distributed in numbered versions. The code has no I/O, no clock, no
 //! threads, and takes randomness only from a seed:
 //!
-//! - [`front`]: a front's side: what it does with an offered version until it confirms or rejects it, what it
-//!   runs after a crash, and when it reconnects. It keeps running the last good version, whatever happens.
-//! - [`service`]: the control service's side: which front is to have which version now, rollout in waves that
-//!   stops by itself, the state of each front, and how fast reconnecting fronts are admitted.
+//! - [`front`]: a front's side: what it does with an offered version until it confirms or rejects it, what it runs
+//!   after a crash, and when it reconnects. It runs the last good version, whatever happens.
+//! - [`service`]: the control service's side: which front is to have which version now, rollout in waves that stops
+//!   automatically, the state of each front, and how fast reconnecting fronts are admitted.
 //! - [`evidence`]: a statistical test whether fronts with a change answer fewer accesses than those without it.
 //!   [`merge`]: three-way merges of changes, and reverting one change.
 //! - [`trial`]: overlapping changes, each judged by comparing the fronts that run it with a control group.
 //! - [`delta`], [`seal`]: a change encoded against a version that the other side has; a MAC that binds a
 //!   content to its version number.
 //!
-//! A version's position is its epoch and its number. A service that has lost its store, or finds an older copy
-//! of it, opens a new epoch, greater than any it has heard of. A position that is already known with other
-//! content is never accepted. A front can't know whether a version is sensible, only whether it can be read and
-//! applied; a service can't know what a front runs, only what the front reports. Times are given as [`Ticks`]
-//! by the caller.
+//! A version's position is its epoch and its number. A service that has lost its store, or finds an older copy of it,
+//! opens a new epoch, greater than any that fronts have reported. A position that is already known with other content
+//! is never accepted. A front can't know whether a version is sensible, only whether it can be read and applied; a
+//! service can't know what a front runs, only what the front reports. Times are given as [`Ticks`] by the caller.
 #![forbid(unsafe_code)]
 
 pub mod delta;
@@ -36,6 +35,7 @@
 
 /// Larger contents are rejected before they are read. Enough for about 100,000 members of a hierarchy.
 pub const MAX_CONTENT_BYTES: usize = 32 << 20;
+/// A longer name of a front or a station is rejected.
 pub const MAX_NAME_BYTES: usize = 64;
 
 /// A version's position and the hash of its content.
@@ -51,6 +51,7 @@
         VersionId { epoch, number, hash: *blake3::hash(content).as_bytes() }
     }
 
+    /// Versions are ordered by epoch, then by number.
     pub fn position(&self) -> (u64, u64) {
         (self.epoch, self.number)
     }
--- a/crates/versions/src/merge/hunks.rs
+++ b/crates/versions/src/merge/hunks.rs
@@ -1,8 +1,8 @@
 //! Line diffs of two contents, in bounded time for any content.
 //!
-//! Lines that occur exactly once in both contents are anchors (patience diff: blocks with unique names stay
-//! whole). Between anchors, `similar`'s Myers diff refines the result as long as the budget lasts. `imara-diff`
-//! was tried: a content of 256 KB with ten distinct lines took it 19 s and more.
+//! Lines that occur exactly once in both contents are anchors (patience diff: blocks with unique names stay whole).
+//! Between anchors, `similar`'s Myers diff refines the result as long as the budget lasts. `imara-diff` is not used: it
+//! takes 19 s and more for a content of 256 KB with ten distinct lines.
 
 use std::collections::HashMap;
 use std::ops::Range;
--- a/crates/versions/src/service.rs
+++ b/crates/versions/src/service.rs
@@ -5,10 +5,9 @@
 //! stations first, then to growing shares of all ranks, starting at a rank derived from the version number,
 //! then to all. A front is offered its current target, and never an older version than it runs.
 //!
-//! **Stopping.** A rollout stops when rejections, missing responses or a drop of the service level among the
-//! fronts that were offered the version exceed a limit. Then it is offered to nobody else. Fronts that run it
-//! keep running it until a version with a new number is published to them, which may be the earlier good
-//! content.
+//! **Stopping.** A rollout stops when rejections, missing responses or a drop of the service level among the fronts
+//! that were offered the version exceed a limit. Then it is offered to no further front. Fronts that run it continue to
+//! do so until a version with a new number is published to them, which may be the earlier good content.
 //!
 //! **Cost.** A publication costs work only for the fronts of the current wave, and an event only for the front
 //! it is about. Everything about many fronts is kept as counters.
@@ -40,6 +39,7 @@
 use crate::trial::Trials;
 use crate::{RejectionReason, Ticks, VersionId};
 
+/// Identifies a connection of a front; assigned by the caller.
 pub type ConnectionId = u64;
 
 #[derive(Clone, Debug)]
@@ -142,7 +142,7 @@
     heartbeats: VecDeque<(Ticks, usize, ConnectionId)>,
     /// Offers that are not answered yet, with their deadlines, in order.
     pending_responses: VecDeque<(Ticks, usize, VersionId)>,
-    /// When the next front may be admitted, and when each delayed front was told to return.
+    /// When the next front may be admitted, and when each delayed front is to return.
     next_admission: f64,
     admissions: FxHashMap<Box<str>, Ticks>,
     superseded: Option<u64>,
--- a/crates/versions/src/service/evidence.rs
+++ b/crates/versions/src/service/evidence.rs
@@ -121,7 +121,7 @@
                             .push(Effect::Send(conn, ToFront::SetReportInterval { millis: interval / 10 }));
                     }
                 }
-                TrialEffect::Log(line) => effects.push(Effect::Log(line)),
+                TrialEffect::Log(event) => effects.push(Effect::Log(event)),
                 TrialEffect::SetTimer(time) => self.set_timer(time, effects),
             }
         }
--- a/crates/versions/src/service/fronts.rs
+++ b/crates/versions/src/service/fronts.rs
@@ -56,8 +56,8 @@
             self.by_rank.insert((rank, index), ());
             index
         });
-        // Of two connections with the same name the newer counts: the peer of the older is gone, or soon will
-        // be.
+        // The newer of two connections with the same name is used: the peer of the older one is gone, or soon
+        // will be.
         if let Some(old) = self.fronts[index].conn.replace(conn) {
             self.by_conn.remove(&old);
             effects.push(Effect::Close(old));
@@ -155,7 +155,7 @@
         }
     }
 
-    /// Renumbers everything in an epoch later than any heard of. The history is kept, but nothing of it is
+    /// Renumbers everything in an epoch later than any reported. The history is kept, but nothing of it is
     /// offered, since fronts run later versions: only an operator can decide what they are to run.
     fn new_epoch(&mut self, because: VersionId, effects: &mut Vec<Effect>) {
         self.epoch = self.epoch.max(because.epoch) + 1;
--- a/crates/versions/src/service/requests.rs
+++ b/crates/versions/src/service/requests.rs
@@ -1,5 +1,5 @@
-//! Requests of operators and their responses. A request that publishes names the last version its sender has
-//! seen: if two are made at the same time, one is told that the other came first, and its number.
+//! Requests of operators and their responses. A request to publish names the last version that its sender has seen: if
+//! two are made at the same time, the second is rejected with the number of the first.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -232,6 +232,7 @@
 const MAX_ROWS: usize = 1_000;
 /// Running versions that are listed with their counts; normally there are two.
 const MAX_LISTED_VERSIONS: usize = 20;
+/// A longer note is truncated.
 pub const MAX_NOTE_CHARS: usize = 1_000;
 
 impl Role {
--- a/crates/versions/src/service/types.rs
+++ b/crates/versions/src/service/types.rs
@@ -33,8 +33,8 @@
     pub max_fronts: usize,
     /// Number of versions kept, for deltas and rollbacks.
     pub history: usize,
-    /// After starting with a non-empty store, the service waits this long before it offers anything to fronts
-    /// that run nothing: the store may be an older copy, so fronts that ran later versions must be heard first.
+    /// After starting with a non-empty store, the service waits this long before it offers anything to fronts that run
+    /// nothing: the store may be an older copy, so fronts that ran later versions must report first.
     pub recovery_delay: Ticks,
     pub rollout: RolloutMode,
 }
@@ -75,7 +75,7 @@
     },
     SetTimer(Ticks),
     Log(LogEvent),
-    /// Store the state of the trials, in a record of its own.
+    /// Store the state of the trials, in a separate record.
     StoreTrials(SavedTrials),
     /// Delete a version that is not needed any more from the store.
     Delete(VersionId),
@@ -237,7 +237,7 @@
     pub stopped: Option<StopReason>,
 }
 
-/// What a service finds in its store at the start.
+/// The content of a service's store at its start.
 #[derive(Clone, Debug, Default)]
 pub struct StoredState {
     pub epoch: u64,
--- a/crates/versions/src/trial/batch.rs
+++ b/crates/versions/src/trial/batch.rs
@@ -32,7 +32,7 @@
         self.content == key || self.experiment.arms.iter().any(|a| a.content == key)
     }
 
-    /// The first change that is harmful by itself.
+    /// The first change that is harmful alone.
     fn harmful_single(&self, max_rejected_share: f64) -> Option<(u64, RemovalReason)> {
         let lost_share = self.experiment.lost_share();
         let mut earlier_harmless = true;
@@ -62,9 +62,8 @@
 
 /// Minimum number of fronts in an arm: a single one may be faulty, and one may disconnect.
 const MIN_ARM: usize = 3;
-/// Minimum size of the control group, if there are enough fronts. A smaller one shows too little of how fronts
-/// differ by themselves: 4 canaries were judged harmless after 1 s with 16 control fronts, and after 7.5 s with
-/// 4.
+/// Minimum size of the control group, if there are enough fronts. A smaller one shows too little of how fronts differ
+/// without any change: 4 canaries were judged harmless after 1 s with 16 control fronts, and after 7.5 s with 4.
 pub(super) const MIN_CONTROL: usize = 16;
 
 /// An arm without a verdict after this many accesses is unlikely to reach one soon.
@@ -118,7 +117,7 @@
         if baselines_missing && now < self.baseline_deadline(now) {
             return;
         }
-        self.baselines_by = None;
+        self.baseline_deadline = None;
         let connected = self.members.iter().filter(|m| m.connected).count();
         // The number of fronts that may run an unproven content; the rest of the pool is the control group.
         let room = match &self.wide {
@@ -178,9 +177,9 @@
 
     /// How long to wait for fronts to get a baseline.
     fn baseline_deadline(&mut self, now: Ticks) -> Ticks {
-        let until = *self.baselines_by.get_or_insert(now + self.rules.evidence_timeout);
-        self.effects.push(Effect::SetTimer((now + self.rules.report_fast).min(until)));
-        until
+        let deadline = *self.baseline_deadline.get_or_insert(now + self.rules.evidence_timeout);
+        self.effects.push(Effect::SetTimer((now + self.rules.report_fast).min(deadline)));
+        deadline
     }
 
     /// Reuses the number that the change was published under if no front can run a later one; otherwise creates
--- a/crates/versions/src/trial/changes.rs
+++ b/crates/versions/src/trial/changes.rs
@@ -10,7 +10,7 @@
 const MAX_QUEUED_BYTES: usize = 512 << 20;
 
 impl Trials {
-    /// Whether a publication is allowed now, against the head or another content that is kept.
+    /// Whether a publication is allowed now; the same for an edit of the head and of an older content.
     pub(crate) fn may_publish(&self, bytes: usize) -> Result<(), PublishError> {
         if bytes > MAX_CONTENT_BYTES {
             return Err(PublishError::TooLarge(bytes));
--- a/crates/versions/src/trial/experiment.rs
+++ b/crates/versions/src/trial/experiment.rs
@@ -7,7 +7,7 @@
 use super::contents::ContentKey;
 use super::members::{Group, Member, Slot};
 
-/// What an arm tests.
+/// The changes that an arm tests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Purpose {
     /// One change alone.
@@ -83,8 +83,8 @@
     }
 }
 
-/// If fronts disconnect while others stay, and this is less likely than this by chance, their content is to
-/// blame.
+/// If the probability that so many fronts of an arm disconnect by chance is below this, the arm's content is
+/// to blame.
 const LOSS_SIGNIFICANCE: f64 = 1e-5;
 
 /// Probability that at least `count` of `of` fronts disconnect if each does so with probability `p`.
@@ -142,7 +142,7 @@
         (self.others_lost as f64 + 0.5) / (self.others as f64 + 1.0)
     }
 
-    /// Evaluates what its members have reported since the last time.
+    /// Evaluates the reports of its members since the last sample.
     pub fn take_samples(&mut self, now: Ticks, members: &mut [Member]) {
         let slot = self.slot;
         let mut samples_of = |fronts: &[usize]| -> Vec<(FrontKey, FrontSample)> {
--- a/crates/versions/src/trial/members.rs
+++ b/crates/versions/src/trial/members.rs
@@ -57,11 +57,11 @@
     /// Contents that it rejected: it is never assigned them again.
     pub rejected: Vec<[u8; 32]>,
     pub enrollments: [Option<Enrollment>; SLOTS.len()],
-    /// Whether it was told to report at the fast interval.
+    /// Whether it was requested to report at the fast interval.
     pub fast_reports: bool,
     last_report: Option<Report>,
     /// When its counters were last inconsistent.
-    last_contradiction: Option<Ticks>,
+    last_inconsistency: Option<Ticks>,
     /// Its accesses on the proven content, in the current baseline period and the one before.
     spans: [Counts; 2],
     span_since: Ticks,
@@ -73,7 +73,9 @@
 const MAX_ACCESSES_PER_SECOND: u64 = 1_000_000;
 /// Minimum accesses of a usable baseline: a few seconds of ordinary traffic.
 const MIN_BASELINE_ACCESSES: u64 = 4_000;
+/// Accesses by which the two counters of a report may differ, since they are not read at the same moment.
 const READ_SKEW_ACCESSES: u64 = 16;
+/// Limit of the rejected contents that are remembered for each front.
 const MAX_REJECTED: usize = 16;
 
 fn add(to: &mut Counts, more: Counts) {
@@ -103,7 +105,7 @@
 
     /// Whether its counters have been consistent lately.
     pub fn is_trusted(&self, now: Ticks) -> bool {
-        self.last_contradiction.is_none_or(|time| now >= time + BASELINE_SPAN)
+        self.last_inconsistency.is_none_or(|time| now >= time + BASELINE_SPAN)
     }
 
     pub fn enroll(&mut self, slot: Slot, group: Group, now: Ticks) {
@@ -155,7 +157,7 @@
         let (Some(accesses), Some(answered)) =
             (accesses, answered.filter(|n| accesses.is_some_and(|of| *n <= plausible(of))))
         else {
-            self.last_contradiction = Some(now);
+            self.last_inconsistency = Some(now);
             return None;
         };
         let answered = answered.min(accesses);
--- a/crates/versions/src/trial/mod.rs
+++ b/crates/versions/src/trial/mod.rs
@@ -2,13 +2,12 @@
 //! proven content, are the control group. A harmful change is removed alone; a harmless one is rolled out to
 //! all fronts.
 //!
-//! A *change* is what one publication modified: the content before it and after it. Changes wait in a queue and
-//! are tried in batches. A *batch* goes through two experiments: **canary**, with an arm of a few fronts for
-//! each change alone and one arm for all changes combined; then **wide**, all changes combined on a share of
-//! the fronts. After that the batch's content is *proven*: all fronts are to run it. A change is *in force*
-//! once every connected front has confirmed a content that includes it. While one batch is in its wide
-//! experiment, the next one is in its canary experiment on fronts that already run the first: so unproven
-//! changes never reach more than that share.
+//! A *change* is what one publication modified: the content before it and after it. Changes wait in a queue and are
+//! tried in batches. A *batch* goes through two experiments: **canary**, with an arm of a few fronts for each change
+//! alone and one arm for all changes combined; then **wide**, all changes combined on a share of the fronts. After that
+//! the batch's content is *proven*: all fronts are to run it. A change is *in force* once every connected front has
+//! confirmed a content that includes it. While one batch is in its wide experiment, the next one is in its canary
+//! experiment on fronts that already run the first, so that unproven changes never reach more than that share.
 //!
 //! Each content gets its own number when it is created, and a later one when a front that runs a later number
 //! has to return to it: no front is ever offered a lower number than it runs. The cost of an event is limited
@@ -40,7 +39,7 @@
 use contents::{ContentKey, Contents};
 use members::Member;
 
-/// What the service is to do.
+/// An action for the service to carry out.
 #[derive(Clone, Debug)]
 pub(crate) enum Effect {
     /// Store this version.
@@ -64,7 +63,7 @@
     /// Delta from `after` to `before`.
     undo: Delta,
     state: ChangeState,
-    /// To be tried in a batch of its own: combined with others it could not be told which one is harmful.
+    /// To be tried in a batch without others: in a batch with others it was not clear which one is harmful.
     try_alone: bool,
     unproven: bool,
     /// The head before this change was published.
@@ -101,8 +100,8 @@
     queue: BTreeSet<u64>,
     canary: Option<Batch>,
     wide: Option<Batch>,
-    /// How long the next batch waits for enough fronts to have a baseline.
-    baselines_by: Option<Ticks>,
+    /// Until when the next batch waits for enough fronts to have a baseline.
+    baseline_deadline: Option<Ticks>,
     propagations: VecDeque<Propagation>,
     settled: VecDeque<ChangeRow>,
     members: Vec<Member>,
@@ -143,7 +142,7 @@
             queue: BTreeSet::new(),
             canary: None,
             wide: None,
-            baselines_by: None,
+            baseline_deadline: None,
             propagations: VecDeque::new(),
             settled: VecDeque::new(),
             members: Vec::new(),
--- a/crates/versions/src/trial/removal.rs
+++ b/crates/versions/src/trial/removal.rs
@@ -1,4 +1,4 @@
-//! Removing a change: alone, from all fronts, and with it only changes that depend on it.
+//! Removing a change from all fronts, together with the changes that depend on it and no others.
 
 use std::sync::Arc;
 
@@ -57,8 +57,7 @@
         self.update_report_intervals();
     }
 
-    /// The batch of the wide experiment is harmful and it can't be told which change is to blame: each is tried
-    /// alone.
+    /// The batch of the wide experiment is harmful and it is not clear which change is to blame: each is tried alone.
     pub(super) fn retry_alone(&mut self, now: Ticks) {
         let Some(batch) = &self.wide else { return };
         for number in batch.changes.clone() {
--- a/crates/versions/src/trial/saved.rs
+++ b/crates/versions/src/trial/saved.rs
@@ -8,7 +8,7 @@
 use crate::service::Version;
 use crate::{Ticks, delta};
 
-/// Limit of the stored settled changes: publishers that wait for an outcome ask again within minutes.
+/// Limit of the stored settled changes: publishers that wait for an outcome request it again within minutes.
 const MAX_SAVED: usize = 100;
 
 impl Trials {
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Restores stored state. Fronts that report the proven content have it; all others must be heard first.
+    /// Restores stored state. Fronts that report the proven content have it; all others must report first.
     pub(crate) fn restore(
         &mut self,
         log_from: Ticks,
--- a/src/control/access.rs
+++ b/src/control/access.rs
@@ -37,7 +37,7 @@
         self.mean_benefit_rate += (benefit_rate - self.mean_benefit_rate)
             * if self.mean_benefit_rate == 0.0 { 1.0 } else { 1.0 / 64.0 };
         // From half a limit to one and a half: under overload, the accesses with the lowest benefit for their
-        // transfer time are turned down first.
+        // transfer time are rejected first.
         let limit_share = (0.5 + 0.5 * benefit_rate / self.mean_benefit_rate).min(1.5);
         // Each access earns a fifth of a retry: retries can't multiply the load when many pushes fail.
         self.retry_budget = (self.retry_budget + 0.2).min(20.0);
@@ -108,9 +108,9 @@
         // A cache that has just started holds nothing, and a lookup costs as much of its budget as a fill.
         let likely_empty = |c| self.cold_age(now, c).is_some_and(|(_, age)| age < 0.5);
         let looked_up = self.accesses[index].looked_up || source.is_some() && picked.is_ok_and(likely_empty);
-        // While the origin refuses, a parent is asked only for what it holds. Otherwise, past the fill limit,
-        // the access is filled from the origin, while that uses less than a tenth of its own limit: slow
-        // parents lower the fill limit long before they can be told from a slow link.
+        // While the origin refuses, a parent may serve only a copy that it holds. Otherwise, past the fill
+        // limit, the access is filled from the origin, while that uses less than a tenth of its own limit:
+        // slow parents lower the fill limit long before they can be distinguished from a slow link.
         let avoid_origin = looked_up && fills_exhausted && origin_refusing;
         let source = match looked_up && fills_exhausted {
             true if avoid_origin || route_only_if_cached => {
@@ -207,7 +207,7 @@
             })
     }
 
-    /// Until when a further push may be sent: while caches remember each earlier one that may have run.
+    /// Until when a further push may be sent: as long as caches remember each earlier one that may have run.
     pub(super) fn send_deadline(&self, index: AccessIndex) -> Ticks {
         let state = &self.accesses[index];
         match self.repeat_policy(&state.access) {
--- a/src/control/fills.rs
+++ b/src/control/fills.rs
@@ -64,7 +64,7 @@
         self.purges.evict_while(|_, &at| at + self.purge_propagation + Self::PURGE_MARGIN_TICKS < now);
     }
 
-    /// The latest purge of what an access asks for, if caches may still have older copies. They have none
+    /// The latest purge of an access's object or group, if caches may still have older copies. They have none
     /// once the purge has had time to reach them all.
     pub(super) fn purged_at(&self, now: Ticks, access: &Access) -> Option<Ticks> {
         let at =
--- a/src/control/health.rs
+++ b/src/control/health.rs
@@ -163,11 +163,11 @@
 
     /// Records that a push naming a member failed or is overdue, and ejects the member if it is an outlier.
     ///
-    /// Which of a push's members was at fault is seldom known, so the failure counts for each, and the one at
-    /// fault stands out among its peers. It is ejected for a time, longer each time, and is then on
-    /// probation with one push at a time. This covers silent, slow, failing and lost members: one that fails
-    /// fast attracts no load, and one that recovers is used again. It may do harm where more than half of a
-    /// role is unhealthy.
+    /// Which of a push's members was at fault is seldom known, so the failure counts for each, and the member
+    /// at fault becomes an outlier among its peers. It is ejected for a time, longer each time, and is then
+    /// on probation with one push at a time. This covers silent, slow, failing and lost members: a member
+    /// that fails fast attracts no load, and a member that recovers is used again. It may do harm where more
+    /// than half of a role is unhealthy.
     pub(super) fn record_failure(
         &mut self,
         now: Ticks,
--- a/src/control/member_list.rs
+++ b/src/control/member_list.rs
@@ -73,7 +73,7 @@
             (with_role(Role::Cache), with_role(Role::Parent), with_role(Role::Origin).first().copied());
     }
 
-    /// The request for the member list was rejected: it is made again after 1 to 2 s, at random, so that
+    /// The request for the member list was rejected: it is repeated after a random delay of 1 to 2 s, so that
     /// rejected fronts don't all return together.
     pub fn member_list_rejected(&mut self, now: Ticks, effects: &mut dyn EffectSink) {
         effects.set_timer(now + 10_000 + self.rng.u64(0..10_000), MEMBER_LIST_TIMER);
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -27,8 +27,8 @@
 use crate::interface::*;
 use crate::state::*;
 
-/// The timer key that stands for a request of the member list. Every other key is an access id and the number
-/// of a push in its lowest 4 bits.
+/// The timer key for requests of the member list. Every other key is an access id and the number of a push in
+/// its lowest 4 bits.
 const MEMBER_LIST_TIMER: u64 = u64::MAX;
 
 /// One front: its settings, its open accesses, and what it has learned about members, offerings and copies.
--- a/src/control/push.rs
+++ b/src/control/push.rs
@@ -226,8 +226,8 @@
             }
             self.dispatch(now, index, effects);
         } else {
-            // Next after as long again as it has been in flight, at the latest when its soft limit is half
-            // used, then when it ends.
+            // Checks again once it has been in flight for twice as long as now, at the latest when half of
+            // its soft limit is used, and then when the soft limit ends.
             let latest = if now < halfway { halfway } else { soft_limit_at };
             let next_check_at = if now < soft_limit_at {
                 latest.min(now + (now - sent_at).max(20))
--- a/src/control/selection.rs
+++ b/src/control/selection.rs
@@ -3,8 +3,8 @@
 use super::*;
 
 impl Front {
-    /// Of the members to which `preference` gives a number, one with the lowest number; among those, the one
-    /// that the object hashes to. Weighted rendezvous hashing: a change of the set moves only the objects
+    /// Picks the member with the lowest `preference` (members without one are left out); among several, the
+    /// one that the object hashes to. Weighted rendezvous hashing: a change of the set moves only the objects
     /// that it must.
     pub(super) fn pick_by_hash(
         &self,
@@ -21,8 +21,8 @@
     }
 
     /// The first cache in the object's hash order that is healthy, below its in-flight limit and, if it is
-    /// cold, within its budget. Where there is none, also one that is unhealthy, or at last one that has
-    /// already had a push of this access.
+    /// cold, within its budget. If there is none, an unhealthy cache is picked; if there is none of these
+    /// either, a cache that has already had a push of this access.
     ///
     /// `Err(true)` if there is none because healthy caches are at their limits, `Err(false)` otherwise.
     pub(super) fn pick_cache(&self, now: Ticks, index: AccessIndex) -> Result<MemberIndex, bool> {
@@ -34,8 +34,8 @@
             .filter(|m| m.ejected_until <= now && m.probation == 0);
         let (all, weights) =
             in_rotation.fold((1.0, 0.0), |(all, weights), m| (all + m.in_flight.count, weights + m.weight));
-        // Under overload, an access that can't be answered in time is turned down before it takes the place
-        // of one that can.
+        // Under overload, an access that can't be answered in time is rejected before it uses capacity that
+        // others could use in time.
         let crowded = |c: MemberIndex| self.limit_usage(now, c) >= state.limit_share;
         let best = self.pick_by_hash(state.access.object, &self.caches, |c| {
             if crowded(c) || !self.may_repeat_at(now, index, c) || !self.within_cold_budget(now, c, state) {
@@ -46,7 +46,7 @@
                 return Some(3);
             }
             if !self.is_healthy(now, c) {
-                // But not one that can't be connected to, where the access may bypass the caches.
+                // A cache that can't be connected to is left out if the access may bypass the caches.
                 return Some(2).filter(|_| cache.unanswered_pushes < u32::MAX || !self.features.cache_bypass);
             }
             // Consistent hashing with bounded loads: a cache with more than its share of the pushes in flight
--- a/src/decay.rs
+++ b/src/decay.rs
@@ -11,7 +11,7 @@
 }
 
 impl DecayingSum {
-    /// What was added per tick, as an exponential moving average with this time constant in ticks.
+    /// The amount added per tick, as an exponential moving average with this time constant in ticks.
     pub fn rate(&self, now: Ticks, time_constant: f64) -> f64 {
         self.sum * (-(now.saturating_sub(self.updated_at) as f64) / time_constant).exp() / time_constant
     }
@@ -21,7 +21,7 @@
         *self = DecayingSum { sum: self.rate(now, time_constant) * time_constant + amount, updated_at: now };
     }
 
-    /// What is left of the sum after it has leaked by `leak_rate` per tick.
+    /// The rest of the sum after it has leaked by `leak_rate` per tick.
     pub fn remaining(&self, now: Ticks, leak_rate: f64) -> f64 {
         (self.sum - now.saturating_sub(self.updated_at) as f64 * leak_rate).max(0.0)
     }
--- a/src/evicting_map.rs
+++ b/src/evicting_map.rs
@@ -17,7 +17,7 @@
 }
 
 impl<K: Copy + Eq + Hash, V> EvictingMap<K, V> {
-    /// Makes an empty map whose entries are as old as `time_of` says.
+    /// Makes an empty map; `time_of` gives the time of an entry.
     pub fn new(time_of: fn(&V) -> Ticks) -> Self {
         EvictingMap { map: FxHashMap::default(), queue: VecDeque::new(), time_of }
     }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -50,7 +50,7 @@
     Never,
 }
 
-/// What the accesses of one kind have in common.
+/// A kind of accesses, with the settings that they share.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Offering {
     /// The time within which an access should be answered.
@@ -204,7 +204,7 @@
     SourceRefused,
     /// The source didn't answer the fill, or the connection to it broke.
     SourceLost,
-    /// The source was asked only for what it holds, and has no copy.
+    /// The push allowed the source to serve only a copy that it holds, and it has none.
     SourceLacks,
     /// The cache has no capacity for another fill.
     NoFillPlace,
@@ -290,7 +290,7 @@
     pub join_fill: bool,
     /// The cache refreshes its copy in the background.
     pub refresh: bool,
-    /// The source answers only with what it holds, and does not fetch it.
+    /// The source serves only a copy that it holds, and does not fetch one.
     pub only_if_cached: bool,
 }
 
@@ -299,7 +299,7 @@
 pub struct FillRoute {
     /// The hash of the source's id.
     pub key: u64,
-    /// The source is asked only for what it holds.
+    /// The source serves only a copy that it holds, and does not fetch one.
     pub only_if_cached: bool,
     /// Once the cache has missed, and with `cache_bypass`: the push goes directly to this parent, which fills
     /// from the source and keeps the copy.
@@ -316,7 +316,7 @@
     /// If false, `order` does not apply: the parents are one flat list.
     pub hierarchical: bool,
     pub order: ArrayVec<FillRoute, MAX_FILL_ROUTES>,
-    /// When to ask for routes again, if none of these can be used.
+    /// When to call [`EffectSink::fill_routes`] again, if none of these can be used.
     pub retry_at: Option<Ticks>,
 }
 
@@ -337,6 +337,9 @@
     fn give_up(&mut self, access: AccessId, reason: UnservedReason);
     /// Calls [`Front::timer_fired`](crate::Front::timer_fired) with `key` at `at`.
     fn set_timer(&mut self, at: Ticks, key: u64);
+    /// Requests the member list; [`Front::member_list_received`](crate::Front::member_list_received) takes
+    /// it.
     fn request_member_list(&mut self);
+    /// Logs a message.
     fn log(&mut self, text: std::fmt::Arguments<'_>);
 }
--- a/src/state.rs
+++ b/src/state.rs
@@ -22,8 +22,8 @@
 /// Continues an access when one of its pushes has ended and the access isn't done.
 pub type PushEndHandler = fn(&mut Front, Ticks, AccessIndex, &PushResult, &mut dyn EffectSink);
 
-/// A source to fill from; whether it is asked only for what it holds; and the parent, if any, that the push
-/// is sent to in place of a cache and that fills from the source.
+/// A source to fill from; whether it may serve only a copy that it holds; and the parent, if any, that the
+/// push is sent to in place of a cache and that fills from the source.
 pub type SourceChoice = (MemberIndex, bool, Option<MemberIndex>);
 
 /// A push that was sent.
@@ -40,9 +40,9 @@
     pub counted: bool,
     /// It failed, or is taken to fail, at its source and not at its cache.
     pub source_failed: bool,
-    /// The source was asked only for what it holds.
+    /// The source may serve only a copy that it holds.
     pub only_if_cached: bool,
-    /// What to do when it has ended.
+    /// Called when it has ended, unless its access is done.
     pub on_end: PushEndHandler,
 }
 
@@ -66,17 +66,17 @@
     /// The cache is to refresh its copy in the background.
     pub refresh: bool,
     pub pushes: ArrayVec<SentPush, MAX_PUSHES_PER_ACCESS>,
-    /// A cache was already asked for its copy alone, or need not be since it has just started.
+    /// The access was already looked up at its cache alone, or need not be since the cache has just started.
     pub looked_up: bool,
-    /// The origin refuses requests, so a parent is asked only for what it holds.
+    /// The origin refuses requests, so a parent may serve only a copy that it holds.
     pub avoid_origin: bool,
-    /// The fill route asks its source only for what it holds: a former home of the object.
+    /// The source of the fill route may serve only a copy that it holds: it is a former home of the object.
     pub route_only_if_cached: bool,
     /// It has been answered, declined or given up, or its client has left.
     pub done: bool,
 }
 
-/// What is known of the newest fill of a part of an object.
+/// The newest known fill of a part of an object.
 pub struct FillRecord {
     /// When the origin sent the copy, or the best estimate of it.
     pub filled_at: Ticks,
@@ -93,7 +93,7 @@
     pub overdue_factor: f64,
 }
 
-/// What a member is to this front. The names are logged.
+/// The role of a member for this front. The names are logged.
 #[derive(Clone, Copy, Default, PartialEq, Eq, Debug)]
 pub enum Role {
     #[default]
