--- a/crates/control/src/settings.rs
+++ b/crates/control/src/settings.rs
@@ -48,28 +48,29 @@
 
     /// The TLS files of the listener for operators.
     pub fn operator_paths(&self) -> Paths {
-        let papers = IdentityFiles {
+        let files = IdentityFiles {
             authority: self.control.operators_authority.clone(),
             ..self.control.identity.clone()
         };
-        Paths::resolve(&self.file, &papers)
+        Paths::resolve(&self.file, &files)
     }
 
     pub fn rules(&self) -> Rules {
-        let Control { admit_per_s, alive_ms, max_fronts, publication: p, .. } = &self.control;
+        let Control { admissions_per_s, heartbeat_interval_ms, max_fronts, publication: p, .. } =
+            &self.control;
         Rules {
-            admissions_per_second: *admit_per_s as f64,
-            heartbeat_interval: alive_ms * 10,
-            response_timeout: p.answer_within_ms * 10,
+            admissions_per_second: *admissions_per_s as f64,
+            heartbeat_interval: heartbeat_interval_ms * 10,
+            response_timeout: p.response_timeout_ms * 10,
             soak: p.soak_ms * 10,
             canaries: p.canaries as usize,
-            wave_shares: p.shares.clone(),
-            max_rejected_share: p.refused,
-            max_timed_out_share: p.missing,
-            max_service_drop: p.drop,
+            wave_shares: p.wave_shares.clone(),
+            max_rejected_share: p.max_rejected_share,
+            max_timed_out_share: p.max_timed_out_share,
+            max_service_drop: p.max_service_drop,
             max_fronts: *max_fronts as usize,
             history: p.history as usize,
-            recovery_delay: p.listen_ms * 10,
+            recovery_delay: p.recovery_delay_ms * 10,
             rollout: mode(p),
         }
     }
@@ -98,10 +99,10 @@
             canaries: trials.canaries as usize,
             share: trials.share,
             watch: trials.watch_ms * 10,
-            evidence_timeout: trials.evidence_within_ms * 10,
+            evidence_timeout: trials.evidence_timeout_ms * 10,
             thin_traffic: match trials.thin_traffic {
                 ThinTrafficSetting::Wait => ThinTraffic::Wait,
-                ThinTrafficSetting::GoOn => ThinTraffic::Continue,
+                ThinTrafficSetting::Continue => ThinTraffic::Continue,
             },
             false_stop: trials.false_stop,
             ..TrialRules::default()
--- a/crates/operator/src/control.rs
+++ b/crates/operator/src/control.rs
@@ -44,7 +44,7 @@
     #[default]
     Wait,
     /// It goes on at the time limit, and is marked as unproven.
-    GoOn,
+    Continue,
 }
 
 /// Settings of trials, for [`Rollout::Evidence`].
@@ -57,7 +57,7 @@
     /// How long a change is observed once all fronts have it.
     pub watch_ms: u64,
     /// Time limit of a trial; without a verdict by then, it has too little traffic.
-    pub evidence_within_ms: u64,
+    pub evidence_timeout_ms: u64,
     pub thin_traffic: ThinTraffic,
     /// Probability that one comparison stops a harmless change as harmful.
     pub false_stop: f64,
@@ -69,7 +69,7 @@
             canaries: 4,
             share: 0.1,
             watch_ms: 30_000,
-            evidence_within_ms: 10_000,
+            evidence_timeout_ms: 10_000,
             thin_traffic: ThinTraffic::Wait,
             // With a thousand changes a day and about three comparisons each, less than one false stop a day.
             false_stop: 1e-4,
@@ -89,20 +89,20 @@
     /// Number of fronts in the first wave.
     pub canaries: u64,
     /// Shares of all fronts after the canaries, the last one 1.
-    pub shares: Vec<f64>,
+    pub wave_shares: Vec<f64>,
     /// How long each wave is observed.
     pub soak_ms: u64,
-    /// Fronts that have not answered by then count as missing.
-    pub answer_within_ms: u64,
-    /// Shares of a wave that may reject the version, or be missing, before the publication stops.
-    pub refused: f64,
-    pub missing: f64,
+    /// Fronts that have not responded by then count as timed out.
+    pub response_timeout_ms: u64,
+    /// Shares of a wave that may reject the version, or time out, before the publication stops.
+    pub max_rejected_share: f64,
+    pub max_timed_out_share: f64,
     /// The loss of service level at which the publication stops.
-    pub drop: f64,
+    pub max_service_drop: f64,
     /// Number of versions in the history.
     pub history: u64,
     /// After a start from the store, how long nothing is offered to fronts that run no version.
-    pub listen_ms: u64,
+    pub recovery_delay_ms: u64,
     pub rollout: Rollout,
     pub trials: Trials,
 }
@@ -127,9 +127,9 @@
     pub seal_keys: Box<str>,
     pub store: Box<str>,
     /// Fronts admitted per second when many connect at once.
-    pub admit_per_s: u64,
+    pub admissions_per_s: u64,
     /// Interval of heartbeats.
-    pub alive_ms: u64,
+    pub heartbeat_interval_ms: u64,
     pub max_fronts: u64,
     /// Roles by the name in the certificate. If empty, everyone with a valid certificate is an operator.
     pub operators: Vec<(Box<str>, Role)>,
@@ -166,14 +166,14 @@
 fn publication(block: Option<&Block<'_>>) -> Publication {
     let mut publication = Publication {
         canaries: 2,
-        shares: vec![0.1, 0.5, 1.0],
+        wave_shares: vec![0.1, 0.5, 1.0],
         soak_ms: 30_000,
-        answer_within_ms: 30_000,
-        refused: 0.0,
-        missing: 0.2,
-        drop: 0.03,
+        response_timeout_ms: 30_000,
+        max_rejected_share: 0.0,
+        max_timed_out_share: 0.2,
+        max_service_drop: 0.03,
         history: 64,
-        listen_ms: 60_000,
+        recovery_delay_ms: 60_000,
         rollout: Rollout::Waves,
         trials: Trials::default(),
     };
@@ -181,13 +181,13 @@
     let integer = |key, range, to: &mut u64| *to = block.integer(key, range).unwrap_or(*to);
     integer("canaries", 1..=1_000, &mut publication.canaries);
     integer("soak_ms", 0..=86_400_000, &mut publication.soak_ms);
-    integer("answer_within_ms", 100..=3_600_000, &mut publication.answer_within_ms);
+    integer("answer_within_ms", 100..=3_600_000, &mut publication.response_timeout_ms);
     integer("history", 2..=10_000, &mut publication.history);
-    integer("listen_ms", 0..=3_600_000, &mut publication.listen_ms);
+    integer("listen_ms", 0..=3_600_000, &mut publication.recovery_delay_ms);
     for (key, to) in [
-        ("refused", &mut publication.refused),
-        ("missing", &mut publication.missing),
-        ("drop", &mut publication.drop),
+        ("refused", &mut publication.max_rejected_share),
+        ("missing", &mut publication.max_timed_out_share),
+        ("drop", &mut publication.max_service_drop),
     ] {
         *to = block.fraction(key).unwrap_or(*to);
     }
@@ -196,7 +196,7 @@
         if !ascending || shares.last() != Some(&1.0) {
             block.report("shares", "expected ascending shares above 0, the last of them 1");
         }
-        publication.shares = shares;
+        publication.wave_shares = shares;
     }
     let rollouts = [("waves", Rollout::Waves), ("evidence", Rollout::Evidence)];
     publication.rollout = block.choice("rollout", &rollouts).unwrap_or_default();
@@ -211,13 +211,13 @@
     let integer = |key, range, to: &mut u64| *to = block.integer(key, range).unwrap_or(*to);
     integer("trial_canaries", 1..=1_000, &mut trials.canaries);
     integer("watch_ms", 0..=86_400_000, &mut trials.watch_ms);
-    integer("evidence_within_ms", 500..=3_600_000, &mut trials.evidence_within_ms);
+    integer("evidence_within_ms", 500..=3_600_000, &mut trials.evidence_timeout_ms);
     let number = |key, min: f64, max: f64, to: &mut f64| {
         *to = block.number(key, min, max).unwrap_or(*to);
     };
     number("trial_share", 0.001, MAX_TRIAL_SHARE, &mut trials.share);
     number("false_stop", MIN_FALSE_STOP, MAX_FALSE_STOP, &mut trials.false_stop);
-    let choices = [("wait", ThinTraffic::Wait), ("go_on", ThinTraffic::GoOn)];
+    let choices = [("wait", ThinTraffic::Wait), ("go_on", ThinTraffic::Continue)];
     trials.thin_traffic = block.choice("thin_traffic", &choices).unwrap_or_default();
     trials
 }
@@ -248,8 +248,8 @@
             let identity = identity(&own, "fronts_authority");
             let operators_authority = path(&own, "operators_authority");
             let (seal_keys, store) = (path(&own, "seal_keys"), path(&own, "store"));
-            let admit_per_s = own.integer("admit_per_s", 1..=100_000).unwrap_or(200);
-            let alive_ms = own.integer("alive_ms", 100..=30_000).unwrap_or(5_000);
+            let admissions_per_s = own.integer("admit_per_s", 1..=100_000).unwrap_or(200);
+            let heartbeat_interval_ms = own.integer("alive_ms", 100..=30_000).unwrap_or(5_000);
             let max_fronts = own.integer("most_fronts", 1..=1_000_000).unwrap_or(200_000);
             own.finish();
             Some(Control {
@@ -259,8 +259,8 @@
                 operators_authority: operators_authority?,
                 seal_keys: seal_keys?,
                 store: store?,
-                admit_per_s,
-                alive_ms,
+                admissions_per_s,
+                heartbeat_interval_ms,
                 max_fronts,
                 operators,
                 publication,
--- a/crates/operator/tests/control.rs
+++ b/crates/operator/tests/control.rs
@@ -21,8 +21,8 @@
         canaries: 6,
         share: 0.2,
         watch_ms: 0,
-        evidence_within_ms: 2_000,
-        thin_traffic: ThinTraffic::GoOn,
+        evidence_timeout_ms: 2_000,
+        thin_traffic: ThinTraffic::Continue,
         false_stop: 0.001,
     };
     assert_eq!((publication.rollout, publication.trials), (Rollout::Evidence, trials));
