--- a/crates/agent/src/core.rs
+++ b/crates/agent/src/core.rs
@@ -17,6 +17,7 @@
 use crate::process::{self, ProcessSpec};
 use crate::protocol::{InstanceStatus, Request, Response, Status};
 
+/// The inputs of the task.
 pub enum Event {
     /// The processes of an instance that were found by their marks.
     ProcessesFound(Box<str>, Vec<(Run, Process)>),
@@ -31,7 +32,7 @@
     Stop,
 }
 
-/// What the settings say of an instance that the state machine does not need.
+/// The settings of an instance that the state machine does not need.
 pub struct InstanceConfig {
     pub spec: ProcessSpec,
     pub station: Box<str>,
@@ -151,8 +152,8 @@
                         .map_or_else(Response::Rejected, Response::Accepted)
                 }
                 // The order would be lost if this agent stopped.
-                Err(trouble) => {
-                    Response::Rejected(OrderRejection::JournalUnavailable(trouble.to_string().into()))
+                Err(error) => {
+                    Response::Rejected(OrderRejection::JournalUnavailable(error.to_string().into()))
                 }
             },
             Request::Progress(number) => Response::Progress(self.fleet.progress(number)),
@@ -221,9 +222,9 @@
                     self.fleet.on_journal_ok();
                 }
             }
-            Err(trouble) => {
-                tracing::error!("journal: {trouble}");
-                self.fleet.on_journal_error(now(), &name, &trouble.to_string(), effects);
+            Err(error) => {
+                tracing::error!("journal: {error}");
+                self.fleet.on_journal_error(now(), &name, &error.to_string(), effects);
                 self.unwritten.insert(name, state);
             }
         }
--- a/crates/agent/src/journal.rs
+++ b/crates/agent/src/journal.rs
@@ -24,8 +24,8 @@
     /// Opens the journal for a new term. Entries that can't be read are skipped and reported; instances that run are
     /// found by their marks in any case.
     pub fn open(path: &Path) -> Result<(Journal, PersistedStates, Vec<StoreError>), StoreError> {
-        let (records, trouble) = Records::open(path)?;
-        let mut troubles: Vec<StoreError> = trouble.into_iter().collect();
+        let (records, error) = Records::open(path)?;
+        let mut errors: Vec<StoreError> = error.into_iter().collect();
         let mut states = BTreeMap::new();
         for key in records.keys("instance/")? {
             let name = key.trim_start_matches("instance/");
@@ -35,17 +35,17 @@
             {
                 Ok(Some(Ok(state))) => drop(states.insert(name.into(), state)),
                 Ok(None) => {}
-                Ok(Some(Err(_))) => troubles.push(StoreError::Damaged(key.into())),
-                Err(trouble) => troubles.push(trouble),
+                Ok(Some(Err(_))) => errors.push(StoreError::Damaged(key.into())),
+                Err(error) => errors.push(error),
             }
         }
         let term = records.read("term").ok().flatten().and_then(|p| postcard::from_bytes::<u64>(&p).ok());
         let term = term.unwrap_or(0) + 1;
         let journal = Journal { records, term };
-        if let Err(trouble) = journal.put("term", &term) {
-            troubles.push(trouble);
+        if let Err(error) = journal.put("term", &term) {
+            errors.push(error);
         }
-        Ok((journal, states, troubles))
+        Ok((journal, states, errors))
     }
 
     fn put(&self, key: &str, value: &impl serde::Serialize) -> Result<(), StoreError> {
--- a/crates/agent/src/listener.rs
+++ b/crates/agent/src/listener.rs
@@ -13,6 +13,7 @@
 /// Concurrent connections: people and their scripts.
 const MAX_CONNECTIONS: usize = 128;
 
+/// What a user may do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
     Viewer,
@@ -28,7 +29,7 @@
     }
 }
 
-/// Binds the socket; removes one that an earlier agent has left behind.
+/// Binds the socket, after removing the file of a socket that an earlier agent left behind.
 pub fn bind(path: &Path) -> std::io::Result<UnixListener> {
     match UnixListener::bind(path) {
         Err(e) if e.kind() == std::io::ErrorKind::AddrInUse => {
@@ -40,6 +41,7 @@
     }
 }
 
+/// Accepts connections until the task is aborted.
 pub async fn serve(listener: UnixListener, events: mpsc::Sender<Event>, viewers: Vec<u32>) {
     let (permits, viewers) = (Arc::new(Semaphore::new(MAX_CONNECTIONS)), Arc::new(viewers));
     let own = rustix::process::getuid().as_raw();
--- a/crates/agent/src/probe.rs
+++ b/crates/agent/src/probe.rs
@@ -75,6 +75,7 @@
     Ok(Check::Ready)
 }
 
+/// Checks the instance at this address within the timeout.
 pub async fn check(address: SocketAddr) -> Check {
     let check = timeout(TIMEOUT, probe(address)).await;
     check.ok().and_then(Result::ok).unwrap_or(Check::Unresponsive)
--- a/crates/agent/src/protocol.rs
+++ b/crates/agent/src/protocol.rs
@@ -11,6 +11,7 @@
 use tokio::net::unix::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::time::timeout;
 
+/// A request to the agent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Request {
     Status,
@@ -25,6 +26,7 @@
     Watch,
 }
 
+/// The agent's response, or a log event that was subscribed to.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Response {
     Status(Status),
@@ -41,6 +43,7 @@
     Forbidden,
 }
 
+/// The state of the agent and of its instances.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Status {
     pub agent: Box<str>,
--- a/crates/agent/src/serve.rs
+++ b/crates/agent/src/serve.rs
@@ -65,9 +65,9 @@
     let (mut term, mut int) = (signals(SignalKind::terminate())?, signals(SignalKind::interrupt())?);
     let journal = resolve(&settings.file, &settings.agent.journal);
     let opened = Journal::open(&journal);
-    let (journal, persisted, troubles) =
-        opened.map_err(|t| format!("{}: {t}: does another agent use it?", journal.display()))?;
-    troubles.iter().for_each(|trouble| tracing::error!("journal: {trouble}"));
+    let (journal, persisted, errors) =
+        opened.map_err(|e| format!("{}: {e}: does another agent use it?", journal.display()))?;
+    errors.iter().for_each(|error| tracing::error!("journal: {error}"));
     let logs = resolve(&settings.file, &settings.agent.logs);
     std::fs::create_dir_all(&logs).map_err(|e| format!("{}: {e}", logs.display()))?;
     let socket = settings.socket();
--- a/crates/cli/src/config.rs
+++ b/crates/cli/src/config.rs
@@ -140,8 +140,8 @@
 }
 
 /// The error for a response other than the expected one.
-fn response_error(answer: Response) -> String {
-    match answer {
+fn response_error(response: Response) -> String {
+    match response {
         Response::NotPublished(reason) => format!("not published: {reason}"),
         Response::NotStored(reason) => format!(
             "could not be stored: {reason}: nothing was published; what was stopped has stopped, but may resume when \
--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -172,8 +172,8 @@
     }
 }
 
-fn response_error(answer: Response) -> String {
-    match answer {
+fn response_error(response: Response) -> String {
+    match response {
         Response::Rejected(reason) => reason.to_string(),
         Response::Forbidden => {
             "this user has read-only access: expected the agent's own user, or root".into()
--- a/crates/cli/src/neighbours.rs
+++ b/crates/cli/src/neighbours.rs
@@ -97,8 +97,8 @@
     format!("{own}\n")
 }
 
-/// Asks a front for its status, with the seal keys named in the settings.
-pub fn ask(
+/// Fetches the status of a front, with the seal keys named in the settings.
+pub fn fetch_status(
     settings: Option<PathBuf>,
     at: Option<SocketAddrV4>,
     through: Option<SocketAddrV4>,
@@ -120,6 +120,6 @@
 }
 
 pub fn run(command: &Neighbours, settings: Option<PathBuf>) -> Result<Outcome, String> {
-    let status = ask(settings, command.at, command.through)?;
+    let status = fetch_status(settings, command.at, command.through)?;
     write_stdout(&if command.json { object(&status) } else { table(&status) }).map(|()| Outcome::Done)
 }
--- a/crates/cli/src/recall.rs
+++ b/crates/cli/src/recall.rs
@@ -55,12 +55,12 @@
     let rejection =
         snapshot.check(&snapshot.front, &snapshot.rules, now).err().map(|reason| reason.to_string());
     let mut memory = Memory::new(snapshot.rules.clone());
-    let (.., tally) = memory.import(now, Source::Snapshot, &snapshot.fills, &snapshot.purges);
+    let (.., stats) = memory.import(now, Source::Snapshot, &snapshot.fills, &snapshot.purges);
     if json {
-        let dropped = tally.dropped.iter().map(|(reason, count)| (reason.to_string(), json!(count)));
+        let dropped = stats.dropped.iter().map(|(reason, count)| (reason.to_string(), json!(count)));
         let object = json!({"front": &*snapshot.front, "taken_ms_ago": age_ms, "life": snapshot.incarnation,
             "parts": snapshot.fills.len(), "purges": snapshot.purges.len(), "refused": rejection,
-            "would_take": {"parts": tally.fills, "purges": tally.purges},
+            "would_take": {"parts": stats.fills, "purges": stats.purges},
             "would_drop": dropped.collect::<serde_json::Map<_, _>>()});
         return format!("{object}\n");
     }
@@ -68,7 +68,7 @@
         snapshot.rules.fresh_times.iter().map(|t| (t / 10).to_string()).collect::<Vec<_>>().join(", ");
     let verdict = match rejection {
         Some(reason) => format!("a front that starts now would ignore it: {reason}"),
-        None => format!("a front that starts now would import: {tally}"),
+        None => format!("a front that starts now would import: {stats}"),
     };
     format!(
         "{}\'s snapshot of {age_ms} ms ago, incarnation {}: {} parts, {} purges; fresh times {fresh_times} ms\n\
@@ -87,11 +87,11 @@
     }
     let records = match Records::open(path) {
         Ok((records, None)) => records,
-        Ok((_, Some(trouble))) => return Err(error_at_path(&trouble)),
+        Ok((_, Some(error))) => return Err(error_at_path(&error)),
         Err(StoreError::InUse) => {
             return Err(error_at_path(&"a front that runs has it open: give its address instead"));
         }
-        Err(trouble) => return Err(error_at_path(&trouble)),
+        Err(error) => return Err(error_at_path(&error)),
     };
     let snapshot = read_snapshot(&records).map_err(|e| error_at_path(&e))?;
     let snapshot = snapshot.ok_or_else(|| error_at_path(&"it contains no snapshot"))?;
@@ -101,7 +101,7 @@
 pub fn run(command: Recall, settings: Option<PathBuf>) -> Result<Outcome, String> {
     let Recall::Show { what, through, json } = command;
     if let Some(at) = what.as_deref().and_then(|what| what.parse::<SocketAddrV4>().ok()) {
-        let status = neighbours::ask(settings, Some(at), through)?;
+        let status = neighbours::fetch_status(settings, Some(at), through)?;
         let memory = status.memory.as_ref();
         let memory = memory
             .ok_or_else(|| format!("{at}: {} remembers nothing: block \'recall\' is off", status.own.name))?;
--- a/crates/cli/src/shape.rs
+++ b/crates/cli/src/shape.rs
@@ -210,8 +210,9 @@
 pub fn diff(old: &Path, new: &Path, as_json: bool) -> Result<Outcome, String> {
     let ((old, _), (new, _)) = (read(old)?, read(new)?);
     let by_name = |shape: &Shape| -> BTreeMap<String, (u8, Standing, Vec<String>)> {
-        let of = |m: &Member<'_>| (m.tier, m.standing, m.fills_from.iter().map(|&s| s.to_owned()).collect());
-        shape.members().iter().map(|m| (m.name.to_owned(), of(m))).collect()
+        let properties =
+            |m: &Member<'_>| (m.tier, m.standing, m.fills_from.iter().map(|&s| s.to_owned()).collect());
+        shape.members().iter().map(|m| (m.name.to_owned(), properties(m))).collect()
     };
     let (before, after) = (by_name(&old), by_name(&new));
     let names: BTreeSet<&String> = before.keys().chain(after.keys()).collect();
--- a/crates/control/src/acceptor.rs
+++ b/crates/control/src/acceptor.rs
@@ -1,5 +1,5 @@
-//! The listeners, and a task for each connection. A front has to present a certificate that is valid for its name, an
-//! operator one that the settings give a role.
+//! The listeners, and a task for each connection. A front has to present a certificate that is valid for its name, and
+//! an operator a certificate whose name has a role in the settings.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
@@ -27,6 +27,7 @@
 pub type Tls = Arc<RwLock<Arc<ServerConfig>>>;
 /// Returns the role for the names of a certificate, and the operator's name for the log.
 pub type RoleOf = dyn Fn(&[String]) -> Option<(Role, String)> + Send + Sync;
+/// The current role lookup, replaced when the settings are reloaded.
 pub type Roles = Arc<RwLock<Box<RoleOf>>>;
 
 /// Concurrent TLS handshakes. Each takes about 30 KB, and any peer can start one.
--- a/crates/control/src/event_loop.rs
+++ b/crates/control/src/event_loop.rs
@@ -22,6 +22,7 @@
     Close,
 }
 
+/// The inputs of the event loop.
 pub enum Event {
     /// A front has connected and sent its hello. Commands for its connection go to `outbound`.
     Connected {
@@ -82,6 +83,7 @@
     }
 }
 
+/// The state machine, its store, and the connections that its effects are sent to.
 pub struct EventLoop {
     service: Service,
     store: ServiceStore,
@@ -272,7 +274,7 @@
         })
     }
 
-    /// Stores the state. If that succeeds, it also replaces an earlier one that was not stored yet.
+    /// Stores the state. On success, an earlier state that was still unstored is dropped, since this one replaces it.
     fn put_state(
         &mut self,
         epoch: u64,
--- a/crates/control/src/settings.rs
+++ b/crates/control/src/settings.rs
@@ -14,6 +14,7 @@
 /// The default path of the settings file, relative to the current directory.
 pub const DEFAULT_PATH: &str = "deploy/control.hcl";
 
+/// The settings, and the path of their file.
 #[derive(Clone, Debug)]
 pub struct Settings {
     pub control: Control,
@@ -48,11 +49,11 @@
 
     /// The TLS files of the listener for operators.
     pub fn operator_paths(&self) -> Paths {
-        let papers = IdentityFiles {
+        let identity = IdentityFiles {
             authority: self.control.operators_authority.clone(),
             ..self.control.identity.clone()
         };
-        Paths::resolve(&self.file, &papers)
+        Paths::resolve(&self.file, &identity)
     }
 
     pub fn rules(&self) -> Rules {
--- a/crates/control/tests/service.rs
+++ b/crates/control/tests/service.rs
@@ -171,7 +171,7 @@
             panic!("{:?}", rollout.stopped)
         };
         assert_eq!(first.to_string(), "it changes settings that need a restart: log.format");
-        let rejecting = fronts.iter().filter(|f| !f.record.lock().unwrap().turned_down.is_empty()).count();
+        let rejecting = fronts.iter().filter(|f| !f.record.lock().unwrap().rejected.is_empty()).count();
         assert_eq!(rejecting, 1);
         assert!(fronts.iter().all(|f| f.applied_version() == Some(good)));
         let rows = rig.client("person").await.unwrap().fronts(Filter::All).await.unwrap();
--- a/crates/custody/src/coordinator.rs
+++ b/crates/custody/src/coordinator.rs
@@ -13,7 +13,7 @@
 
 /// Interval at which an unanswered request to a replica is sent again: some round trips, even on a slow link.
 const RETRY_INTERVAL: Ticks = 1_000;
-/// Interval at which replicas are asked for the state of a request that another front owns; it adds at most
+/// Interval at which replicas are queried for the state of a request that another front owns; it adds at most
 /// this much to a client's wait.
 const WATCH_INTERVAL: Ticks = 500;
 /// Delay, by rank, between the fronts that may take a request over: the next has heard of the first one's
@@ -34,13 +34,13 @@
     Responded(crate::Response),
 }
 
-/// What the shell has to do.
+/// An action for the shell to perform.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Effect {
     /// Send this message to a replica; it may be lost.
     Send { to: FrontId, id: RequestId, request: ReplicaRequest },
-    /// It may be pushed: `start_push` says to which cache. `pushes`: earlier ones, of which some may have
-    /// run, the first at most `push_age` ago.
+    /// The request may be pushed: call `start_push` with the cache. `pushes`: earlier ones, of which some may
+    /// have run, the first at most `push_age` ago.
     Resume { id: RequestId, pushes: Vec<Push>, push_age: Ticks, time_left: Ticks },
     /// A majority has stored that this push is intended: it is sent now or never.
     Push { id: RequestId, push: usize },
@@ -54,7 +54,7 @@
     Undecided { id: RequestId },
 }
 
-/// What follows once a majority has stored the current state.
+/// The step that follows once a majority has stored the current state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum NextStep {
     Resume,
@@ -62,6 +62,7 @@
     Settle,
 }
 
+/// The state of a request at this front.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Phase {
     Creating,
@@ -272,7 +273,7 @@
         effects: &mut Vec<Effect>,
     ) {
         let Some(entry) = self.entries.get_mut(&id) else { return };
-        // A former owner reports nothing: the result is recorded by the current owner, or by nobody.
+        // A former owner reports nothing: the result is recorded by the current owner, if at all.
         if !matches!(entry.phase, Phase::Idle | Phase::Writing) || entry.next_step == NextStep::Settle {
             return;
         }
@@ -463,7 +464,7 @@
         if let Some(outcome) = entry.record.outcome.clone().filter(|_| entry.client_waiting) {
             effects.push(Effect::Settled { id, outcome });
         }
-        // Further accesses at this front get the outcome for a while; after that, the replicas are asked.
+        // Further accesses at this front get the outcome for a while; after that, the replicas are queried.
         let at = entry.deadline.max(now).saturating_add(OUTCOME_RETENTION);
         self.set_timer(id, at);
     }
--- a/crates/custody/src/lib.rs
+++ b/crates/custody/src/lib.rs
@@ -15,10 +15,10 @@
 //! a deduplicated one is pushed again only within its window, by the replicas' clocks; an idempotent one is
 //! pushed again.
 //!
-//! What can't be known: whether an intended push has run, if no response was received. Whether a front that
-//! does not answer is dead: any front may consider any other dead at any time, and the only cost is the
-//! outcome 'may have run'. What a replica has dropped after the retention time: the same id is a new request
-//! then.
+//! Three things can't be known. Whether an intended push has run, if no response was received. Whether a front
+//! that does not answer is dead: any front may consider any other dead at any time, and the only cost is the
+//! outcome 'may have run'. Whether an id was used before the retention time: replicas have dropped its record,
+//! and the same id is a new request.
 #![forbid(unsafe_code)]
 
 mod coordinator;
@@ -79,7 +79,7 @@
 /// Maximum number of pushes of one request; the decision module makes no more for an access.
 pub const MAX_PUSHES: usize = 8;
 
-/// How a request ended, for all clients that ask.
+/// How a request ended, reported to each client that sends it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Outcome {
     Done(Response),
@@ -87,6 +87,7 @@
     MayHaveRun,
 }
 
+/// The response to a request, as it is stored.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Response {
     pub status: u16,
@@ -110,7 +111,7 @@
 pub const MAX_RESPONSE_BYTES: usize = 16 << 10;
 
 impl RequestRecord {
-    /// Whether it is within the limits that every front of this program keeps to.
+    /// Whether it is within the limits that every front of this program enforces.
     pub fn within_limits(&self) -> bool {
         let body = match &self.outcome {
             Some(Outcome::Done(response)) => response.body.len(),
@@ -148,7 +149,7 @@
     Claim { term: Term, view: RecordView },
     /// The sender created a request under an id that was in use already; its copy is void.
     Discard { creation_id: u64 },
-    /// Asks for what is stored.
+    /// Requests the stored record.
     Read,
 }
 
@@ -161,12 +162,12 @@
     Promised { term: Term, view: RecordView },
     /// Another request has this id, or a later term was promised.
     Rejected { promised: Term, view: RecordView },
-    /// What is stored; the answer to `Read`.
+    /// The stored record; the answer to `Read`.
     Current { promised: Term, view: RecordView },
     /// There is no record; also the answer to `Discard`.
     Empty,
-    /// It has no room, or the record exceeds the limits.
+    /// The replica has no room, or the record exceeds the limits.
     Full,
-    /// It may have lost what it had acknowledged, and has no vote yet.
+    /// The replica may have lost what it had acknowledged, and has no vote yet.
     NotVoting,
 }
--- a/crates/custody/src/replica.rs
+++ b/crates/custody/src/replica.rs
@@ -35,6 +35,7 @@
     }
 }
 
+/// The records that this front stores as a replica.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Replica {
     records: BTreeMap<RequestId, StoredRecord>,
--- a/crates/custody/src/restart.rs
+++ b/crates/custody/src/restart.rs
@@ -1,13 +1,13 @@
-//! Whether a front that has restarted still knows all that it acknowledged before.
+//! Checks whether a restarted front still has all the records that it acknowledged before.
 //!
-//! A front that lost its store knows that it has forgotten; one with an older copy of its store believes that
-//! it has not. So a front votes in a new incarnation only when a majority of the *other* fronts of the roster
-//! have stored that this incarnation has started; any later majority of them contains one that knows of it.
-//! When a front announces its next incarnation, that one reports an incarnation later than the newest in the
-//! announcing front's store, which shows that this store is outdated. A front that has forgotten something
-//! has no vote until nothing that it may have acknowledged can still be open, and until then its
-//! acknowledgements of other fronts' starts don't count. The fronts that keep running announce their
-//! incarnations again to one that has restarted, since it may have forgotten them.
+//! A front that lost its store detects the loss; one that runs on an older copy of its store can't. So a front
+//! votes in a new incarnation only when a majority of the *other* fronts of the roster have stored that this
+//! incarnation has started; any later majority of them contains a front that has stored it. When the next
+//! incarnation is announced, that front answers with the stored one. If it is later than the newest in the
+//! announcing front's store, that store is outdated. A front that has lost records has no vote until no request
+//! that it may have acknowledged can still be open, and until then its acknowledgements of other fronts' starts
+//! don't count. The fronts that were running announce their incarnations again to a restarted front, since it
+//! may have lost them.
 //!
 //! Not covered: an older copy restored at one front while another has lost its disk and was cut off from the
 //! first for longer than anything is retained.
@@ -29,21 +29,21 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct StartAck {
     pub incarnation: u64,
-    /// The latest other incarnation that the sender knows of, if any: the same however often it is asked.
+    /// The latest other incarnation that the sender knows of, if any: the same for each repeated notice.
     pub previous: Option<u64>,
     /// The sender has itself forgotten nothing that is still open.
     pub complete: bool,
 }
 
-/// What a front's store has about incarnations.
+/// The incarnations in a front's store.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct StoredIncarnations {
-    /// The latest of the front itself.
+    /// The front's own latest incarnation.
     pub own_latest: u64,
     /// Nothing was forgotten, or nothing that was can still be open. A newly created store is incomplete
     /// until then, however often the front restarts meanwhile.
     pub complete: bool,
-    /// Of other fronts: the latest, and the one before it.
+    /// The latest incarnation of each other front, and the one before it.
     pub peers: BTreeMap<FrontId, (u64, Option<u64>)>,
 }
 
@@ -55,11 +55,11 @@
     pub incarnation: u64,
     /// The latest incarnation of this front in its store; none if there was no store.
     last_stored: Option<u64>,
-    /// Of other fronts, as they announced them; on disk.
+    /// Incarnations of other fronts, as they announced them; on disk.
     peers: BTreeMap<FrontId, (u64, Option<u64>)>,
     /// Fronts that have stored this incarnation and are complete themselves.
     acked_by: BTreeSet<FrontId>,
-    /// Until when it may have forgotten what is still open.
+    /// Until then it may have forgotten requests that are still open.
     incomplete_until: Option<Ticks>,
 }
 
@@ -88,7 +88,7 @@
         }
     }
 
-    /// What has to be on disk.
+    /// The state that has to be on disk.
     pub fn to_store(&self, now: Ticks) -> StoredIncarnations {
         StoredIncarnations {
             own_latest: self.incarnation,
@@ -143,8 +143,8 @@
             self.incarnation = later.saturating_add(1);
             return self.acked_by.clear();
         }
-        // A front that has forgotten something does not count; what it reported was used above all the same,
-        // since others may have told it.
+        // An incomplete front does not count. The incarnation that it reported was used above all the same, since
+        // it may have learned of it after its loss.
         if ack.complete {
             self.acked_by.insert(from);
         }
--- a/crates/custody/src/roster.rs
+++ b/crates/custody/src/roster.rs
@@ -28,7 +28,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ReplicaSet(Vec<[FrontId; 3]>);
 
-/// Of three fronts.
+/// Number of replicas, of the three in a list, that form a majority.
 const MAJORITY: usize = 2;
 
 impl ReplicaSet {
@@ -64,7 +64,7 @@
     ranked.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.front.cmp(&b.1.front)));
     ranked.dedup_by_key(|r| r.1.front);
     let mut selected: Vec<&Candidate> = Vec::new();
-    // Of stations that have none yet, then of machines that have none, then any.
+    // Prefers fronts at stations without a replica yet, then those on machines without one, then any.
     let separations: [fn(&Candidate, &Candidate) -> bool; 3] =
         [|a, b| a.station != b.station, |a, b| a.machine != b.machine, |_, _| true];
     for is_separate in separations {
@@ -93,7 +93,7 @@
         Some(ReplicaSet(lists))
     }
 
-    /// All fronts that may be asked to store that another has started.
+    /// All fronts that store the starts of other fronts.
     pub fn fronts(&self) -> Vec<FrontId> {
         let mut all: Vec<FrontId> = self.candidates.iter().chain(&self.previous).map(|c| c.front).collect();
         all.sort_unstable();
--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -16,7 +16,7 @@
 
 pub use log_event::LogEvent;
 
-/// What the shell has to do, in this order.
+/// An action for the shell to perform; a list of them is performed in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     /// Persist this before anything that follows. On failure: [`Fleet::on_journal_error`].
@@ -36,7 +36,7 @@
         name: Box<str>,
         run: Run,
     },
-    /// Tell it to send its clients elsewhere, or to stop doing so. Idempotent; not answered.
+    /// Make it send its clients elsewhere, or accept them again. Idempotent; not answered.
     Drain {
         name: Box<str>,
         process: Process,
@@ -163,8 +163,8 @@
     }
 
     fn advance_clock(&mut self, now: Ticks) {
-        // If the clock was set back, time stands still until it catches up; otherwise timers would be far in
-        // the future.
+        // If the clock was set back, the last time is used until it catches up; otherwise timers would be far
+        // in the future.
         self.now = self.now.max(now);
     }
 
--- a/crates/fleet/src/fleet/orders.rs
+++ b/crates/fleet/src/fleet/orders.rs
@@ -157,7 +157,7 @@
         effects.push(Effect::Log(LogEvent::Halted { number, operation: Operation::Restart, name }));
         for target in open_order.targets.clone() {
             let other = &mut self.instances[target];
-            // Instances that were not told to drain yet stay as they are.
+            // Instances whose drain has not begun yet stay as they are.
             if other.persisted.order == number && matches!(other.phase, Phase::Ready | Phase::Starting) {
                 other.persisted.restart_pending = false;
                 self.persist(target, effects);
--- a/crates/fleet/src/fleet/steps.rs
+++ b/crates/fleet/src/fleet/steps.rs
@@ -24,7 +24,7 @@
         self.request_timer(effects);
     }
 
-    /// It is to be taken away from its clients, and this has not begun.
+    /// It is to be drained, and the drain has not begun.
     fn waits_for_drain(&self, index: usize) -> bool {
         let instance = &self.instances[index];
         instance.phase == Phase::Ready
@@ -37,7 +37,7 @@
         let going_down = members().filter(|i| match i.phase {
             Phase::Draining => !(i.persisted.desired == DesiredState::Drained && i.drained),
             Phase::Stopping => true,
-            // Those that come back after an order, or died meanwhile, are missing just as well.
+            // Instances that start again after an order, or have died meanwhile, count as down, too.
             Phase::Starting | Phase::Lost => i.persisted.desired == DesiredState::Running,
             Phase::Failed | Phase::Stopped => {
                 i.persisted.desired == DesiredState::Running && !i.persisted.quarantined
--- a/crates/fleet/src/instance.rs
+++ b/crates/fleet/src/instance.rs
@@ -6,12 +6,13 @@
 
 use crate::{Process, Run, TICKS_PER_SECOND, Ticks};
 
+/// The state that operators want an instance to be in.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum DesiredState {
     #[default]
     Stopped,
     Running,
-    /// It runs, but tells its clients to go elsewhere. Can be undone.
+    /// It runs, but sends its clients elsewhere. Can be undone.
     Drained,
 }
 
@@ -24,7 +25,7 @@
     /// Its start was requested, or it runs and was not ready yet.
     Starting,
     Ready,
-    /// It was told to send its clients elsewhere.
+    /// It was signalled to send its clients elsewhere.
     Draining,
     /// It has received SIGTERM, which can't be undone.
     Stopping,
@@ -86,7 +87,7 @@
     Ready,
     /// It reports that it is not ready.
     NotReady,
-    /// No connection, no answer, or no answer other than that it is ready.
+    /// No connection, or no answer to the readiness check or to the other request.
     Unresponsive,
 }
 
@@ -152,7 +153,7 @@
     /// When it last was ready, and when it last answered at all.
     pub last_ready_at: Option<Ticks>,
     pub last_answer_at: Ticks,
-    /// Since it was told to drain, it has reported that it takes no more clients.
+    /// It has reported, since the drain began, that it accepts no more clients.
     pub drained: bool,
     /// When it may be started again.
     pub earliest_start: Ticks,
@@ -167,7 +168,7 @@
     pub stopped_as_faulty: bool,
     /// Found running without an entry in the journal: its desired state is derived from its behaviour.
     pub desired_unknown: bool,
-    /// When to look at it next; 0: no timer is set.
+    /// When its next step is due; 0: no timer is set.
     pub timer_at: Ticks,
 }
 
@@ -178,7 +179,7 @@
 pub const UNRESPONSIVE_TIMEOUT: Ticks = 6 * TICKS_PER_SECOND;
 /// From SIGTERM to SIGKILL: an orderly exit takes its clients' longest wait plus a second.
 pub const KILL_TIMEOUT: Ticks = 15 * TICKS_PER_SECOND;
-/// An instance found running that reports not ready for this long was told to drain.
+/// An instance found running that reports not ready for this long is considered to be draining.
 pub const DRAIN_DETECTION_TIME: Ticks = 2 * TICKS_PER_SECOND;
 /// A start has succeeded once the instance has been ready for this long.
 pub const STABLE_AFTER: Ticks = 30 * TICKS_PER_SECOND;
@@ -248,7 +249,7 @@
             && (check == Check::Ready
                 || check == Check::NotReady && now >= self.phase_since + DRAIN_DETECTION_TIME)
         {
-            // Not ready for this long: somebody told it to drain, and that must last. An instance that is
+            // Not ready for this long: it was drained by other means, and stays drained. An instance that is
             // only starting is ready sooner.
             self.desired_unknown = false;
             self.persisted.desired =
@@ -261,10 +262,10 @@
             }
             (Phase::Ready, Check::Ready) => self.last_ready_at = Some(now),
             (Phase::Draining, Check::NotReady) => self.drained = true,
-            // Told to drain, but it has not reacted yet.
+            // The drain was signalled, but it has not reacted yet.
             (Phase::Draining, Check::Ready) => self.drained = false,
-            // Found draining by an agent that replaced the one that ordered it; if it should not drain, it is
-            // told so.
+            // Found draining by an agent that replaced the one that ordered it; if it should not drain, that is
+            // signalled.
             (Phase::Starting, Check::NotReady)
                 if self.persisted.restart_pending || self.persisted.desired != DesiredState::Running =>
             {
@@ -272,8 +273,8 @@
                 self.enter_phase(now, Phase::Draining);
             }
             (Phase::Starting, Check::NotReady) => self.drained = true,
-            // Not ready without being told to drain by this agent: somebody else stopped it, or it is not
-            // ready yet.
+            // Not ready although this agent did not drain it: it was stopped by other means, or is not ready
+            // yet.
             (Phase::Ready, Check::NotReady) => self.enter_phase(now, Phase::Starting),
             (Phase::Ready | Phase::Draining, Check::Unresponsive)
                 if now >= self.last_answer_at + UNRESPONSIVE_TIMEOUT =>
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -4,7 +4,7 @@
 //! - [`instance`]: the state of one instance, derived from reports: exits, checks, the process table. Each
 //!   report may come late, twice, wrong or not at all, so each names the start of the instance that it is
 //!   about.
-//! - [`order`]: what operators ask for. An order names the state that its sender has seen; of two conflicting
+//! - [`order`]: the orders of operators. An order names the state that its sender has seen; of two conflicting
 //!   orders one wins, and the other is rejected with the winner's sender and content.
 //! - [`pace`]: how many instances may be down or cold at once, when one that died is started again, and when
 //!   it is not started again.
@@ -16,7 +16,7 @@
 //! point, and the next one neither starts an instance twice nor forgets one.
 //!
 //! The module knows only what is reported: not whether an instance serves well, only whether it answers.
-//! Times are in units of 0.1 ms, are passed in, and never run backwards in here, whatever the clock does.
+//! Times are in units of 0.1 ms, are passed in, and never run backwards in this module, even if the clock is set back.
 #![forbid(unsafe_code)]
 
 pub mod fleet;
@@ -46,6 +46,7 @@
     pub start_time: u64,
 }
 
+/// Longest name of an instance, in bytes.
 pub const MAX_NAME_LEN: usize = 64;
 
 /// Names appear in logs, environments and tables.
--- a/crates/fleet/src/order.rs
+++ b/crates/fleet/src/order.rs
@@ -1,4 +1,4 @@
-//! What operators order, and why an order is rejected.
+//! Operators' orders, and the reasons for which they are rejected.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -7,6 +7,7 @@
 
 use crate::DesiredState;
 
+/// What an order does with its instances.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Operation {
     Start,
@@ -21,7 +22,7 @@
 }
 
 impl Operation {
-    /// The desired state from then on; none: it stays as it is.
+    /// The desired state after the order; none: it stays as it is.
     pub fn desired_state(self) -> Option<DesiredState> {
         match self {
             Operation::Start | Operation::Restart => Some(DesiredState::Running),
@@ -69,7 +70,7 @@
     NoTargets,
     TooManyTargets(usize),
     UnknownInstance(Box<str>),
-    /// Somebody else has changed its desired state since the sender looked.
+    /// Another sender has changed its desired state since this one read it.
     Changed {
         name: Box<str>,
         by: Box<str>,
--- a/crates/fleet/src/pace.rs
+++ b/crates/fleet/src/pace.rs
@@ -30,7 +30,7 @@
         PaceRules {
             max_down_share: 0.1,
             max_cold: 4,
-            // The caches' own cold time is longer; this keeps the first rush from them.
+            // The caches' own cold time is longer; this keeps the initial burst of requests off them.
             cold_time: 2 * TICKS_PER_SECOND,
             restart_budget: 20.0,
             budget_refill_time: 10 * TICKS_PER_SECOND,
--- a/crates/keys/src/tls.rs
+++ b/crates/keys/src/tls.rs
@@ -25,12 +25,12 @@
 
 impl Paths {
     /// Paths that are not absolute are relative to the folder of the settings file.
-    pub fn resolve(settings: &Path, papers: &IdentityFiles) -> Paths {
+    pub fn resolve(settings: &Path, identity: &IdentityFiles) -> Paths {
         let resolve = |path: &str| doorgrade_operator::files::resolve(settings, path);
         Paths {
-            certificate: resolve(&papers.certificate),
-            key: resolve(&papers.key),
-            authority: resolve(&papers.authority),
+            certificate: resolve(&identity.certificate),
+            key: resolve(&identity.key),
+            authority: resolve(&identity.authority),
         }
     }
 
--- a/crates/lab/src/capacity/page.rs
+++ b/crates/lab/src/capacity/page.rs
@@ -11,7 +11,7 @@
 
 /// Prefix of a mechanism that does not exist yet.
 pub const MISSING: &str = "missing:";
-/// Stands where there is no figure.
+/// Shown where there is no figure.
 const NO_FIGURE: &str = "–";
 
 // Fields are renamed to the template's placeholders.
--- a/crates/lab/src/check.rs
+++ b/crates/lab/src/check.rs
@@ -1,5 +1,5 @@
-//! Measures the time to check a change of the shape for fill loops, in hierarchies of 100 to 100 000 members. Three ways
-//! are timed on the same changes: the incremental topological order alone, all of `Shape::apply`, and as the baseline a
+//! Measures the time to check a change of the shape for fill loops, in hierarchies of 100 to 100 000 members. Three
+//! methods are timed on the same changes: the incremental topological order alone, all of `Shape::apply`, and as the baseline a
 //! depth-first search of the whole hierarchy after each change. All three must agree on which changes close a loop.
 
 use std::time::Instant;
@@ -121,7 +121,7 @@
     loops: usize,
 }
 
-/// Times the three ways one after the other, so that none evicts the data of another from the processor's caches.
+/// Times the three methods one after the other, so that none evicts the data of another from the processor's caches.
 fn measure(count: usize, changes: usize, seed: u64) -> Cost {
     let mut rng = Rng::with_seed(seed);
     let mut hierarchy = Hierarchy::new(count, &mut rng);
--- a/crates/lab/src/evidence.rs
+++ b/crates/lab/src/evidence.rs
@@ -11,9 +11,9 @@
 
 use simulated::{CANARY, Liar, Reports, Storm, Trial, WIDE};
 
-/// Those of rollouts.
+/// The test settings of rollouts.
 const SETTINGS: TestSettings = TestSettings { false_stop: 1e-4, tolerated_drop: 0.03, min_fronts: 3 };
-/// By the target.
+/// Changes per day at the target.
 const CHANGES_PER_DAY: f64 = 1_000.0;
 /// A drop counts as detected if at least this share of the runs detect it.
 const DETECTION_SHARE: f64 = 0.9;
@@ -122,8 +122,8 @@
     let mut stopped = false;
     trial.reports(seed, |_, arm, control| {
         for (total, reports) in [(&mut arm_sums, arm), (&mut control_sums, control)] {
-            let (asked, answered) = sums(reports);
-            *total = (total.0 + asked, total.1 + answered);
+            let (accesses, answered) = sums(reports);
+            *total = (total.0 + accesses, total.1 + answered);
         }
         let pooled = (arm_sums.1 + control_sums.1) / (arm_sums.0 + control_sums.0);
         let deviation = (pooled * (1.0 - pooled) * (1.0 / arm_sums.0 + 1.0 / control_sums.0)).sqrt();
--- a/crates/lab/src/evidence/simulated.rs
+++ b/crates/lab/src/evidence/simulated.rs
@@ -170,12 +170,12 @@
     }
 
     fn counts(&self, rng: &mut Rng, f: &Front, storm_factor: f64, is_arm: bool) -> Counts {
-        let asked = INTERVAL_ACCESSES * f.relative_rate;
-        let asked = (asked + asked.sqrt() * standard_normal(rng)).round().max(0.0) as u64;
+        let accesses = INTERVAL_ACCESSES * f.relative_rate;
+        let accesses = (accesses + accesses.sqrt() * standard_normal(rng)).round().max(0.0) as u64;
         let drop = if is_arm { self.drop } else { 0.0 };
         let share =
             (f.share * storm_factor * (1.0 - drop) + self.jitter * standard_normal(rng)).clamp(0.0, 1.0);
-        Counts { accesses: asked, answered: binomial(rng, asked, share) }
+        Counts { accesses: accesses, answered: binomial(rng, accesses, share) }
     }
 
     /// Passes the verdict after each interval to `done`, until it returns true.
--- a/crates/lab/src/front_state/simulation.rs
+++ b/crates/lab/src/front_state/simulation.rs
@@ -30,7 +30,7 @@
     /// The rank at which the cache stores the copy; 1 if the front does not know the object's fill.
     pub rank: u8,
     pub refresh: bool,
-    /// Asks only for what the cache holds.
+    /// Requests only a copy that the cache has.
     pub is_lookup: bool,
 }
 
@@ -51,7 +51,7 @@
     pub latency: Ticks,
 }
 
-/// The caches and what they fill from.
+/// The caches and their fill sources.
 pub trait CacheModel {
     fn serve(&mut self, now: Ticks, push: &SimulatedPush) -> CacheResponse;
 }
--- a/crates/lab/src/returns.rs
+++ b/crates/lab/src/returns.rs
@@ -59,7 +59,7 @@
     duplication: 0.0,
 };
 
-/// What fronts know in a run.
+/// The sources from which fronts know the age of copies in a run.
 #[derive(Clone, Copy, PartialEq, Eq)]
 struct Variant {
     name: &'static str,
--- a/crates/lab/src/rig.rs
+++ b/crates/lab/src/rig.rs
@@ -148,6 +148,7 @@
     pub key: u64,
 }
 
+/// How an access ended for the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AccessResult {
     /// Status 200 with the body of the object; for a write, any body.
@@ -173,7 +174,7 @@
     pub front: usize,
 }
 
-/// What the load generator measured.
+/// The measurements of the load generator.
 #[derive(Default)]
 pub struct LoadResult {
     pub samples: Vec<Sample>,
--- a/crates/lab/src/scale/budget.rs
+++ b/crates/lab/src/scale/budget.rs
@@ -7,18 +7,19 @@
 
 /// Processes of a scale run, this one among them.
 pub const MAX_PROCESSES: usize = 300;
+/// Resident memory of a scale run with its children, in units of [`GB`].
 pub const MAX_MEMORY_GB: f64 = 12.0;
 /// Bytes in a unit of `--memory-gb` and `peak_rss_gb`.
 pub const GB: f64 = 1e9;
 
-/// What a run uses at a moment.
+/// The resources that a run uses at a moment.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Usage {
     pub processes: usize,
     pub resident_bytes: u64,
 }
 
-/// What a part of a run needs in addition.
+/// The resources that a part of a run needs in addition.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Needs {
     pub processes: usize,
--- a/crates/lab/src/scale/commands.rs
+++ b/crates/lab/src/scale/commands.rs
@@ -16,8 +16,8 @@
 
 use super::{Context, Needs, Part, Point, Quantity, ScaleError};
 
-/// Memory for each follower: both ends of its connection, and the service's state. 61 KB were measured (`docs/results.md`), and
-/// less with the service in a process of its own. `BASE_BYTES` is for everything else.
+/// Memory for each follower: both ends of its connection, and the service's state. About 61 KB
+/// (`docs/results.md`), and less with the service in a process of its own. `BASE_BYTES` is for everything else.
 const BYTES_PER_FOLLOWER: u64 = 100_000;
 const BASE_BYTES: u64 = 100 << 20;
 const STATIONS: usize = 44;
@@ -101,12 +101,12 @@
         ))
     }
 
-    fn ask(&self, client: &mut OperatorClient, request: &Request) -> Result<Response, String> {
+    fn request(&self, client: &mut OperatorClient, request: &Request) -> Result<Response, String> {
         self.runtime.block_on(client.request(request))
     }
 
     fn totals(&self, client: &mut OperatorClient) -> Result<Totals, String> {
-        match self.ask(client, &Request::Status)? {
+        match self.request(client, &Request::Status)? {
             Response::Status(totals) => Ok(*totals),
             other => Err(format!("the service: unexpected response to a status request: {other:?}")),
         }
@@ -116,18 +116,18 @@
     fn wait_until(
         &self,
         client: &mut OperatorClient,
-        what: &str,
-        holds: impl Fn(&Totals) -> bool,
+        awaited: &str,
+        condition: impl Fn(&Totals) -> bool,
     ) -> Result<(), String> {
         let began_at = Instant::now();
         loop {
             let totals = self.totals(client)?;
-            if holds(&totals) {
+            if condition(&totals) {
                 return Ok(());
             }
             if began_at.elapsed() > TIMEOUT {
                 return Err(format!(
-                    "timeout of {} s while waiting for {what}: {totals:?}",
+                    "timeout of {} s while waiting for {awaited}: {totals:?}",
                     TIMEOUT.as_secs()
                 ));
             }
@@ -138,7 +138,7 @@
     fn publish(&self, client: &mut OperatorClient, level: &str, note: &str) -> Result<VersionId, String> {
         let expected_last = self.totals(client)?.last;
         let content = format!("log {{ level = \"{level}\" }}\n").into_bytes().into();
-        match self.ask(client, &Request::Publish { content, note: note.into(), expected_last })? {
+        match self.request(client, &Request::Publish { content, note: note.into(), expected_last })? {
             Response::Published(id) => Ok(id),
             other => Err(format!("the service: not published: {other:?}")),
         }
@@ -176,9 +176,9 @@
     let (mut seconds, mut bytes) = (Vec::new(), 0.0);
     for _ in 0..REPETITIONS {
         let began_at = Instant::now();
-        let mut responses = vec![rig.ask(client, first)?];
+        let mut responses = vec![rig.request(client, first)?];
         while let Some(next) = responses.last().and_then(&page) {
-            responses.push(rig.ask(client, &next)?);
+            responses.push(rig.request(client, &next)?);
         }
         seconds.push(began_at.elapsed().as_secs_f64());
         bytes = responses.iter().map(response_bytes).sum();
@@ -205,7 +205,7 @@
 fn measure(rig: &Rig, size: usize) -> Result<Costs, String> {
     let (mut client, mut watcher) = (rig.client()?, rig.client()?);
     rig.wait_until(&mut client, "all fronts to connect", |t| t.connected as usize == size)?;
-    match rig.ask(&mut watcher, &Request::Watch)? {
+    match rig.request(&mut watcher, &Request::Watch)? {
         Response::Watching => {}
         other => return Err(format!("the service: unexpected response to a watch request: {other:?}")),
     }
--- a/crates/lab/src/scale/control_only.rs
+++ b/crates/lab/src/scale/control_only.rs
@@ -1,4 +1,4 @@
-//! Control-only fronts: they speak the control protocols of a front and have no client traffic, so that one process runs
+//! Control-only fronts: they implement a front's control protocols and have no client traffic, so that one process runs
 //! many of them.
 //!
 //! They run the same code as a front: `doorgrade_control_client`, which follows configuration versions over TLS and exchanges
@@ -33,8 +33,8 @@
 pub const FEED_THREAD: &str = "hollow-feed";
 /// The size of a front's read buffer for the feed.
 const FEED_READ_BYTES: usize = 16 << 10;
-/// Purges from the feed are handed on in batches at this interval, as in a front.
-const HAND_ON_INTERVAL: Duration = Duration::from_millis(250);
+/// Purges from the feed are sent to the exchange in batches at this interval, as in a front.
+const OBSERVATION_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Threads with a single-threaded runtime each. They end when this is dropped.
 pub struct RuntimeThreads {
@@ -64,7 +64,7 @@
     }
 }
 
-/// What a control-only front has done, and the access counts that it reports.
+/// The applied versions and received purges of a control-only front, and the access counts that it reports.
 #[derive(Default)]
 pub struct FrontRecord {
     /// The versions that were applied, with their times.
@@ -116,18 +116,18 @@
     async fn apply(&mut self, id: &VersionId, version: &Arc<Version>) -> Result<(), String> {
         // As in a front: the files are read again, and the version overrides them.
         let config = self.sources.read()?.with_version(version);
-        let _renewal = self.initial.reload_from(config);
+        let _reloaded = self.initial.reload_from(config);
         let at = doorgrade_stream::clock::now();
         self.record.applied.lock().unwrap_or_else(PoisonError::into_inner).push((*id, at));
         Ok(())
     }
 
     fn served(&self) -> Served {
-        let asked = self.record.ended.load(Ordering::Relaxed);
-        let answered = self.record.ended_in_time.load(Ordering::Relaxed).min(asked);
+        let accesses = self.record.ended.load(Ordering::Relaxed);
+        let answered = self.record.ended_in_time.load(Ordering::Relaxed).min(accesses);
         // Benefit is reported in thousandths.
-        let (asked_benefit, in_time) = (asked.saturating_mul(1_000), answered.saturating_mul(1_000));
-        Served { asked: asked_benefit, in_time, accesses: AccessCounts { accesses: asked, answered } }
+        let (requested_benefit, in_time) = (accesses.saturating_mul(1_000), answered.saturating_mul(1_000));
+        Served { asked: requested_benefit, in_time, accesses: AccessCounts { accesses, answered } }
     }
 }
 
@@ -167,15 +167,15 @@
         stop_senders.push(stop);
         control.spawn(follower.run(stopped));
     }
-    let learning = start_exchange(&initial, &settings, control, &mut stop_senders)?;
+    let observation_sender = start_exchange(&initial, &settings, control, &mut stop_senders)?;
     if let Some(feed) = feed {
         let (names, at, known) = (initial.names.clone(), initial.feed, initial.known.0);
-        let (record, learning) = (record.clone(), learning);
+        let (record, observation_sender) = (record.clone(), observation_sender);
         let (stop, stopped) = oneshot::channel::<()>();
         stop_senders.push(stop);
         feed.spawn(async move {
             tokio::select! {
-                () = follow_feed(at, known, &names, &record, learning.as_ref()) => {}
+                () = follow_feed(at, known, &names, &record, observation_sender.as_ref()) => {}
                 _ = stopped => {}
             }
         });
@@ -199,14 +199,14 @@
         purge_done: platform.purge_propagation,
     };
     let files = &initial.files.settings;
-    let neighbourhood = ExchangeSetup::read(files.neighbours.clone(), files.recall.clone(), &own)?;
-    let Some(neighbourhood) = neighbourhood else { return Ok(None) };
+    let exchange_setup = ExchangeSetup::read(files.neighbours.clone(), files.recall.clone(), &own)?;
+    let Some(exchange_setup) = exchange_setup else { return Ok(None) };
     // Recalled data has no use here, since there are no accesses.
-    let (neighbour_exchange, learning) = neighbourhood.bind(Box::new(|_, _| {}))?;
+    let (exchange, observation_sender) = exchange_setup.bind(Box::new(|_, _| {}))?;
     let (stop, stopped) = oneshot::channel();
     stop_senders.push(stop);
-    control.spawn(neighbour_exchange.run(stopped));
-    Ok(learning)
+    control.spawn(exchange.run(stopped));
+    Ok(observation_sender)
 }
 
 /// Reads the feed as a front does, and reconnects after each loss.
@@ -215,12 +215,12 @@
     known: u64,
     names: &ZoneAndKindNames,
     record: &FrontRecord,
-    learning: Option<&ObservationSender>,
+    observation_sender: Option<&ObservationSender>,
 ) {
     let mut feed = FeedConnection::new(known, clock::now());
     loop {
         if let Ok(stream) = TcpStream::connect(at).await {
-            read_feed(stream, &mut feed, names, record, learning).await;
+            read_feed(stream, &mut feed, names, record, observation_sender).await;
         }
         let delay = feed.lost();
         tokio::time::sleep(Duration::from_micros(delay * 100)).await;
@@ -232,23 +232,23 @@
     feed: &mut FeedConnection,
     names: &ZoneAndKindNames,
     record: &FrontRecord,
-    learning: Option<&ObservationSender>,
+    observation_sender: Option<&ObservationSender>,
 ) {
     if stream.write_all(&feed.connected(clock::now())).await.is_err() {
         return;
     }
-    let (mut buffer, mut learned) = (RingBuffer::new(FEED_READ_BYTES), Vec::new());
-    let mut hand_on = tokio::time::interval(HAND_ON_INTERVAL);
+    let (mut buffer, mut observations) = (RingBuffer::new(FEED_READ_BYTES), Vec::new());
+    let mut observation_timer = tokio::time::interval(OBSERVATION_INTERVAL);
     loop {
         tokio::select! {
             read = stream.read(buffer.back()) => match read {
                 Ok(0) | Err(_) => return,
                 Ok(count) => buffer.filled(count),
             },
-            _ = hand_on.tick() => {
-                if let Some(learning) = learning.filter(|_| !learned.is_empty()) {
+            _ = observation_timer.tick() => {
+                if let Some(observation_sender) = observation_sender.filter(|_| !observations.is_empty()) {
                     // When the receiver is behind, the batch is dropped, as in a front.
-                    let _ = learning.try_send(std::mem::take(&mut learned));
+                    let _ = observation_sender.try_send(std::mem::take(&mut observations));
                 }
                 if clock::now() > feed.received_at + FeedConnection::TIMEOUT {
                     return;
@@ -259,7 +259,7 @@
             match feed.next_event(&mut buffer, names, clock::now()) {
                 Ok(Some(Event::Purge { object, group, at })) => {
                     record.purges.fetch_add(1, Ordering::Relaxed);
-                    learned.push(Observation::Purge(Purge { object, group: group as u16, at }));
+                    observations.push(Observation::Purge(Purge { object, group: group as u16, at }));
                 }
                 Ok(Some(Event::List { .. })) => {}
                 Ok(None) => break,
--- a/crates/lab/src/scale/control_rig.rs
+++ b/crates/lab/src/scale/control_rig.rs
@@ -265,19 +265,19 @@
     /// Waits until the service's status fulfils a condition, and returns how long that took.
     pub fn wait_until(
         &mut self,
-        what: &str,
+        awaited: &str,
         timeout: Duration,
-        holds: impl Fn(&Totals) -> bool,
+        condition: impl Fn(&Totals) -> bool,
     ) -> Result<Duration, RigError> {
         let began_at = Instant::now();
         loop {
             let totals = self.totals()?;
-            if holds(&totals) {
+            if condition(&totals) {
                 return Ok(began_at.elapsed());
             }
             if began_at.elapsed() > timeout {
                 return Err(format!(
-                    "timeout of {} s while waiting for {what}: {totals:?}",
+                    "timeout of {} s while waiting for {awaited}: {totals:?}",
                     timeout.as_secs()
                 ));
             }
--- a/crates/lab/src/scale/members/phases.rs
+++ b/crates/lab/src/scale/members/phases.rs
@@ -20,7 +20,7 @@
 /// Time between the end of a process and the start of its replacement.
 const RESTART_TIME: Ticks = 2 * SECOND;
 
-/// What happens at the start of a phase.
+/// The event at the start of a phase.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
     /// All start at the same time.
@@ -100,7 +100,7 @@
     }
 }
 
-/// What one phase costs. Bytes are those on the wire.
+/// The cost of one phase. Bytes are those on the wire.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PhaseCost {
     /// Bytes per second, mean over all members and the first 30 s of the phase.
@@ -217,13 +217,16 @@
         let nodes = &self.simulation.nodes;
         let (to, window) = (self.simulation.current_second(), WINDOW_S as f64);
         let member_seconds = nodes.len() as f64 * window;
-        let mean = |of: &dyn Fn(usize) -> u64| (0..nodes.len()).map(of).sum::<u64>() as f64 / member_seconds;
+        let mean = |value_of: &dyn Fn(usize) -> u64| {
+            (0..nodes.len()).map(value_of).sum::<u64>() as f64 / member_seconds
+        };
         let sent_per_s = mean(&|n| nodes[n].sent.sum(from, from + WINDOW_S));
         let received_per_s = mean(&|n| nodes[n].received.sum(from, from + WINDOW_S));
         let windows = || from..=to.saturating_sub(WINDOW_S).max(from);
         let max_bytes = |n: usize| {
-            let of = |s| nodes[n].sent.sum(s, s + WINDOW_S).max(nodes[n].received.sum(s, s + WINDOW_S));
-            windows().map(of).max().unwrap_or(0)
+            let bytes_from =
+                |s| nodes[n].sent.sum(s, s + WINDOW_S).max(nodes[n].received.sum(s, s + WINDOW_S));
+            windows().map(bytes_from).max().unwrap_or(0)
         };
         let max_per_s = (0..nodes.len()).map(max_bytes).max().unwrap_or(0) as f64 / window;
         let core_share = cpu_ns as f64 / 1e9 / member_seconds;
--- a/crates/lab/src/scale/members/simulation.rs
+++ b/crates/lab/src/scale/members/simulation.rs
@@ -255,7 +255,7 @@
         self.now = end;
     }
 
-    /// Of all pairs of running members that can reach each other, the share in which one lists the current incarnation of the
+    /// The share of pairs of running members that can reach each other in which one lists the current incarnation of the
     /// other as alive. Each member that is wrongly listed as alive is subtracted.
     pub fn known_share(&self) -> f64 {
         let is_isolated = |node: usize| region(node) < self.isolated_regions;
--- a/crates/lab/src/scale/mod.rs
+++ b/crates/lab/src/scale/mod.rs
@@ -34,7 +34,7 @@
     pub name: &'static str,
     pub full_sizes: &'static [usize],
     pub quick_sizes: &'static [usize],
-    /// What the part needs beside this process at a size; the second argument says whether it is a quick run.
+    /// The resources that the part needs beside this process at a size; the second argument says whether it is a quick run.
     pub needs: fn(usize, bool) -> Needs,
     pub run: fn(&mut Context) -> Result<(), ScaleError>,
 }
@@ -70,7 +70,7 @@
     pub unit: &'a str,
 }
 
-/// The input of a part, and what collects its figures.
+/// The input of a part, and the figures that it has measured.
 pub struct Context {
     pub options: Options,
     pub budget: Arc<Budget>,
--- a/crates/lab/src/scale/rollouts.rs
+++ b/crates/lab/src/scale/rollouts.rs
@@ -193,7 +193,7 @@
 fn start_load(rig: &Rig, plan: &Plan) -> Vec<std::thread::JoinHandle<LoadResult>> {
     let start = Instant::now();
     let threads = rig.fronts.iter().enumerate().map(|(n, front)| {
-        let (at, count) = (front.address, (plan.duration_s * ACCESSES_PER_S) as usize);
+        let (address, count) = (front.address, (plan.duration_s * ACCESSES_PER_S) as usize);
         let mut rng = fastrand::Rng::with_seed(plan.seed ^ n as u64);
         let planned = move |k: usize| PlannedAccess {
             at_ms: (k as f64 + rng.f64()) * 1e3 / ACCESSES_PER_S,
@@ -201,7 +201,7 @@
             key: rng.u64(1..200),
         };
         let accesses: Vec<PlannedAccess> = (0..count).map(planned).collect();
-        std::thread::spawn(move || run_load(at, &accesses, &CLASSES, start, CLIENTS_PER_FRONT))
+        std::thread::spawn(move || run_load(address, &accesses, &CLASSES, start, CLIENTS_PER_FRONT))
     });
     threads.collect()
 }
@@ -312,8 +312,8 @@
     rig.wait_until(&mut client, "all fronts to connect", Duration::from_secs(90), |t| t.connected == all)
         .map_err(|e| context.part_error(e))?;
     let (at, text) = (now(), content::changed(&content::initial(), 1, None));
-    let answer = rig.publish(&mut client, &text, 0).map_err(|e| context.part_error(e))?;
-    let Response::Published(id) = answer else { return Err(context.part_error(format!("{answer:?}"))) };
+    let response = rig.publish(&mut client, &text, 0).map_err(|e| context.part_error(e))?;
+    let Response::Published(id) = response else { return Err(context.part_error(format!("{response:?}"))) };
     rig.wait_until(&mut client, "the change to be in force", Duration::from_secs(240), |t| {
         t.base == Some(id)
     })
@@ -337,8 +337,8 @@
     rig.wait_until(&mut client, "all fronts to connect", Duration::from_secs(90), |t| t.connected == all)
         .map_err(|e| context.part_error(e))?;
     let text = content::changed(&content::initial(), 1, Some(Harm::Drop(0.5)));
-    let answer = rig.publish(&mut client, &text, 0).map_err(|e| context.part_error(e))?;
-    let Response::Published(_) = answer else { return Err(context.part_error(format!("{answer:?}"))) };
+    let response = rig.publish(&mut client, &text, 0).map_err(|e| context.part_error(e))?;
+    let Response::Published(_) = response else { return Err(context.part_error(format!("{response:?}"))) };
     std::thread::sleep(Duration::from_secs(10));
     context.put_rounded("all_at_once_harmful_reach", Records(rig.records()).reach(&[1]));
     rig.stop();
--- a/crates/lab/src/scale/rollouts/control_only.rs
+++ b/crates/lab/src/scale/rollouts/control_only.rs
@@ -73,9 +73,9 @@
 
 impl SimulatedHost {
     /// Draws how many of the accesses are answered, by the normal approximation of the binomial distribution.
-    fn draw(&mut self, asked: f64, share: f64) -> f64 {
+    fn draw(&mut self, accesses: f64, share: f64) -> f64 {
         let normal = (0..12).map(|_| self.rng.f64()).sum::<f64>() - 6.0;
-        (asked * share + normal * (asked * share * (1.0 - share)).sqrt()).round().clamp(0.0, asked)
+        (accesses * share + normal * (accesses * share * (1.0 - share)).sqrt()).round().clamp(0.0, accesses)
     }
 
     /// Adds the accesses since the last call to the counts, with the answered share under the content in use.
@@ -88,10 +88,10 @@
             last.map_or(0.0, |(since, summary)| summary.drop_after(now.saturating_sub(since) as f64 / 1e4));
         let overload_share = self.shared.overload_permille.load(Ordering::Relaxed) as f64 / 1e3;
         let expected = ACCESSES_PER_S * elapsed_s + self.remainder;
-        let asked = expected.floor();
-        self.remainder = expected - asked;
-        let answered = self.draw(asked, (self.normal_share - drop - overload_share).clamp(0.0, 1.0));
-        self.counts.accesses += asked as u64;
+        let accesses = expected.floor();
+        self.remainder = expected - accesses;
+        let answered = self.draw(accesses, (self.normal_share - drop - overload_share).clamp(0.0, 1.0));
+        self.counts.accesses += accesses as u64;
         self.counts.answered += answered as u64;
     }
 }
@@ -127,8 +127,8 @@
     fn service_level(&mut self) -> Option<f32> {
         let before = self.counts;
         self.count();
-        let asked = self.counts.accesses - before.accesses;
-        (asked > 0).then(|| (self.counts.answered - before.answered) as f32 / asked as f32)
+        let accesses = self.counts.accesses - before.accesses;
+        (accesses > 0).then(|| (self.counts.answered - before.answered) as f32 / accesses as f32)
     }
 
     fn access_counts(&mut self) -> AccessCounts {
@@ -167,13 +167,13 @@
             counted_at,
             remainder,
         };
-        let target = ServiceEndpoint { addresses: vec![config.service], server_name };
+        let endpoint = ServiceEndpoint { addresses: vec![config.service], server_name };
         let (keys, name_and_station) = (Keys::new(keys(&[1])), (config.name, config.station));
-        let (mut follow, first) = FrontClient::new(host, target, tls, |at, effects| {
-            Front::start(at, config.seed, name_and_station, keys, StoredState::default(), Ok(()), effects)
+        let (mut client, initial) = FrontClient::new(host, endpoint, tls, |now, effects| {
+            Front::start(now, config.seed, name_and_station, keys, StoredState::default(), Ok(()), effects)
         });
         let (commands, mut command_receiver) = mpsc::channel(4);
-        tokio::spawn(async move { follow.run(first, &mut command_receiver).await });
+        tokio::spawn(async move { client.run(initial, &mut command_receiver).await });
         Ok(ControlOnlyFront { applied, commands })
     }
 
--- a/crates/lab/src/scale/rollouts/records.rs
+++ b/crates/lab/src/scale/rollouts/records.rs
@@ -52,8 +52,8 @@
     /// Seconds from its publication until all fronts had a change in use for the first time.
     pub fn time_to_all(&self, published: &Published) -> Option<f64> {
         let mut count = 0;
-        for (at, change) in self.transitions(published.change) {
-            count += change;
+        for (at, delta) in self.transitions(published.change) {
+            count += delta;
             if count == self.0.len() as i64 {
                 return Some(seconds_between(published.at, at));
             }
@@ -76,8 +76,8 @@
         }
         all.sort_unstable();
         let (mut count, mut max_count) = (0, 0);
-        for (_, change) in all {
-            count += change;
+        for (_, delta) in all {
+            count += delta;
             max_count = max_count.max(count);
         }
         max_count as f64 / self.0.len().max(1) as f64
--- a/crates/lab/src/scale/rollouts/region.rs
+++ b/crates/lab/src/scale/rollouts/region.rs
@@ -1,5 +1,5 @@
-//! A TCP relay for each region that delays what passes by the region's round trip. `standins::links` takes four threads for
-//! each connection, which is too many for a thousand connections; here a connection is a few tasks.
+//! A TCP relay for each region that delays its connections' bytes by the region's round trip. `standins::links` takes four
+//! threads for each connection, which is too many for a thousand connections; here a connection is a few tasks.
 
 use std::io;
 use std::net::SocketAddr;
--- a/crates/lab/src/scale/rollouts/rig.rs
+++ b/crates/lab/src/scale/rollouts/rig.rs
@@ -107,7 +107,8 @@
         let address = |after: &str| -> Option<SocketAddr> {
             log_line.as_deref()?.split_once(after)?.1.split([',', ' ']).next()?.parse().ok()
         };
-        let (Some(fronts_at), Some(operators_address)) = (address("fronts at "), address("operators at "))
+        let (Some(fronts_address), Some(operators_address)) =
+            (address("fronts at "), address("operators at "))
         else {
             return Err(format!("the service does not start; its log: {:?}", service.log_lines()));
         };
@@ -119,7 +120,8 @@
         let mut relays = Vec::new();
         for counters in [&real_counters, &control_only_counters] {
             for region in 0..REGIONS {
-                let address = runtime.block_on(relay(fronts_at, one_way_delay(region), counters.clone()));
+                let address =
+                    runtime.block_on(relay(fronts_address, one_way_delay(region), counters.clone()));
                 relays.push(address.map_err(io)?);
             }
         }
@@ -168,7 +170,7 @@
         let mut tls = Vec::new();
         for region in 0..REGIONS {
             let credentials = client_config(&self.installation.identity(&station(region)), FRONT_PROTOCOL)
-                .map_err(|t| t.to_string())?;
+                .map_err(|e| e.to_string())?;
             tls.push(credentials.config);
         }
         let _entered = self.runtime.enter();
@@ -225,18 +227,18 @@
     pub fn wait_until(
         &self,
         client: &mut OperatorClient,
-        what: &str,
+        awaited: &str,
         timeout: Duration,
-        holds: impl Fn(&Totals) -> bool,
+        condition: impl Fn(&Totals) -> bool,
     ) -> Result<Duration, String> {
         let began_at = Instant::now();
         loop {
             let totals = self.totals(client)?;
-            if holds(&totals) {
+            if condition(&totals) {
                 return Ok(began_at.elapsed());
             }
             if began_at.elapsed() > timeout {
-                return Err(format!("timeout of {timeout:?} while waiting for {what}: {totals:?}"));
+                return Err(format!("timeout of {timeout:?} while waiting for {awaited}: {totals:?}"));
             }
             std::thread::sleep(Duration::from_millis(50));
         }
--- a/crates/lab/src/scale/service_figures.rs
+++ b/crates/lab/src/scale/service_figures.rs
@@ -11,12 +11,12 @@
 /// The cost of one kind of change at one size.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ChangeCost {
-    /// Of one change, beyond the cost at rest.
+    /// Processor time and bytes of one change, beyond the cost at rest.
     pub cpu_ms: f64,
     pub bytes: f64,
     /// The longest time until all fronts had reported that they run a change.
     pub everywhere_s: f64,
-    /// Of the service, over the time in which the changes were published.
+    /// Processor time of the service as a share of a core, while the changes were published.
     pub core_share: f64,
 }
 
@@ -26,16 +26,18 @@
     /// Connected fronts of both kinds.
     pub fronts: usize,
     pub seed: u64,
-    /// Of one new front, which fetches the whole content.
+    /// Cost of the connection of one new front, which fetches the whole content.
     pub connect_cpu_ms: f64,
     pub connect_bytes: f64,
-    /// Of all fronts together, at rest.
+    /// Cost of all fronts together, at rest.
     pub rest_cpu_ms_per_s: f64,
     pub rest_bytes_per_s: f64,
+    /// A change of one line, and one of a twentieth of all members.
     pub line: ChangeCost,
     pub twentieth: ChangeCost,
+    /// Resident memory of the service, in MB.
     pub mb: f64,
-    /// Of all fronts together, after the service was killed and started again.
+    /// Cost and duration of the reconnection of all fronts, after the service was killed and started again.
     pub reconnect_cpu_ms: f64,
     pub reconnect_bytes: f64,
     pub reconnect_s: f64,
--- a/crates/lab/src/stream.rs
+++ b/crates/lab/src/stream.rs
@@ -341,8 +341,10 @@
     let rows = control.runtime.block_on(operator.fronts(Filter::All))?;
     let false_reports = rows.iter().filter(|r| r.running != Some(last) || r.false_claim).count();
     figures.put("untrue_states", false_reports);
-    let bad_in_use: usize = stubs.iter().filter_map(|s| Some(s.record.lock().ok()?.bad_in_use)).sum();
-    figures.put_rounded("on_good_version", if bad_in_use == 0 && bad_starts == 0 { 1.0 } else { 0.0 });
+    let unaccepted_applied: usize =
+        stubs.iter().filter_map(|s| Some(s.record.lock().ok()?.unaccepted_applied)).sum();
+    figures
+        .put_rounded("on_good_version", if unaccepted_applied == 0 && bad_starts == 0 { 1.0 } else { 0.0 });
 
     // 3. A harmful version.
     control.restart("  soak_ms = 30000\n  answer_within_ms = 10000\n  canaries = 2\n  drop = 0.03")?;
@@ -357,7 +359,7 @@
         })
         .collect();
     for stub in &stubs {
-        stub.record.lock().map_err(|e| e.to_string())?.serves = Some(1.0);
+        stub.record.lock().map_err(|e| e.to_string())?.service_level = Some(1.0);
     }
     control.wait_until(&mut operator, "the totals", |_| true)?;
     std::thread::sleep(Duration::from_secs(11));
@@ -369,7 +371,7 @@
         for stub in &stubs {
             let mut record = stub.record.lock().map_err(|e| e.to_string())?;
             if record.applied.last().is_some_and(|r| r.0 == bad) {
-                record.serves = Some(0.5);
+                record.service_level = Some(0.5);
             }
         }
         let totals = control.totals(&mut operator)?;
--- a/crates/lab/tests/hollow.rs
+++ b/crates/lab/tests/hollow.rs
@@ -70,7 +70,8 @@
                 expected_last: totals.last,
             };
             let connected = totals.connected == 2;
-            if connected && let Response::Published(id) = runtime.block_on(client.request(&request)).unwrap() {
+            if connected && let Response::Published(id) = runtime.block_on(client.request(&request)).unwrap()
+            {
                 return id;
             }
             assert!(began_at.elapsed() < TIMEOUT, "not published: {totals:?}");
--- a/crates/log/src/lib.rs
+++ b/crates/log/src/lib.rs
@@ -94,7 +94,7 @@
 pub fn finish() {
     let Some(guard) = WRITER_GUARD.lock().unwrap_or_else(PoisonError::into_inner).take() else { return };
     let (done, written) = mpsc::channel();
-    // If nobody reads the output, dropping the guard may itself block, also while it prints that it timed out.
+    // If the output is not read, dropping the guard may itself block, also while it prints that it timed out.
     let flusher = thread::Builder::new().name("log end".to_owned()).spawn(move || {
         drop(guard);
         let _ = done.send(());
--- a/crates/recall/src/fetcher.rs
+++ b/crates/recall/src/fetcher.rs
@@ -1,7 +1,7 @@
 //! Fetches what running neighbours remember, after a restart: page by page, from several neighbours at once.
 //!
 //! The first pages contain what was requested last, so what matters most arrives first. Fronts that restart
-//! together ask different neighbours first, and each passes on what it has received.
+//! together start with different neighbours, and each passes on what it has received.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddrV4;
@@ -13,7 +13,7 @@
 const MAX_PAGES_IN_FLIGHT: usize = 4;
 /// A page that has not arrived in this time is requested elsewhere: some round trips on a slow link.
 const PAGE_TIMEOUT: Ticks = 3_000;
-/// For how long a provider that did not supply a page is left alone.
+/// For how long a provider that did not supply a page is not used.
 const PROVIDER_BACKOFF: Ticks = 10_000;
 /// After this time a front has seen for itself what matters.
 const MAX_DURATION: Ticks = 100_000;
@@ -59,7 +59,7 @@
     to_retry: Vec<u16>,
     /// Requested pages: from which provider, and when each times out.
     in_flight: BTreeMap<u16, (SocketAddrV4, Ticks)>,
-    /// When providers that did not supply a page may be asked again.
+    /// When providers that did not supply a page may be used again.
     backoff_until: BTreeMap<SocketAddrV4, Ticks>,
     pub done: bool,
     pub pages_received: u64,
@@ -124,7 +124,7 @@
             self.last_provider_at = now;
             self.first_provider_at.get_or_insert(now);
         }
-        let none_has_any = providers.iter().all(|g| self.empty_providers.contains(&g.address))
+        let none_has_any = providers.iter().all(|p| self.empty_providers.contains(&p.address))
             && self.first_provider_at.is_some_and(|since| since + NOTHING_TIMEOUT <= now);
         let complete = self.page_count.is_some_and(|pages| self.next_page >= pages)
             && self.to_retry.is_empty()
@@ -155,19 +155,19 @@
         requests
     }
 
-    /// Leaves out providers in backoff. Those that said that they have nothing come last, those of the same
+    /// Leaves out providers in backoff. Those that reported that they have nothing come last, those of the same
     /// station first, and those with fewer requests in flight before others. The remaining order is each
-    /// front's own, so that fronts that fetch together ask different providers.
+    /// front's own, so that fronts that fetch together use different providers.
     fn select_provider(&self, now: Ticks, providers: &[Provider]) -> Option<SocketAddrV4> {
-        let available = |g: &&Provider| self.backoff_until.get(&g.address).is_none_or(|&until| until <= now);
-        let requested = |g: &Provider| self.in_flight.values().filter(|r| r.0 == g.address).count();
-        let own_order = |g: &Provider| hash::unit(self.name_hash, hash::text(&g.address.to_string()));
+        let available = |p: &&Provider| self.backoff_until.get(&p.address).is_none_or(|&until| until <= now);
+        let requested = |p: &Provider| self.in_flight.values().filter(|r| r.0 == p.address).count();
+        let own_order = |p: &Provider| hash::unit(self.name_hash, hash::text(&p.address.to_string()));
         let best = providers.iter().filter(available).min_by(|a, b| {
             let rank =
-                |g: &Provider| (self.empty_providers.contains(&g.address), !g.same_station, requested(g));
+                |p: &Provider| (self.empty_providers.contains(&p.address), !p.same_station, requested(p));
             rank(a).cmp(&rank(b)).then(own_order(a).total_cmp(&own_order(b)))
         });
-        best.map(|g| g.address)
+        best.map(|p| p.address)
     }
 
     /// A page has arrived; false if it was not requested from this provider.
--- a/crates/recall/src/lib.rs
+++ b/crates/recall/src/lib.rs
@@ -1,17 +1,16 @@
-//! What a front remembers over a restart, and what of it is still valid.
+//! The fills and purges that a front remembers over a restart, and which of them are still valid.
 //!
-//! A front that has restarted knows nothing and treats every copy as young. What it knew is in its own
-//! snapshot ([`Snapshot`]), and running neighbours know about as much ([`PageFetcher`], [`PageServer`]).
-//! [`Memory`] decides for each entry whether it is worth keeping, for how long it is valid, what ends it
-//! sooner, and how imported entries are combined with those that the front has seen itself: they never
-//! overrule them.
+//! A restarted front without these entries would treat every copy as young. Its entries from before are in its
+//! own snapshot ([`Snapshot`]), and running neighbours have about the same ones ([`PageFetcher`],
+//! [`PageServer`]). [`Memory`] decides for each entry whether it is worth keeping, for how long it is valid and
+//! what ends it sooner. Imported entries never overrule those that the front has seen itself.
 //!
 //! | entry | valid until | ended sooner by | kept in snapshots | taken from neighbours |
 //! | --- | --- | --- | --- | --- |
 //! | when the copy of a part was made | its fresh time is over | a later purge of the part or its group | yes | yes: a false one shifts a refresh, until the first answer |
 //! | that a part or group was purged | the purge is done | | yes | yes, as far as its time is possible: it only asks for younger copies |
 //!
-//! What can't be known: what happened while the front was not running. Whatever can't be shown to be valid is
+//! A front has no record of what happened while it was not running. An entry that can't be shown to be valid is
 //! dropped and counted ([`ImportStats`]). Times are those of the front; when a copy was made is the origin's
 //! statement, and the same at all fronts.
 #![forbid(unsafe_code)]
--- a/crates/recall/src/memory.rs
+++ b/crates/recall/src/memory.rs
@@ -1,4 +1,4 @@
-//! What is remembered, and what may be imported into it.
+//! The remembered fills and purges, and which entries may be imported.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -7,7 +7,7 @@
 use crate::{DropReason, Fill, ImportStats, MAX_PURGES, Purge, Rules, Source};
 
 /// Clocks of one site differ by less than this. A time further in the future comes from a clock that was set
-/// back, or is a lie.
+/// back, or is false.
 const MAX_CLOCK_SKEW: Ticks = 500;
 
 type Key = (u16, u64, u32);
@@ -36,7 +36,7 @@
     }
 
     /// Whether a fill is valid at this time. A purge ends older ones for good: once it is done no such copy
-    /// is left, so anyone who reports one is out of date.
+    /// is left, so a front that reports one is out of date.
     fn check_fill(&self, now: Ticks, fill: &Fill) -> Result<(), DropReason> {
         let fresh = self.rules.fresh_times.get(usize::from(fill.offering)).copied().unwrap_or(0);
         let purged = |key| self.purges.get(&key).is_some_and(|&at| fill.made_at < at);
@@ -173,7 +173,7 @@
         self.by_request_time.iter().filter_map(|(_, key)| self.fills.get(key).copied())
     }
 
-    /// After a pause: what the front had seen itself counts as if from a snapshot.
+    /// To be called after a pause: entries that the front had seen itself count as if from a snapshot.
     pub fn demote_own(&mut self) {
         self.fills.values_mut().for_each(|f| f.1 = f.1.max(Source::Snapshot));
     }
--- a/crates/recall/src/server.rs
+++ b/crates/recall/src/server.rs
@@ -13,7 +13,7 @@
 /// Maximum number of fronts served at one time. If few are served at a time, the first of them soon have
 /// everything and can serve others; if all were, they would all be done at the end only, or too late.
 const MAX_RECIPIENTS: usize = 4;
-/// A recipient that has requested nothing in this time has everything, or is gone.
+/// A recipient that has requested nothing in this time has all pages, or is gone.
 const RECIPIENT_IDLE_TIMEOUT: Ticks = 5_000;
 /// For how long one listing of the memory serves all requests: the pages keep their order for as long as a
 /// recipient needs.
--- a/crates/recall/src/snapshot.rs
+++ b/crates/recall/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! What a front stores while it runs, and whether it may read it after a restart.
+//! The snapshot that a running front stores, and the checks before it is read after a restart.
 
 use std::fmt;
 
--- a/crates/standins/src/client.rs
+++ b/crates/standins/src/client.rs
@@ -14,6 +14,7 @@
 const STDIN: u8 = 5;
 const STDOUT: u8 = 6;
 
+/// A FastCGI connection to a front.
 pub struct Client(TcpStream);
 
 /// A FastCGI record of request 1.
--- a/crates/standins/src/feed.rs
+++ b/crates/standins/src/feed.rs
@@ -24,6 +24,7 @@
 /// Polls from one heartbeat to the next: one second.
 const POLLS_PER_HEARTBEAT: u64 = 50;
 
+/// A running feed.
 pub struct Feed {
     pub address: SocketAddr,
     events: Arc<Mutex<Vec<NumberedFrame>>>,
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -46,6 +46,7 @@
 /// The address that each member listens on, by its id.
 pub type Directory = Arc<Mutex<HashMap<String, SocketAddr>>>;
 
+/// The current Unix time in milliseconds.
 pub fn unix_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
 }
--- a/crates/standins/src/links.rs
+++ b/crates/standins/src/links.rs
@@ -49,7 +49,7 @@
 /// The names of sender and receiver.
 type Pair = (String, String);
 
-/// What was sent from one name to another.
+/// The traffic from one name to another.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Traffic {
     pub datagrams: usize,
@@ -190,7 +190,7 @@
         lock(&self.0.state).traffic.get(&(from.into(), to.into())).copied().unwrap_or_default()
     }
 
-    /// What a name has sent to all others.
+    /// The traffic from a name to all others.
     pub fn sent_by(&self, name: &str) -> Traffic {
         let state = lock(&self.0.state);
         let own = state.traffic.iter().filter(|(pair, _)| pair.0 == name);
@@ -279,7 +279,7 @@
     fn proxy_connection(self: &Arc<Self>, pair: &Pair, near: TcpStream) {
         let target = lock(&self.state).tcp_targets.get(pair).copied();
         let Some(far) = target.and_then(|at| TcpStream::connect(at).ok()) else {
-            return reset_on_close(&near); // Nobody listens at the target.
+            return reset_on_close(&near); // The target does not accept connections.
         };
         let proxied = Arc::new(Proxied { near, far, reset: Arc::default() });
         for stream in [&proxied.near, &proxied.far] {
@@ -304,7 +304,7 @@
         }
     }
 
-    /// Reads as long as the channel to the writer has room. An empty chunk stands for the end of the stream.
+    /// Reads as long as the channel to the writer has room. An empty chunk marks the end of the stream.
     fn read_chunks(&self, pair: &Pair, proxied: &Proxied, forward: bool, out: &SyncSender<Chunk>) {
         let mut from = if forward { &proxied.near } else { &proxied.far };
         let mut bytes = vec![0; 1 << 14];
--- a/crates/standins/src/links/async_proxy.rs
+++ b/crates/standins/src/links/async_proxy.rs
@@ -54,7 +54,7 @@
 async fn proxy_connection(inner: Arc<Inner>, pair: Pair, near: TcpStream) {
     let target = lock(&inner.state).tcp_targets.get(&pair).copied();
     let Some(target) = target else { return };
-    // If nobody listens at the target, the connection is closed.
+    // If the target does not accept connections, this one is closed.
     let Ok(far) = TcpStream::connect(target).await else { return };
     if near.set_nodelay(true).and(far.set_nodelay(true)).is_err() {
         return;
--- a/crates/standins/src/manual_cache.rs
+++ b/crates/standins/src/manual_cache.rs
@@ -10,6 +10,7 @@
 
 use crate::wire::{self, Head};
 
+/// The listener of the cache. Each accepted connection is a [`Connection`].
 pub struct ManualCache {
     pub address: SocketAddr,
     listener: TcpListener,
--- a/crates/standins/src/member.rs
+++ b/crates/standins/src/member.rs
@@ -145,7 +145,8 @@
         *lock(&self.inner.fill_sources) = sources.iter().map(|&s| s.to_owned()).collect();
     }
 
-    /// Notes that fronts are told that this member drains. Requests that arrive after the grace period are counted.
+    /// Starts the grace period of a drain, which the test announces to the fronts. Requests that arrive after it are
+    /// counted.
     pub fn set_draining(&self, grace_ms: u64) {
         self.inner.drain_deadline_ms.store(unix_ms() + grace_ms, SeqCst);
     }
--- a/crates/standins/src/member/config.rs
+++ b/crates/standins/src/member/config.rs
@@ -89,7 +89,7 @@
 pub struct Counts {
     pub requests: AtomicUsize,
     pub hits: AtomicUsize,
-    /// Hits whose request asked for a refresh in the background.
+    /// Hits whose request included a refresh in the background.
     pub refreshes_requested: AtomicUsize,
     /// Refreshes that were started.
     pub refreshes: AtomicUsize,
--- a/crates/standins/src/member/fill.rs
+++ b/crates/standins/src/member/fill.rs
@@ -96,12 +96,12 @@
 
     /// Sends the request over an idle connection, or over a new one if there is none or it has been closed.
     fn fetch(&self, address: SocketAddr, head: &Head, via: &str) -> io::Result<(Head, Vec<u8>)> {
-        let once = |stream: &TcpStream| -> io::Result<(Head, Vec<u8>)> {
+        let exchange = |stream: &TcpStream| -> io::Result<(Head, Vec<u8>)> {
             stream.set_read_timeout(Some(Duration::from_millis(head.number("call-ms").max(100))))?;
             let max_age = head.field("no-older-than").unwrap_or("");
             let call_id = head.field("call-id").unwrap_or("");
             let timeout_ms = head.field("call-ms").unwrap_or("");
-            let only_if_cached = if head.handling("local") { "only-if-cached" } else { "" };
+            let only_if_cached = if head.has_handling("local") { "only-if-cached" } else { "" };
             let fields = [
                 ("Host", "cache"),
                 ("Call-Id", call_id),
@@ -116,14 +116,14 @@
         };
         let idle = lock(&self.idle_connections).get_mut(&address).and_then(Vec::pop);
         if let Some(stream) = idle
-            && let Ok(response) = once(&stream)
+            && let Ok(response) = exchange(&stream)
         {
             lock(&self.idle_connections).entry(address).or_default().push(stream);
             return Ok(response);
         }
         let stream = TcpStream::connect_timeout(&address, Duration::from_millis(400))?;
         stream.set_nodelay(true)?;
-        let response = once(&stream)?;
+        let response = exchange(&stream)?;
         if !self.dead.load(SeqCst) {
             lock(&self.idle_connections).entry(address).or_default().push(stream);
         }
--- a/crates/standins/src/member/serve.rs
+++ b/crates/standins/src/member/serve.rs
@@ -14,7 +14,7 @@
 
 /// A request that loops is in flight here twice until the second pass is rejected; more means that it was not.
 const MAX_PASSES: usize = 2;
-/// A request that passes here more often fails, so that a loop which nobody detects ends.
+/// A request that passes here more often fails, so that an undetected loop ends.
 const MAX_PASSES_BEFORE_FAILURE: usize = 8;
 /// Responses may be this much older than the request allows: time passes between the lookup and the check.
 const AGE_TOLERANCE_MS: u64 = 50;
@@ -131,7 +131,7 @@
     }
 
     fn look_up(self: &Arc<Self>, head: &Head) -> LookupResult {
-        let (path, refresh_requested) = (&head.path, head.handling("revalidate"));
+        let (path, refresh_requested) = (&head.path, head.has_handling("revalidate"));
         if self.config.role == Role::Archive {
             self.counts.fills.fetch_add(1, SeqCst);
             let class = path.split('/').nth(2).unwrap_or("").to_owned();
--- a/crates/standins/src/timeline.rs
+++ b/crates/standins/src/timeline.rs
@@ -35,22 +35,23 @@
     /// SIGCONT.
     #[serde(rename = "wake")]
     Resume { process: String },
-    /// Starts a killed process again, in the way of the caller of [`Timeline::play`].
+    /// Starts a killed process again; performed by the caller of [`Timeline::play`].
     Start { process: String },
-    /// Deletes what the process has stored.
+    /// Deletes the process's stored data.
     #[serde(rename = "disk_lost")]
     DeleteDisk { process: String },
-    /// Takes a backup of what the process has stored.
+    /// Takes a backup of the process's stored data.
     #[serde(rename = "disk_kept")]
     BackUpDisk { process: String },
-    /// Replaces what the process has stored by the backup.
+    /// Replaces the process's stored data by the backup.
     #[serde(rename = "disk_back")]
     RestoreDisk { process: String },
 }
 
+/// An action, and when it is performed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Step {
-    /// Since the start of the timeline.
+    /// Milliseconds since the start of the timeline.
     pub at_ms: u64,
     #[serde(rename = "what")]
     pub action: Action,
--- a/crates/standins/src/versions.rs
+++ b/crates/standins/src/versions.rs
@@ -54,11 +54,11 @@
         let folder = std::env::temp_dir().join(format!("doorgrade-{}-{name}", std::process::id()));
         let _ = std::fs::remove_dir_all(&folder);
         std::fs::create_dir_all(&folder)?;
-        let made = |pair: Result<CertificateAndKey, doorgrade_keys::KeyFileError>| {
+        let io_result = |pair: Result<CertificateAndKey, doorgrade_keys::KeyFileError>| {
             pair.map_err(std::io::Error::other)
         };
         let (fronts, operators) =
-            (made(generate::authority("fronts", 30))?, made(generate::authority("operators", 30))?);
+            (io_result(generate::authority("fronts", 30))?, io_result(generate::authority("operators", 30))?);
         let installation = Installation { folder, fronts, operators };
         installation.write("fronts-ca.pem", &installation.fronts.certificate)?;
         installation.write("operators-ca.pem", &installation.operators.certificate)?;
@@ -125,22 +125,23 @@
 /// Decides whether a stub front accepts a version.
 pub type Verdict = dyn Fn(&VersionId, &[u8]) -> Result<(), RejectionReason> + Send + Sync;
 
-/// What a stub front has received from the service, and what it reports.
+/// The versions that a stub front has received from the service, and the figures that it reports.
 #[derive(Default)]
 pub struct Record {
     /// Versions that were applied, and when.
     pub applied: Vec<(VersionId, Ticks)>,
     /// Versions that were rejected.
-    pub turned_down: Vec<(VersionId, RejectionReason)>,
+    pub rejected: Vec<(VersionId, RejectionReason)>,
     /// Why connections to the service were lost.
-    pub lost: Vec<String>,
-    /// What it reports as the share of the requested benefit that it served within the soft limit.
-    pub serves: Option<f32>,
-    /// The access counts since the start that it reports, and how often they were read.
+    pub connection_errors: Vec<String>,
+    /// The reported share of the requested benefit that was served within the soft limit.
+    pub service_level: Option<f32>,
+    /// The access counts since the start that it reports.
     pub counts: AccessCounts,
+    /// How often `counts` was read for a report.
     pub counts_read: usize,
     /// How often a version was applied that had not been checked and accepted before.
-    pub bad_in_use: usize,
+    pub unaccepted_applied: usize,
 }
 
 /// A front that follows the service and does nothing else. It stores versions in memory only.
@@ -153,19 +154,19 @@
 struct StubHost {
     record: Arc<Mutex<Record>>,
     verdict: Arc<Verdict>,
-    good: BTreeMap<VersionId, bool>,
+    accepted: BTreeMap<VersionId, bool>,
 }
 
 impl Host for StubHost {
     fn check(&mut self, id: &VersionId, content: &Content) -> Result<(), RejectionReason> {
         let verdict = (self.verdict)(id, content);
-        self.good.insert(*id, verdict.is_ok());
+        self.accepted.insert(*id, verdict.is_ok());
         verdict
     }
 
     async fn apply(&mut self, id: &VersionId, _: &Content) -> Result<(), RejectionReason> {
         let mut record = lock(&self.record);
-        record.bad_in_use += usize::from(self.good.get(id) != Some(&true));
+        record.unaccepted_applied += usize::from(self.accepted.get(id) != Some(&true));
         record.applied.push((*id, now()));
         Ok(())
     }
@@ -180,14 +181,14 @@
 
     fn unstage(&mut self) {}
 
-    fn log(&mut self, line: LogEvent) {
-        if let LogEvent::Rejected(id, why) = line {
-            lock(&self.record).turned_down.push((id, why));
+    fn log(&mut self, event: LogEvent) {
+        if let LogEvent::Rejected(id, reason) = event {
+            lock(&self.record).rejected.push((id, reason));
         }
     }
 
     fn service_level(&mut self) -> Option<f32> {
-        lock(&self.record).serves
+        lock(&self.record).service_level
     }
 
     fn access_counts(&mut self) -> AccessCounts {
@@ -196,8 +197,8 @@
         record.counts
     }
 
-    fn connection_lost(&mut self, _: SocketAddr, why: &str) {
-        lock(&self.record).lost.push(why.to_owned());
+    fn connection_lost(&mut self, _: SocketAddr, reason: &str) {
+        lock(&self.record).connection_errors.push(reason.to_owned());
     }
 }
 
@@ -214,19 +215,19 @@
 impl StubFront {
     /// Starts on the current Tokio runtime.
     pub fn start(config: &StubConfig<'_>, verdict: Arc<Verdict>) -> Result<StubFront, String> {
-        let tls = client_config(config.identity, FRONT_PROTOCOL).map_err(|t| t.to_string())?.config;
-        let name = ServerName::try_from(SERVICE).map_err(|e| e.to_string())?;
+        let tls = client_config(config.identity, FRONT_PROTOCOL).map_err(|e| e.to_string())?.config;
+        let server_name = ServerName::try_from(SERVICE).map_err(|e| e.to_string())?;
         let record = Arc::new(Mutex::new(Record::default()));
-        let host = StubHost { record: record.clone(), verdict, good: BTreeMap::new() };
-        let to = ServiceEndpoint { addresses: vec![config.service], server_name: name };
+        let host = StubHost { record: record.clone(), verdict, accepted: BTreeMap::new() };
+        let endpoint = ServiceEndpoint { addresses: vec![config.service], server_name };
         let (keys, names) = (Keys::new(config.keys.clone()), (config.name, config.station));
-        let (mut follow, first) = FrontClient::new(host, to, tls, |at, out| {
-            Front::start(at, config.seed, names, keys, StoredState::default(), Ok(()), out)
+        let (mut client, initial) = FrontClient::new(host, endpoint, tls, |now, effects| {
+            Front::start(now, config.seed, names, keys, StoredState::default(), Ok(()), effects)
         });
         let (commands, mut received) = mpsc::channel(4);
         let task = tokio::spawn(async move {
-            follow.run(first, &mut received).await;
-            (follow.sent_bytes, follow.connections)
+            client.run(initial, &mut received).await;
+            (client.sent_bytes, client.connections)
         });
         Ok(StubFront { record, commands, task })
     }
--- a/crates/standins/src/wire.rs
+++ b/crates/standins/src/wire.rs
@@ -26,7 +26,7 @@
     }
 
     /// Whether the field `Handling` contains this token.
-    pub fn handling(&self, token: &str) -> bool {
+    pub fn has_handling(&self, token: &str) -> bool {
         self.field("handling").is_some_and(|h| h.split('+').any(|t| t == token))
     }
 }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -2,9 +2,9 @@
 //! either complete or absent. In addition each record has its own checksum (`blake3`), since a disk may return other
 //! bytes than were written, and a format number, so that an upgrade can read the records of earlier releases.
 //!
-//! A damaged store is moved aside under another name and replaced by an empty one, which the caller is told. If the
-//! disk fails for a while, or is full, only the operations of that time fail. A store is open in one process at a
-//! time.
+//! A damaged store is moved aside under another name and replaced by an empty one, which is reported to the caller.
+//! If the disk fails for a while, or is full, only the operations of that time fail. A store is open in one process
+//! at a time.
 #![forbid(unsafe_code)]
 
 mod records;
@@ -21,6 +21,7 @@
 pub use records::Records;
 use records::{FORMAT, failed};
 
+/// Why a store or a record can't be used.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StoreError {
     /// The store was damaged. Its file was moved to this path, and an empty store was created.
@@ -64,7 +65,7 @@
     postcard::to_stdvec(value).map_err(failed)
 }
 
-/// What a front stores: the last good version, and the one that is being applied.
+/// The store of a front: the last good version, and the one that is being applied.
 pub struct FrontStore(Records);
 
 impl FrontStore {
@@ -99,10 +100,11 @@
     }
 }
 
-/// What a service stores: its epoch, the history, the state of the current rollout, and the changes that are on trial
-/// or under observation. The latter are a separate record, which earlier releases ignore.
+/// The store of the service: its epoch, the history, the state of the current rollout, and the changes that are on
+/// trial or under observation. The latter are a separate record, which earlier releases ignore.
 pub struct ServiceStore(Records);
 
+/// Epoch, number of the version of all fronts, and current rollout.
 type State = (u64, Option<u64>, Option<SavedRollout>);
 
 fn version_key(id: &VersionId) -> String {
--- a/crates/stream/src/front_client.rs
+++ b/crates/stream/src/front_client.rs
@@ -1,5 +1,5 @@
 //! A front's connection to the control service: feeds events to the state machine [`Front`] and performs its effects.
-//! What a version means is left to the [`Host`].
+//! The content of a version is interpreted by the [`Host`].
 
 use std::future::{Future, pending};
 use std::net::SocketAddr;
--- a/crates/stream/src/lib.rs
+++ b/crates/stream/src/lib.rs
@@ -16,7 +16,9 @@
 
 use doorgrade_versions::MAX_CONTENT_BYTES;
 
+/// ALPN protocol of the connections of fronts.
 pub const FRONT_PROTOCOL: &[u8] = b"doorgrade-versions/1";
+/// ALPN protocol of the connections of operators.
 pub const OPERATOR_PROTOCOL: &[u8] = b"doorgrade-operators/1";
 
 /// The longest first message of a front: two names, a version id and its seal.
