--- a/crates/lab/src/evidence/simulated.rs
+++ b/crates/lab/src/evidence/simulated.rs
@@ -175,7 +175,7 @@
         let drop = if is_arm { self.drop } else { 0.0 };
         let share =
             (f.share * storm_factor * (1.0 - drop) + self.jitter * standard_normal(rng)).clamp(0.0, 1.0);
-        Counts { accesses: accesses, answered: binomial(rng, accesses, share) }
+        Counts { accesses, answered: binomial(rng, accesses, share) }
     }
 
     /// Passes the verdict after each interval to `done`, until it returns true.
--- a/crates/lab/src/stream.rs
+++ b/crates/lab/src/stream.rs
@@ -341,10 +341,8 @@
     let rows = control.runtime.block_on(operator.fronts(Filter::All))?;
     let false_reports = rows.iter().filter(|r| r.running != Some(last) || r.false_claim).count();
     figures.put("untrue_states", false_reports);
-    let unaccepted_applied: usize =
-        stubs.iter().filter_map(|s| Some(s.record.lock().ok()?.unaccepted_applied)).sum();
-    figures
-        .put_rounded("on_good_version", if unaccepted_applied == 0 && bad_starts == 0 { 1.0 } else { 0.0 });
+    let unaccepted: usize = stubs.iter().filter_map(|s| Some(s.record.lock().ok()?.unaccepted_applied)).sum();
+    figures.put_rounded("on_good_version", if unaccepted == 0 && bad_starts == 0 { 1.0 } else { 0.0 });
 
     // 3. A harmful version.
     control.restart("  soak_ms = 30000\n  answer_within_ms = 10000\n  canaries = 2\n  drop = 0.03")?;
